--- a/crates/consensus/src/frames.rs
+++ b/crates/consensus/src/frames.rs
@@ -1,16 +1,16 @@
 //! What passes between routers, and its form on the wire.
 
 use serde::{Deserialize, Serialize};
-use tindoor_membership::{Interval, Listed, Start};
+use tindoor_membership::{Incarnation, Interval, Member};
 use tindoor_policy::{Count, Proposal};
-use tindoor_quota::{Lend, Want};
+use tindoor_quota::{QuotaGrant, QuotaRequest};
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// The fleet's name, as all its routers are told it.
     pub fleet: String,
-    pub from: Start,
+    pub from: Incarnation,
     /// Where its sender is reached.
     pub address: String,
     pub body: Body,
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
     /// How do things stand?
-    Ask {
+    StatusRequest {
         nonce: u64,
         /// The fleet's number and the index that the asker knows.
         fleet: u64,
@@ -27,11 +27,11 @@
         /// Whether words of others are wanted.
         words: bool,
     },
-    Tell {
+    StatusResponse {
         nonce: u64,
         /// The giver's clock, and other clocks less it.
         clock: i64,
-        offsets: Vec<(Start, Interval)>,
+        offsets: Vec<(Incarnation, Interval)>,
         index: u64,
         /// No change waits for its decision there.
         open: bool,
@@ -39,23 +39,23 @@
         /// given.
         voters: Option<(u64, u64)>,
         /// Words of others that they are at the same index, and how old each is.
-        words: Vec<(Start, u64)>,
-        news: News,
+        words: Vec<(Incarnation, u64)>,
+        news: CatchUp,
         /// Where the leader of the voters is reached.
         leader: Option<String>,
     },
     /// A message of the `raft` library.
     Raft(Vec<u8>),
     /// What parts of the fleet's budgets its sender wants and holds, and what it is lent.
-    Want(Want),
-    Lend(Lend),
+    QuotaRequest(QuotaRequest),
+    QuotaGrant(QuotaGrant),
     /// Something for the leader; passed on where it isn't, at most so often.
     Command(u8, Command),
 }
 
 /// What the asker lacks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum CatchUp {
     None,
     /// The entries from that index on, without a gap.
     Entries {
@@ -63,23 +63,23 @@
         entries: Vec<Vec<u8>>,
     },
     /// All that is agreed.
-    Whole(Vec<u8>),
+    Snapshot(Vec<u8>),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     Join {
-        start: Start,
-        listed: Listed,
-        after: Option<Start>,
+        start: Incarnation,
+        listed: Member,
+        after: Option<Incarnation>,
     },
     Leave {
-        start: Start,
+        start: Incarnation,
     },
     /// Whether that router could go by a change; why not.
     Answer {
         generation: u64,
-        start: Start,
+        start: Incarnation,
         objection: Option<String>,
     },
     Propose(Proposal),
@@ -90,9 +90,9 @@
     Forget {
         name: String,
     },
-    /// Views that ended since the last report, by generation and offering. Says as well that the router is there.
+    /// Requests that ended since the last report, by generation and request class. Says as well that the router is there.
     Report {
-        start: Start,
+        start: Incarnation,
         location: u16,
         counts: Vec<(u64, u16, Count)>,
     },
--- a/crates/consensus/src/lead.rs
+++ b/crates/consensus/src/lead.rs
@@ -3,24 +3,24 @@
 use std::collections::BTreeMap;
 
 use tindoor::time::Moment;
-use tindoor_membership::{Listed, Start};
-use tindoor_policy::{Entry, Finding, Probation, Proposal, Staged};
+use tindoor_membership::{Incarnation, Member};
+use tindoor_policy::{Assessment, LogEntry, Probation, Proposal, StagedChange};
 
 use crate::frames::Command;
 use crate::node::Node;
-use crate::voters::{Seat, reseat};
+use crate::voters::{Replica, plan_membership_change};
 
 /// What a leader knows beyond what is agreed; the next one finds it out anew.
-pub struct Lead {
+pub struct Leadership {
     since: Moment,
     term: u64,
     /// What each router said of the change under way.
-    answers: BTreeMap<Start, Option<String>>,
+    answers: BTreeMap<Incarnation, Option<String>>,
     of: u64,
     /// The generation whose decision it has proposed: once, with one moment.
     pub(crate) decided: Option<u64>,
     /// What was proposed and may still be on its way.
-    proposed: Vec<(Entry, Moment)>,
+    proposed: Vec<(LogEntry, Moment)>,
     /// When a change of voters was last proposed.
     changed: Option<Moment>,
     /// Since when the fleet's time can't be told well enough.
@@ -28,7 +28,7 @@
     probation: Option<Probation>,
 }
 
-impl Lead {
+impl Leadership {
     fn new(now: Moment, term: u64) -> Self {
         let (answers, proposed) = Default::default();
         Self {
@@ -45,7 +45,7 @@
     }
 }
 
-impl Lead {
+impl Leadership {
     /// Its clock has jumped: what it waits for is waited for anew. What it has decided stays decided.
     pub(crate) fn jumped(&mut self, now: Moment) {
         self.since = now;
@@ -61,7 +61,7 @@
     pub(crate) fn lead_on(&mut self, now: Moment) {
         let term = self.voter.as_ref().map_or(0, |voter| voter.term());
         let mut lead =
-            self.lead.take().filter(|lead| lead.term == term).unwrap_or_else(|| Lead::new(now, term));
+            self.lead.take().filter(|lead| lead.term == term).unwrap_or_else(|| Leadership::new(now, term));
         let again = self.terms.beat * 6.0;
         lead.proposed.retain(|(_, at)| now.since(*at) < again);
         self.lead = Some(lead);
@@ -77,7 +77,7 @@
     }
 
     /// Proposes an entry, unless it is on its way already.
-    fn enter(&mut self, now: Moment, entry: Entry) {
+    fn enter(&mut self, now: Moment, entry: LogEntry) {
         let (Some(voter), Some(lead)) = (&mut self.voter, &mut self.lead) else { return };
         if !lead.proposed.iter().any(|(known, _)| *known == entry) && voter.propose(&entry) {
             lead.proposed.push((entry, now));
@@ -88,24 +88,24 @@
     pub(crate) fn take(&mut self, now: Moment, command: Command) {
         if self.lead.is_none() {
             let term = self.voter.as_ref().map_or(0, |voter| voter.term());
-            self.lead = Some(Lead::new(now, term));
+            self.lead = Some(Leadership::new(now, term));
         }
         match command {
             Command::Join { start, listed, after } => {
-                let same = self.agreed.roll.named(&listed.name).is_some();
-                if self.agreed.roll.get(start) != Some(&listed) && (same || self.has_place()) {
-                    self.enter(now, Entry::Join { start, listed, after });
+                let same = self.agreed.members.named(&listed.name).is_some();
+                if self.agreed.members.get(start) != Some(&listed) && (same || self.has_place()) {
+                    self.enter(now, LogEntry::Join { start, listed, after });
                 }
             }
             Command::Leave { start } => self.leaves(now, start, true),
             Command::Forget { name } => {
-                if let Some(start) = self.agreed.roll.named(&name) {
+                if let Some(start) = self.agreed.members.named(&name) {
                     self.leaves(now, start, true);
                 }
             }
             Command::Answer { generation, start, objection } => {
                 let asked = self.agreed.staged.as_ref().is_some_and(|s| s.version.generation == generation);
-                if let Some(lead) = self.lead.as_mut().filter(|_| asked && self.agreed.roll.has(start)) {
+                if let Some(lead) = self.lead.as_mut().filter(|_| asked && self.agreed.members.has(start)) {
                     if lead.of != generation {
                         lead.of = generation;
                         lead.answers.clear();
@@ -116,19 +116,19 @@
             }
             Command::Propose(proposal) => {
                 if self.agreed.end_of(proposal.token).is_none() {
-                    self.enter(now, Entry::Propose(proposal));
+                    self.enter(now, LogEntry::Propose(proposal));
                 }
             }
             Command::Withdraw { generation } => {
-                self.enter(now, Entry::CallOff { generation, why: "withdrawn".into() });
+                self.enter(now, LogEntry::CallOff { generation, why: "withdrawn".into() });
             }
             Command::Report { .. } => {}
         }
     }
 
-    fn leaves(&mut self, now: Moment, start: Start, ended: bool) {
-        if self.agreed.roll.has(start) {
-            self.enter(now, Entry::Leave { start, ended });
+    fn leaves(&mut self, now: Moment, start: Incarnation, ended: bool) {
+        if self.agreed.members.has(start) {
+            self.enter(now, LogEntry::Leave { start, ended });
         }
     }
 
@@ -136,20 +136,21 @@
     fn see_to_list(&mut self, now: Moment) {
         let held = self.terms.hold_out + self.terms.lease * 2.0 + self.terms.drift(self.terms.hold_out);
         let over = |at: Moment| now.since(at) > held;
-        let oldest = self.agreed.roll.oldest_step();
+        let oldest = self.agreed.members.oldest_step();
         if let Some(before) = oldest.filter(|step| self.seen_at(*step).is_some_and(over)) {
             // All that are over by now, at once.
             let last = self.seen.range(before..).take_while(|(_, at)| over(**at)).last();
             let before = last.map_or(before, |(index, _)| *index);
             // While a change is under way it may still be told by the old lists who could vouch for whom.
             if self.agreed.staged.is_none() {
-                self.enter(now, Entry::Retire { before });
+                self.enter(now, LogEntry::Retire { before });
             }
         }
         let since = self.lead.as_ref().map_or(now, |lead| lead.since);
         let own = self.own.start;
-        let gone = |start: &&Start| **start != own && self.silence.lasts(**start, now, since) > held;
-        if let Some(start) = self.agreed.roll.listed().keys().find(gone).copied() {
+        let gone =
+            |start: &&Incarnation| **start != own && self.failure_detector.lasts(**start, now, since) > held;
+        if let Some(start) = self.agreed.members.listed().keys().find(gone).copied() {
             self.leaves(now, start, false);
         }
     }
@@ -157,14 +158,14 @@
     /// Each keeper's clock is set against the fleet's time; the first one is the fleet's time.
     fn see_to_clocks(&mut self, now: Moment) {
         let decided = self.agreed.staged.as_ref().is_some_and(|staged| staged.at.is_some()) || self.decides();
-        if decided || !self.agreed.roll.has(self.own.start) {
+        if decided || !self.agreed.members.has(self.own.start) {
             return;
         }
         let (since, own) = (self.lead.as_ref().map_or(now, |lead| lead.since), self.own.start);
-        let there = |start| start == own || self.silence.lasts(start, now, since) < self.terms.lease;
+        let there = |start| start == own || self.failure_detector.lasts(start, now, since) < self.terms.lease;
         let keepers = self.time_keepers(there);
         if self.agreed.clocks.is_empty() {
-            return self.enter(now, Entry::Clock { of: self.own.start, ahead: Some(0) });
+            return self.enter(now, LogEntry::Clock { of: self.own.start, ahead: Some(0) });
         }
         let near = self.terms.bound * 0.25;
         let Some(time) = self.time(now).filter(|time| time.bound() <= near) else {
@@ -172,8 +173,9 @@
             // anew with the leader's, as nothing hangs on it now.
             let timeless = self.lead.as_ref().and_then(|lead| lead.timeless);
             if timeless.is_some_and(|since| now.since(since) > self.terms.lease * 2.0) {
-                let others: Vec<Start> = self.agreed.clocks.keys().copied().filter(|of| *of != own).collect();
-                others.into_iter().for_each(|of| self.enter(now, Entry::Clock { of, ahead: None }));
+                let others: Vec<Incarnation> =
+                    self.agreed.clocks.keys().copied().filter(|of| *of != own).collect();
+                others.into_iter().for_each(|of| self.enter(now, LogEntry::Clock { of, ahead: None }));
             }
             self.lead.iter_mut().for_each(|lead| lead.timeless = lead.timeless.or(Some(now)));
             return;
@@ -192,7 +194,7 @@
                 }
             };
             if ahead.is_some() {
-                self.enter(now, Entry::Clock { of, ahead });
+                self.enter(now, LogEntry::Clock { of, ahead });
                 return;
             }
         }
@@ -200,17 +202,17 @@
         let clocks = &self.agreed.clocks;
         let gone = clocks.keys().find(|clock| !keepers.contains(clock)).copied();
         if let Some(of) = gone.filter(|_| keepers.iter().all(|keeper| clocks.contains_key(keeper))) {
-            self.enter(now, Entry::Clock { of, ahead: None });
+            self.enter(now, LogEntry::Clock { of, ahead: None });
         }
     }
 
-    fn is_voter(&self, start: Start) -> bool {
-        let seat = self.agreed.roll.get(start).and_then(|listed| listed.seat);
-        seat.is_some_and(|seat| self.agreed.voters.contains(&seat))
+    fn is_voter(&self, start: Incarnation) -> bool {
+        let replica_id = self.agreed.members.get(start).and_then(|listed| listed.replica_id);
+        replica_id.is_some_and(|replica_id| self.agreed.voters.contains(&replica_id))
     }
 
-    fn voters_listed(&self) -> Vec<Start> {
-        self.agreed.roll.listed().keys().copied().filter(|start| self.is_voter(*start)).collect()
+    fn voters_listed(&self) -> Vec<Incarnation> {
+        self.agreed.members.listed().keys().copied().filter(|start| self.is_voter(*start)).collect()
     }
 
     /// Keeps as many voters as are wanted, and replaces one that is gone.
@@ -221,13 +223,16 @@
         if !self.agreed.leaving.is_empty() {
             // Both, those before and those to come, are needed until this is agreed as well. One that is to go can't
             // lead then.
-            let stays = self.own.seat.is_some_and(|seat| self.agreed.voters.contains(&seat));
-            let heir =
-                self.voters_listed().into_iter().min_by_key(|start| self.silence.lasts(*start, now, since));
-            let heir = heir.and_then(|start| self.agreed.roll.get(start)?.seat);
+            let stays =
+                self.own.replica_id.is_some_and(|replica_id| self.agreed.voters.contains(&replica_id));
+            let heir = self
+                .voters_listed()
+                .into_iter()
+                .min_by_key(|start| self.failure_detector.lasts(*start, now, since));
+            let heir = heir.and_then(|start| self.agreed.members.get(start)?.replica_id);
             let done = match (&mut self.voter, heir) {
                 _ if lasts(2.0) => false,
-                (Some(voter), _) if stays => voter.reseated(),
+                (Some(voter), _) if stays => voter.finish_membership_change(),
                 (Some(voter), Some(heir)) => {
                     voter.hand_over(heir);
                     true
@@ -239,31 +244,43 @@
             }
             return;
         }
-        let Some(own) = self.own.seat.filter(|_| !lasts(8.0) && self.agreed.roll.has(self.own.start)) else {
+        let Some(own) =
+            self.own.replica_id.filter(|_| !lasts(8.0) && self.agreed.members.has(self.own.start))
+        else {
             return;
         };
         let patience = self.terms.lease * 4.0;
-        let there =
-            |start: Start| start == self.own.start || self.silence.lasts(start, now, since) < patience;
-        let roll = self.agreed.roll.listed();
-        let holder = |seat: &u64| roll.iter().find(|(_, listed)| listed.seat == Some(*seat));
-        let voters: Vec<Seat> = (self.agreed.voters.iter())
-            .map(|seat| match holder(seat) {
+        let there = |start: Incarnation| {
+            start == self.own.start || self.failure_detector.lasts(start, now, since) < patience
+        };
+        let members = self.agreed.members.listed();
+        let holder =
+            |replica_id: &u64| members.iter().find(|(_, listed)| listed.replica_id == Some(*replica_id));
+        let voters: Vec<Replica> = (self.agreed.voters.iter())
+            .map(|replica_id| match holder(replica_id) {
                 Some((start, listed)) => {
-                    Seat { seat: *seat, location: listed.location, there: there(*start) }
+                    Replica { replica_id: *replica_id, location: listed.location, there: there(*start) }
                 }
-                None => Seat { seat: *seat, location: u16::MAX, there: now.since(since) <= patience },
+                None => Replica {
+                    replica_id: *replica_id,
+                    location: u16::MAX,
+                    there: now.since(since) <= patience,
+                },
             })
             .collect();
         // Just now: a new one that is not there is one less to lose.
-        let heard = |start: Start| self.silence.lasts(start, now, Moment::default()) < self.terms.beat * 6.0;
-        let free = |(start, listed): (&Start, &Listed)| {
-            let seat = listed.seat.filter(|seat| !self.agreed.voters.contains(seat) && heard(*start))?;
-            Some(Seat { seat, location: listed.location, there: true })
+        let heard = |start: Incarnation| {
+            self.failure_detector.lasts(start, now, Moment::default()) < self.terms.beat * 6.0
+        };
+        let free = |(start, listed): (&Incarnation, &Member)| {
+            let replica_id = listed
+                .replica_id
+                .filter(|replica_id| !self.agreed.voters.contains(replica_id) && heard(*start))?;
+            Some(Replica { replica_id, location: listed.location, there: true })
         };
-        let free: Vec<Seat> = roll.iter().filter_map(free).collect();
-        if let Some(reseating) = reseat(own, &voters, &free, self.limits.voters)
-            && self.voter.as_mut().is_some_and(|voter| voter.reseat(&reseating))
+        let free: Vec<Replica> = members.iter().filter_map(free).collect();
+        if let Some(membership_change) = plan_membership_change(own, &voters, &free, self.limits.voters)
+            && self.voter.as_mut().is_some_and(|voter| voter.plan_membership_change(&membership_change))
         {
             self.lead.as_mut().expect("it leads").changed = Some(now);
         }
@@ -285,33 +302,35 @@
                     }),
                 };
                 if passed {
-                    self.enter(now, Entry::Held { generation });
+                    self.enter(now, LogEntry::Held { generation });
                 }
             }
         }
     }
 
-    fn see_to_decision(&mut self, now: Moment, staged: &Staged) {
+    fn see_to_decision(&mut self, now: Moment, staged: &StagedChange) {
         let (generation, index) = (staged.version.generation, staged.index);
         let Some(lead) = self.lead.as_ref() else { return };
         let none = BTreeMap::new();
         let answers = if lead.of == generation { &lead.answers } else { &none };
-        let name = |start: &Start| self.agreed.roll.get(*start).map_or(start.to_string(), |l| l.name.clone());
+        let name = |start: &Incarnation| {
+            self.agreed.members.get(*start).map_or(start.to_string(), |l| l.name.clone())
+        };
         if let Some((start, why)) = answers.iter().find_map(|(start, why)| Some((start, why.as_ref()?))) {
             let why = format!("{}: {why}", name(start));
-            return self.enter(now, Entry::CallOff { generation, why });
+            return self.enter(now, LogEntry::CallOff { generation, why });
         }
         let seen = self.seen_at(index).unwrap_or(now);
         let waited = now.since(seen);
         let (lease, hold_out) = (self.terms.lease, self.terms.hold_out);
         let too_long = (lease + hold_out) * 2.0 + self.terms.drift(hold_out);
         if waited > too_long {
-            return self.enter(now, Entry::CallOff { generation, why: "no decision in time".into() });
+            return self.enter(now, LogEntry::CallOff { generation, why: "no decision in time".into() });
         }
-        let all = self.agreed.roll.listed().keys().all(|start| answers.contains_key(start));
+        let all = self.agreed.members.listed().keys().all(|start| answers.contains_key(start));
         // The silent are waited for a little: they may have an objection. After that they go by it, or stay out.
         let patient = lease * 0.5;
-        let decided = match self.agreed.roll.most_know(index, |start| answers.contains_key(&start)) {
+        let decided = match self.agreed.members.most_know(index, |start| answers.contains_key(&start)) {
             _ if !self.guards.staged => true,
             Ok(()) => all || waited >= patient,
             // More than half of some list is silent: they may live on each other's words until the hold-out.
@@ -325,7 +344,7 @@
         }
         if let Some(at) = self.ahead(now) {
             let proposed =
-                self.voter.as_mut().is_some_and(|voter| voter.propose(&Entry::Decide { generation, at }));
+                self.voter.as_mut().is_some_and(|voter| voter.propose(&LogEntry::Decide { generation, at }));
             if let Some(lead) = self.lead.as_mut().filter(|_| proposed) {
                 lead.decided = Some(generation);
             }
@@ -360,23 +379,23 @@
         }
         let finding = lead.probation.as_ref().expect("just begun").judge(&self.tally, now);
         let words = match finding {
-            Finding::Open => return,
-            Finding::Harm { location, offering, before: was, after } => {
+            Assessment::Open => return,
+            Assessment::Harm { location, class, before: was, after } => {
                 let note = format!(
-                    "in time at location {location}, offering {offering}: {was:.3} before, {after:.3} after"
+                    "in time at location {location}, offering {class}: {was:.3} before, {after:.3} after"
                 );
                 if let Ok(proposal) = self.undoing(generation, "probation", &note) {
                     // The same token for as long as this leader leads: it is proposed once.
                     let token = generation.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-                    self.enter(now, Entry::Propose(Proposal { token, ..proposal }));
+                    self.enter(now, LogEntry::Propose(Proposal { token, ..proposal }));
                 }
                 return;
             }
-            Finding::Trouble { began_before: true } => "kept: trouble that had begun before",
-            Finding::Trouble { .. } => "kept: trouble everywhere alike",
-            Finding::NoHarm => "kept: no harm",
-            Finding::TooLittle => "kept: too little traffic to tell",
+            Assessment::Trouble { began_before: true } => "kept: trouble that had begun before",
+            Assessment::Trouble { .. } => "kept: trouble everywhere alike",
+            Assessment::NoHarm => "kept: no harm",
+            Assessment::TooLittle => "kept: too little traffic to tell",
         };
-        self.enter(now, Entry::Kept { generation, finding: words.into() });
+        self.enter(now, LogEntry::Kept { generation, finding: words.into() });
     }
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -8,7 +8,7 @@
 
 /// What is to be written, all of it or nothing, before what depends on it is sent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Write {
+pub struct StorageWrite {
     /// Counted from 1, in the order in which they are to be written.
     pub number: u64,
     pub hard: Option<Vec<u8>>,
@@ -22,7 +22,7 @@
 
 /// What was read from where it lasts, at a start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct StoredState {
     pub hard: Vec<u8>,
     pub snapshot: Vec<u8>,
     /// In their order, without gaps.
@@ -38,7 +38,7 @@
 
 impl Log {
     /// Reads what was kept; none where it doesn't fit together.
-    pub fn read(kept: &Kept) -> Option<Self> {
+    pub fn read(kept: &StoredState) -> Option<Self> {
         let hard = HardState::parse_from_bytes(&kept.hard).ok()?;
         let snapshot = Snapshot::parse_from_bytes(&kept.snapshot).ok()?;
         let base = snapshot.get_metadata().index;
@@ -56,11 +56,11 @@
     }
 
     /// A log that begins with this as all there is.
-    pub fn begin(data: Vec<u8>, seat: u64) -> Self {
+    pub fn begin(data: Vec<u8>, replica_id: u64) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.mut_metadata().index = 1;
         snapshot.mut_metadata().term = 1;
-        snapshot.mut_metadata().mut_conf_state().voters = vec![seat];
+        snapshot.mut_metadata().mut_conf_state().voters = vec![replica_id];
         snapshot.data = data.into();
         let mut hard = HardState::default();
         (hard.term, hard.commit) = (1, 1);
@@ -68,13 +68,13 @@
     }
 
     /// The whole of it, to be written as the first.
-    pub fn whole(&self) -> Write {
+    pub fn whole(&self) -> StorageWrite {
         let bytes = |entry: &Entry| (entry.index, entry.write_to_bytes().expect("an entry has a form"));
-        Write {
+        StorageWrite {
             hard: Some(self.hard.write_to_bytes().expect("a state has a form")),
             snapshot: Some(self.snapshot.write_to_bytes().expect("a snapshot has a form")),
             entries: self.entries.iter().map(bytes).collect(),
-            ..Write::default()
+            ..StorageWrite::default()
         }
     }
 
@@ -94,12 +94,12 @@
         self.entries.len()
     }
 
-    pub fn set_hard(&mut self, hard: HardState, write: &mut Write) {
+    pub fn set_hard(&mut self, hard: HardState, write: &mut StorageWrite) {
         write.hard = Some(hard.write_to_bytes().expect("a state has a form"));
         self.hard = hard;
     }
 
-    pub fn append(&mut self, new: &[Entry], write: &mut Write) {
+    pub fn append(&mut self, new: &[Entry], write: &mut StorageWrite) {
         let Some(first) = new.first() else { return };
         while self.entries.back().is_some_and(|last| last.index >= first.index) {
             self.entries.pop_back();
@@ -111,7 +111,7 @@
     }
 
     /// A snapshot from the leader in place of all there is.
-    pub fn install(&mut self, snapshot: Snapshot, write: &mut Write) {
+    pub fn install(&mut self, snapshot: Snapshot, write: &mut StorageWrite) {
         self.entries.clear();
         self.hard.commit = self.hard.commit.max(snapshot.get_metadata().index);
         write.snapshot = Some(snapshot.write_to_bytes().expect("a snapshot has a form"));
@@ -119,7 +119,7 @@
     }
 
     /// What was applied up to `index` stands in `data` from now on, and its entries go.
-    pub fn compact(&mut self, index: u64, conf: ConfState, data: Vec<u8>, write: &mut Write) {
+    pub fn compact(&mut self, index: u64, conf: ConfState, data: Vec<u8>, write: &mut StorageWrite) {
         let Ok(term) = self.term(index) else { return };
         let mut snapshot = Snapshot::default();
         snapshot.mut_metadata().index = index;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -6,13 +6,18 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use tindoor::time::{Moment, Span};
-use tindoor_membership::{Clocks, FleetTime, Interval, Lease, Listed, Silence, Start, Terms, Word};
-use tindoor_policy::{Agreed, Bounds, Count, Entry, Policy, Proposal, Step, Tally, Version, budgets};
-use tindoor_quota::Party;
-
-use crate::frames::{Body, Command, Frame, News};
-use crate::lead::Lead;
-use crate::log::{Kept, Log, Write};
+use tindoor_membership::{
+    Clocks, Confirmation, FailureDetector, FleetTime, Incarnation, Interval, Lease, Member, Timings,
+};
+use tindoor_policy::{
+    AgreedState, Count, LogEntry, OutcomeWindow, Policy, ProbationLimits, Proposal, Transition, Version,
+    budgets,
+};
+use tindoor_quota::Participant;
+
+use crate::frames::{Body, CatchUp, Command, Frame};
+use crate::lead::Leadership;
+use crate::log::{Log, StorageWrite, StoredState};
 use crate::voter::{Progress, Voter};
 
 /// Clocks that the fleet's time is told by, as far as there are routers to have them: of three, one that is off is
@@ -21,16 +26,16 @@
 
 /// Who this router is.
 #[derive(Clone, Debug)]
-pub struct Own {
-    pub start: Start,
+pub struct LocalIdentity {
+    pub start: Incarnation,
     pub name: String,
     /// Where its peers reach it.
     pub address: String,
     pub location: u16,
     /// Its number among voters, if it may be one: that of its folder, or its start's without one.
-    pub seat: Option<u64>,
+    pub replica_id: Option<u64>,
     /// The start before, where that one is proved to have ended.
-    pub after: Option<Start>,
+    pub after: Option<Incarnation>,
 }
 
 /// How much of everything.
@@ -55,7 +60,7 @@
     pub again: u32,
     /// Times a command is passed on.
     pub hops: u8,
-    pub probation: Bounds,
+    pub probation: ProbationLimits,
     /// Fleets up to so many routers are lent to by the leader itself; in larger ones one of each location lends on.
     pub lent_to: usize,
     /// Questions in a row without answer, after which another of the location is asked.
@@ -77,7 +82,7 @@
             report: 4,
             again: 2,
             hops: 3,
-            probation: Bounds::default(),
+            probation: ProbationLimits::default(),
             lent_to: 64,
             vain: 3,
             weight: 1,
@@ -88,7 +93,7 @@
 /// All stand; an experiment takes one out to see that its audit notices.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
-    /// Views are taken only while the lease holds.
+    /// Requests are taken only while the lease holds.
     pub lease: bool,
     /// A change is decided a lease ahead, once the silent can't go on by the old policy.
     pub staged: bool,
@@ -104,9 +109,9 @@
     }
 }
 
-/// Why no view is taken now.
+/// Why no request is taken now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Why {
+pub enum UnavailableReason {
     /// It is not listed: it has just started, or was taken off the list.
     NotListed,
     /// Its lease is over: it can't know whether its policy still holds.
@@ -128,16 +133,16 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Action {
     Send {
         to: String,
         frame: Frame,
     },
-    Write(Write),
+    StorageWrite(StorageWrite),
     /// Say with [`Node::answer`] whether this router could go by that.
     Check(Version),
     /// For the log.
-    Step(Step),
+    Transition(Transition),
     /// It leads the voters from now on, in that term; none, and it does no longer.
     Leads(Option<u64>),
 }
@@ -151,8 +156,8 @@
     pub index: u64,
     pub generation: u64,
     pub hash: String,
-    /// None where views are taken.
-    pub out: Option<Why>,
+    /// None where requests are taken.
+    pub out: Option<UnavailableReason>,
     pub lease_left_ms: u64,
     pub routers: usize,
     pub voters: Vec<String>,
@@ -165,24 +170,24 @@
 
 pub struct Node {
     pub(crate) fleet: String,
-    pub(crate) own: Own,
-    pub(crate) terms: Terms,
+    pub(crate) own: LocalIdentity,
+    pub(crate) terms: Timings,
     pub(crate) limits: Limits,
     pub(crate) guards: Guards,
-    pub(crate) agreed: Agreed,
+    pub(crate) agreed: AgreedState,
     /// The listed routers by lot, and seats with whose they are: looked up for each message, so not searched for.
-    routers: Vec<Start>,
-    seats: BTreeMap<u64, (Start, String)>,
+    routers: Vec<Incarnation>,
+    replica_ids: BTreeMap<u64, (Incarnation, String)>,
     /// The last entries that were taken in, without a gap up to the index.
     ring: VecDeque<Vec<u8>>,
     pub(crate) clocks: Clocks,
     pub(crate) lease: Lease,
-    pub(crate) silence: Silence,
+    pub(crate) failure_detector: FailureDetector,
     pub(crate) voter: Option<Voter>,
-    pub(crate) lead: Option<Lead>,
+    pub(crate) lead: Option<Leadership>,
     /// When lists, proposals and decisions were first seen here, by their index.
     pub(crate) seen: BTreeMap<u64, Moment>,
-    pub(crate) tally: Tally,
+    pub(crate) tally: OutcomeWindow,
     /// When the last decision was seen, and between which generations.
     pub(crate) turned: Option<(Moment, [u64; 2])>,
     counts: BTreeMap<(u64, u16), Count>,
@@ -194,9 +199,9 @@
     pending: VecDeque<Command>,
     /// What this router says of the policy in force and of a change: why it could not go by it.
     opinions: BTreeMap<u64, Option<Objection>>,
-    /// The newest generation that has decided a view here: there is no way back.
+    /// The newest generation that has decided a request here: there is no way back.
     used: u64,
-    shares: Party,
+    shares: Participant,
     /// Between which generations what is divided was last made out.
     planned: Option<(u64, u64)>,
     /// Since when this router surely leads, by the last majority that confirmed it, and in which term.
@@ -210,7 +215,7 @@
     chance: Pcg64Mcg,
     ticks: u32,
     beats: u32,
-    pub(crate) out: Vec<Out>,
+    pub(crate) out: Vec<Action>,
 }
 
 impl Node {
@@ -218,17 +223,17 @@
     #[expect(clippy::too_many_arguments, reason = "each is told once, at the start")]
     pub fn start(
         fleet: &str,
-        own: Own,
-        terms: Terms,
+        own: LocalIdentity,
+        terms: Timings,
         limits: Limits,
         guards: Guards,
         seeds: Vec<String>,
-        kept: Option<Kept>,
+        kept: Option<StoredState>,
         seed: u64,
         now: Moment,
     ) -> Result<Self, String> {
         terms.check()?;
-        let mut agreed = Agreed::new();
+        let mut agreed = AgreedState::new();
         agreed.compares = guards.compare;
         let mut log = Log::default();
         if let Some(kept) = kept {
@@ -238,14 +243,14 @@
                 agreed.compares = guards.compare;
             }
         }
-        let voter = match own.seat {
-            Some(seat) => Some(Voter::sit(seat, log)?),
+        let voter = match own.replica_id {
+            Some(replica_id) => Some(Voter::sit(replica_id, log)?),
             None => None,
         };
         let mut node = Self {
             fleet: fleet.to_string(),
             clocks: Clocks::of(own.start),
-            shares: Party::new(own.start, terms, guards.shares, limits.weight),
+            shares: Participant::new(own.start, terms, guards.shares, limits.weight),
             planned: None,
             confirmed: None,
             passed: (0, now),
@@ -256,14 +261,14 @@
             guards,
             agreed,
             routers: Vec::new(),
-            seats: BTreeMap::new(),
+            replica_ids: BTreeMap::new(),
             ring: VecDeque::new(),
             lease: Lease::default(),
-            silence: Silence::default(),
+            failure_detector: FailureDetector::default(),
             voter,
             lead: None,
             seen: BTreeMap::new(),
-            tally: Tally::default(),
+            tally: OutcomeWindow::default(),
             turned: None,
             counts: BTreeMap::new(),
             asked: BTreeMap::new(),
@@ -288,19 +293,19 @@
 
     /// Founds the fleet with this policy: once, by its operator. Says why it can't.
     pub fn found(&mut self, now: Moment, policy: Policy) -> Result<u64, String> {
-        let Some(seat) = self.own.seat else { return Err("this router may not vote".into()) };
+        let Some(replica_id) = self.own.replica_id else { return Err("this router may not vote".into()) };
         if self.agreed.fleet != 0 {
             return Err(format!("fleet {:016x} is founded already", self.agreed.fleet));
         }
         let fleet = self.chance.random_range(1..u64::MAX);
-        let mut agreed = Agreed::new();
+        let mut agreed = AgreedState::new();
         agreed.compares = self.guards.compare;
-        agreed.apply(1, Entry::Found { fleet, policy, seat });
+        agreed.apply(1, LogEntry::Found { fleet, policy, replica_id });
         let data = postcard::to_stdvec(&agreed).expect("plain values have a form");
-        let log = Log::begin(data, seat);
+        let log = Log::begin(data, replica_id);
         // Before anything else of it: the write that makes the log what it is.
-        self.out.push(Out::Write(log.whole()));
-        self.voter = Some(Voter::sit(seat, log)?);
+        self.out.push(Action::StorageWrite(log.whole()));
+        self.voter = Some(Voter::sit(replica_id, log)?);
         self.agreed = agreed;
         self.voter.as_mut().expect("just seated").stand();
         self.progress(now);
@@ -308,7 +313,7 @@
     }
 
     /// What is to be done since this was last asked.
-    pub fn take_out(&mut self) -> Vec<Out> {
+    pub fn take_out(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
@@ -327,11 +332,11 @@
         self.terms.beat * (1.0 / f64::from(self.limits.ticks))
     }
 
-    pub fn agreed(&self) -> &Agreed {
+    pub fn agreed(&self) -> &AgreedState {
         &self.agreed
     }
 
-    pub fn own(&self) -> &Own {
+    pub fn own(&self) -> &LocalIdentity {
         &self.own
     }
 
@@ -339,16 +344,16 @@
         self.voter.as_ref().is_some_and(Voter::leads)
     }
 
-    /// Which policy decides a view that is taken now, with its generation; why none does.
-    pub fn version(&mut self, now: Moment) -> Result<&Version, Why> {
-        if !self.agreed.roll.has(self.own.start) {
-            return Err(Why::NotListed);
+    /// Which policy decides a request that is taken now, with its generation; why none does.
+    pub fn version(&mut self, now: Moment) -> Result<&Version, UnavailableReason> {
+        if !self.agreed.members.has(self.own.start) {
+            return Err(UnavailableReason::NotListed);
         }
         if self.guards.lease && !self.lease.holds(now) {
-            return Err(Why::NoLease);
+            return Err(UnavailableReason::NoLease);
         }
         if self.is_upset(now) {
-            return Err(Why::NoTime);
+            return Err(UnavailableReason::NoTime);
         }
         let staged = self.agreed.staged.as_ref().and_then(|staged| Some((staged, staged.at?)));
         let next = match staged {
@@ -357,24 +362,24 @@
                 Some(time) if time.bound() <= self.terms.bound || time.low >= at.0 || time.high < at.0 => {
                     time.middle() >= at.0
                 }
-                _ => return Err(Why::NoTime),
+                _ => return Err(UnavailableReason::NoTime),
             },
             None => false,
         };
         let version = match staged.filter(|_| next) {
             Some((staged, _)) => &staged.version,
-            None => self.agreed.in_force.as_ref().ok_or(Why::NotListed)?,
+            None => self.agreed.in_force.as_ref().ok_or(UnavailableReason::NotListed)?,
         };
         let objection = self.opinions.get(&version.generation).and_then(Option::as_ref);
         if objection.is_some_and(|objection| objection.lasts) {
-            return Err(Why::Unfit);
+            return Err(UnavailableReason::Unfit);
         }
         let generation = version.generation;
         if self.used < generation {
             self.used = generation;
             self.plan(now);
         }
-        self.going_by(generation).ok_or(Why::NotListed)
+        self.going_by(generation).ok_or(UnavailableReason::NotListed)
     }
 
     /// Whether the own clock is not to be trusted: until other clocks agree with what was read since it jumped, or, where
@@ -409,7 +414,7 @@
 
     /// How many processes may act as listed ones.
     pub fn possible(&self) -> usize {
-        self.agreed.roll.possible()
+        self.agreed.members.possible()
     }
 
     /// Whether one more process may come to be listed: each that may spend has its floor kept.
@@ -421,19 +426,19 @@
     }
 
     /// What this router may spend of the fleet's budgets.
-    pub fn shares(&mut self) -> &mut Party {
+    pub fn shares(&mut self) -> &mut Participant {
         &mut self.shares
     }
 
     /// Asks for shares, and takes up those of a router that leads.
     fn see_to_shares(&mut self, now: Moment) {
         self.plan(now);
-        if !self.agreed.roll.has(self.own.start) {
+        if !self.agreed.members.has(self.own.start) {
             self.listed_since = None;
         } else if self.listed_since.is_none() {
             self.listed_since = Some(now);
         }
-        // A process that had this name before takes no more views from a lease after it was taken off the list: by
+        // A process that had this name before takes no more requests from a lease after it was taken off the list: by
         // then its floor is this one's.
         let lease = self.terms.lease + self.terms.drift(self.terms.lease);
         self.shares.floors(now, self.listed_since.is_some_and(|since| now.since(since) >= lease));
@@ -441,7 +446,7 @@
             return;
         }
         let term = self.voter.as_ref().filter(|voter| voter.leads()).map(Voter::term);
-        match term.filter(|_| self.agreed.roll.has(self.own.start)) {
+        match term.filter(|_| self.agreed.members.has(self.own.start)) {
             Some(term) => {
                 let confirmed = self.confirmed.filter(|(of, _)| *of == term).map(|(_, at)| at);
                 self.shares.leads(now, term, confirmed);
@@ -451,18 +456,18 @@
                 if let Some(to) = self.lender(now)
                     && let Some(want) = self.shares.ask(now)
                 {
-                    self.send(&to, Body::Want(want));
+                    self.send(&to, Body::QuotaRequest(want));
                 }
             }
         }
-        let roll = &self.agreed.roll;
-        self.shares.keep(now, |start| roll.has(start));
+        let members = &self.agreed.members;
+        self.shares.keep(now, |start| members.has(start));
     }
 
     /// Whom to ask: the leader; in a large fleet the first of the own location that answers, which asks the leader.
     fn lender(&mut self, now: Moment) -> Option<String> {
-        let listed = self.agreed.roll.listed();
-        if !self.agreed.roll.has(self.own.start) {
+        let listed = self.agreed.members.listed();
+        if !self.agreed.members.has(self.own.start) {
             return None;
         }
         if listed.len() > self.limits.lent_to {
@@ -482,7 +487,7 @@
         self.leader_address().filter(|leader| *leader != self.own.address)
     }
 
-    /// The policy that decides views, whether or not this router may take any: for what is told of it.
+    /// The policy that decides requests, whether or not this router may take any: for what is told of it.
     pub fn in_force(&self) -> Option<&Version> {
         self.agreed.in_force.as_ref()
     }
@@ -516,9 +521,9 @@
         self.progress(now);
     }
 
-    /// Views that ended, decided under that generation.
-    pub fn count(&mut self, generation: u64, offering: u16, count: Count) {
-        self.counts.entry((generation, offering)).or_default().add(count);
+    /// Requests that ended, decided under that generation.
+    pub fn count(&mut self, generation: u64, class: u16, count: Count) {
+        self.counts.entry((generation, class)).or_default().add(count);
     }
 
     /// Has the leader take this in: it is sent until its end is known.
@@ -532,7 +537,7 @@
         Ok(())
     }
 
-    /// Takes its name off the list: it takes no more views.
+    /// Takes its name off the list: it takes no more requests.
     pub fn leave(&mut self, now: Moment) {
         let start = self.own.start;
         self.bring(now, 0, Command::Leave { start });
@@ -541,9 +546,10 @@
 
     pub fn status(&mut self, now: Moment) -> Status {
         let out = self.version(now).err();
-        let name = |seat: &u64| {
-            let holder = self.seats.get(seat).and_then(|(start, _)| self.agreed.roll.get(*start));
-            holder.map_or(format!("{seat:016x}"), |listed| listed.name.clone())
+        let name = |replica_id: &u64| {
+            let holder =
+                self.replica_ids.get(replica_id).and_then(|(start, _)| self.agreed.members.get(*start));
+            holder.map_or(format!("{replica_id:016x}"), |listed| listed.name.clone())
         };
         let staged = self.agreed.staged.as_ref().map(|staged| {
             let Version { generation, made_from, hash, .. } = &staged.version;
@@ -559,7 +565,7 @@
             hash: self.agreed.in_force.as_ref().map(|version| version.hash.clone()).unwrap_or_default(),
             out,
             lease_left_ms: self.lease.left(now).as_micros() / 1000,
-            routers: self.agreed.roll.listed().len(),
+            routers: self.agreed.members.listed().len(),
             voters: self.agreed.voters.iter().map(name).collect(),
             leader: self.leader_address(),
             clock_bound_us: self.time(now).map(|time| time.bound().as_micros()),
@@ -597,13 +603,13 @@
         if fleet != self.fleet || from == self.own.start {
             return;
         }
-        let known = self.agreed.roll.has(from)
-            || !self.agreed.roll.has(self.own.start)
+        let known = self.agreed.members.has(from)
+            || !self.agreed.members.has(self.own.start)
             || self.seeds.contains(&address)
-            || self.seats.values().any(|(_, known)| *known == address)
-            || self.agreed.roll.listed().values().any(|listed| listed.address == address);
+            || self.replica_ids.values().any(|(_, known)| *known == address)
+            || self.agreed.members.listed().values().any(|listed| listed.address == address);
         match body {
-            Body::Ask { nonce, fleet, index, words } => {
+            Body::StatusRequest { nonce, fleet, index, words } => {
                 // One that knows of no fleet asks whoever does: all whom it was told to ask first may know as little.
                 if self.agreed.fleet == 0 && fleet != 0 {
                     self.ask(now, &address);
@@ -612,15 +618,15 @@
             }
             Body::Command(hops, command @ Command::Join { .. }) => self.bring(now, hops, command),
             _ if !known => {}
-            Body::Tell { .. } => self.told(now, from, body),
+            Body::StatusResponse { .. } => self.told(now, from, body),
             // Room that was lent to one that is not listed would be nobody's until it lapsed.
-            Body::Want(want) if self.agreed.roll.has(from) => {
+            Body::QuotaRequest(want) if self.agreed.members.has(from) => {
                 if let Some(lend) = self.shares.asked(now, from, want) {
-                    self.send(&address, Body::Lend(lend));
+                    self.send(&address, Body::QuotaGrant(lend));
                 }
             }
-            Body::Want(_) => {}
-            Body::Lend(lend) => self.shares.lent(now, lend),
+            Body::QuotaRequest(_) => {}
+            Body::QuotaGrant(lend) => self.shares.lent(now, lend),
             Body::Raft(bytes) => {
                 if let Some(voter) = &mut self.voter {
                     voter.step(&bytes);
@@ -632,40 +638,43 @@
     }
 
     /// Seats' addresses, where they are listed.
-    fn seat_address(&self, seat: u64) -> Option<&str> {
-        self.seats.get(&seat).map(|(_, address)| address.as_str())
+    fn seat_address(&self, replica_id: u64) -> Option<&str> {
+        self.replica_ids.get(&replica_id).map(|(_, address)| address.as_str())
     }
 
     /// The list has changed: what is looked up in it is made anew.
     fn look_up(&mut self) {
-        let listed = self.agreed.roll.listed();
+        let listed = self.agreed.members.listed();
         self.routers = listed.keys().copied().collect();
-        let seat =
-            |(start, listed): (&Start, &Listed)| Some((listed.seat?, (*start, listed.address.clone())));
-        self.seats = self.agreed.seats.clone();
-        self.seats.extend(listed.iter().filter_map(seat));
+        let replica_id = |(start, listed): (&Incarnation, &Member)| {
+            Some((listed.replica_id?, (*start, listed.address.clone())))
+        };
+        self.replica_ids = self.agreed.replica_ids.clone();
+        self.replica_ids.extend(listed.iter().filter_map(replica_id));
     }
 
     /// The voters that are listed.
-    fn voters(&self) -> impl Iterator<Item = Start> {
-        self.agreed.voters.iter().filter_map(|seat| Some(self.seats.get(seat)?.0))
+    fn voters(&self) -> impl Iterator<Item = Incarnation> {
+        self.agreed.voters.iter().filter_map(|replica_id| Some(self.replica_ids.get(replica_id)?.0))
     }
 
     /// Whose clocks may come to be the fleet's: the voters', and where those are too few also of the first listed.
-    fn may_keep_times(&self) -> impl Iterator<Item = Start> {
+    fn may_keep_times(&self) -> impl Iterator<Item = Incarnation> {
         let few = self.agreed.voters.len() < CLOCKS;
-        let first = self.agreed.roll.listed().keys().copied().take(if few { 2 * CLOCKS } else { 0 });
+        let first = self.agreed.members.listed().keys().copied().take(if few { 2 * CLOCKS } else { 0 });
         self.voters().chain(first)
     }
 
-    fn may_keep_time(&self, start: Start) -> bool {
+    fn may_keep_time(&self, start: Incarnation) -> bool {
         self.agreed.clocks.contains_key(&start) || self.may_keep_times().any(|may| may == start)
     }
 
     /// Those of them that are to be, as far as they are there: all voters', and others' up to so many.
-    pub(crate) fn time_keepers(&self, there: impl Fn(Start) -> bool) -> Vec<Start> {
-        let mut keepers: Vec<Start> = self.voters().filter(|start| self.agreed.roll.has(*start)).collect();
-        let others: Vec<Start> = self.may_keep_times().filter(|start| !keepers.contains(start)).collect();
+    pub(crate) fn time_keepers(&self, there: impl Fn(Incarnation) -> bool) -> Vec<Incarnation> {
+        let mut keepers: Vec<Incarnation> =
+            self.voters().filter(|start| self.agreed.members.has(*start)).collect();
+        let others: Vec<Incarnation> =
+            self.may_keep_times().filter(|start| !keepers.contains(start)).collect();
         keepers.extend(
             others.into_iter().filter(|start| there(*start)).take(CLOCKS.saturating_sub(keepers.len())),
         );
@@ -673,17 +682,17 @@
     }
 
     fn leader_address(&self) -> Option<String> {
-        let seat = self.voter.as_ref().map_or(0, Voter::leader);
-        match self.seat_address(seat).filter(|_| seat != 0) {
+        let replica_id = self.voter.as_ref().map_or(0, Voter::leader);
+        match self.seat_address(replica_id).filter(|_| replica_id != 0) {
             Some(address) => Some(address.to_string()),
             None => self.leader.clone(),
         }
     }
 
     pub(crate) fn send(&mut self, to: &str, body: Body) {
-        let Own { start, address, .. } = &self.own;
+        let LocalIdentity { start, address, .. } = &self.own;
         let frame = Frame { fleet: self.fleet.clone(), from: *start, address: address.clone(), body };
-        self.out.push(Out::Send { to: to.to_string(), frame });
+        self.out.push(Action::Send { to: to.to_string(), frame });
     }
 
     /// Carries out what the voter wants, until it wants nothing more.
@@ -697,14 +706,14 @@
         let leads = self.voter.as_ref().filter(|voter| voter.leads()).map(Voter::term);
         if leads != self.led {
             self.led = leads;
-            self.out.push(Out::Leads(leads));
+            self.out.push(Action::Leads(leads));
         }
     }
 
     fn heed(&mut self, now: Moment, progress: Progress) -> bool {
         let Progress { messages, writes, installed, agreed, reads } = progress;
         let some = !(messages.is_empty() && writes.is_empty() && installed.is_none() && agreed.is_empty());
-        self.out.extend(writes.into_iter().map(Out::Write));
+        self.out.extend(writes.into_iter().map(Action::StorageWrite));
         if let Some(data) = installed {
             self.whole(now, &data);
         }
@@ -717,11 +726,11 @@
                 if let Some(voter) = self.voter.as_ref().filter(|v| v.leads() && index <= self.agreed.index) {
                     self.confirmed = Some((voter.term(), at)).max(self.confirmed);
                 }
-                self.lease.voters(&self.terms, self.agreed.index, Word { index, at });
+                self.lease.voters(&self.terms, self.agreed.index, Confirmation { index, at });
             }
         }
-        for (seat, bytes) in messages {
-            if let Some(to) = self.seat_address(seat).map(str::to_string) {
+        for (replica_id, bytes) in messages {
+            if let Some(to) = self.seat_address(replica_id).map(str::to_string) {
                 self.send(&to, Body::Raft(bytes));
             }
         }
@@ -729,13 +738,13 @@
     }
 
     /// Takes in the next entry, however it came.
-    fn take_in(&mut self, now: Moment, index: u64, entry: Entry) {
+    fn take_in(&mut self, now: Moment, index: u64, entry: LogEntry) {
         if index != self.agreed.index + 1 {
             return;
         }
         if matches!(
             entry,
-            Entry::Join { .. } | Entry::Leave { .. } | Entry::Propose(_) | Entry::Decide { .. }
+            LogEntry::Join { .. } | LogEntry::Leave { .. } | LogEntry::Propose(_) | LogEntry::Decide { .. }
         ) {
             self.seen.insert(index, now);
         }
@@ -743,23 +752,23 @@
             self.ring.pop_front();
         }
         self.ring.push_back(postcard::to_stdvec(&entry).expect("plain values have a form"));
-        let changed = matches!(entry, Entry::Voters { .. });
-        let decides = if let Entry::Decide { generation, .. } = &entry { Some(*generation) } else { None };
-        let listed = matches!(entry, Entry::Join { .. } | Entry::Leave { .. });
+        let changed = matches!(entry, LogEntry::Voters { .. });
+        let decides = if let LogEntry::Decide { generation, .. } = &entry { Some(*generation) } else { None };
+        let listed = matches!(entry, LogEntry::Join { .. } | LogEntry::Leave { .. });
         // Who joins has just been heard by somebody. Without this one that comes after long is as silent to the leader
         // as one that was never heard since it leads, and is taken off the list within a beat.
-        if let Entry::Join { start, .. } = &entry {
-            self.silence.heard(*start, now);
+        if let LogEntry::Join { start, .. } = &entry {
+            self.failure_detector.heard(*start, now);
         }
         for step in self.agreed.apply(index, entry) {
             match &step {
-                Step::Proposed(generation) => self.ask_check(*generation),
-                Step::Decided(generation, _) => {
+                Transition::Proposed(generation) => self.ask_check(*generation),
+                Transition::Decided(generation, _) => {
                     self.turned = Some((now, [self.agreed.generation(), *generation]))
                 }
                 _ => {}
             }
-            self.out.push(Out::Step(step));
+            self.out.push(Action::Transition(step));
         }
         if listed || changed {
             self.look_up();
@@ -780,19 +789,19 @@
         if let Some(staged) =
             self.agreed.staged.as_ref().filter(|staged| staged.version.generation == generation)
         {
-            self.out.push(Out::Check(staged.version.clone()));
+            self.out.push(Action::Check(staged.version.clone()));
         }
     }
 
     /// All that is agreed, from somebody who knows more.
     fn whole(&mut self, now: Moment, bytes: &[u8]) {
-        if let Ok(agreed) = postcard::from_bytes::<Agreed>(bytes) {
+        if let Ok(agreed) = postcard::from_bytes::<AgreedState>(bytes) {
             self.learn(now, agreed);
         }
     }
 
     /// Takes over what is agreed, where it is further than what is known here.
-    pub fn learn(&mut self, now: Moment, mut agreed: Agreed) {
+    pub fn learn(&mut self, now: Moment, mut agreed: AgreedState) {
         let same = self.agreed.fleet == 0 || self.agreed.fleet == agreed.fleet;
         if !same || agreed.fleet == 0 || agreed.index <= self.agreed.index {
             return;
@@ -804,20 +813,20 @@
         self.look_up();
         self.saw_all(now);
         if self.agreed.generation() != before {
-            self.out.push(Out::Step(Step::Held(self.agreed.generation())));
+            self.out.push(Action::Transition(Transition::Held(self.agreed.generation())));
         }
         if let Some(version) = self.agreed.in_force.clone() {
-            self.out.push(Out::Check(version));
+            self.out.push(Action::Check(version));
         }
         if let Some(staged) = &self.agreed.staged {
-            self.out.push(Out::Check(staged.version.clone()));
+            self.out.push(Action::Check(staged.version.clone()));
         }
     }
 
     /// What came with a whole state was seen no earlier than now.
     fn saw_all(&mut self, now: Moment) {
         self.seen.clear();
-        self.seen.extend(self.agreed.roll.oldest_step().map(|index| (index, now)));
+        self.seen.extend(self.agreed.members.oldest_step().map(|index| (index, now)));
         self.seen.insert(self.agreed.index, now);
         if let Some(staged) = &self.agreed.staged {
             self.seen.insert(staged.index, now);
@@ -838,7 +847,7 @@
     fn tell(
         &mut self,
         now: Moment,
-        _to: Start,
+        _to: Incarnation,
         address: String,
         nonce: u64,
         [fleet, index]: [u64; 2],
@@ -854,12 +863,12 @@
                 true => {
                     let entries: Vec<_> =
                         self.ring.iter().skip(self.ring.len() - lacks as usize).cloned().collect();
-                    News::Entries { first: index + 1, entries }
+                    CatchUp::Entries { first: index + 1, entries }
                 }
-                false => News::Whole(postcard::to_stdvec(agreed).expect("plain values have a form")),
+                false => CatchUp::Snapshot(postcard::to_stdvec(agreed).expect("plain values have a form")),
             }
         } else {
-            News::None
+            CatchUp::None
         };
         let age = |at: Moment| now.since(at).as_micros() + self.terms.drift(now.since(at)).as_micros();
         let mut offsets = Vec::new();
@@ -875,7 +884,7 @@
             );
         }
         let others = if words { self.lease.words(agreed.index, self.limits.words) } else { Vec::new() };
-        let body = Body::Tell {
+        let body = Body::StatusResponse {
             nonce,
             clock: now.since(Moment::default()).as_micros() as i64,
             offsets,
@@ -890,16 +899,17 @@
     }
 
     /// An answer came.
-    fn told(&mut self, now: Moment, from: Start, body: Body) {
-        let Body::Tell { nonce, clock, offsets, index, open, voters, words, news, leader } = body else {
+    fn told(&mut self, now: Moment, from: Incarnation, body: Body) {
+        let Body::StatusResponse { nonce, clock, offsets, index, open, voters, words, news, leader } = body
+        else {
             return;
         };
         // Only what was asked is of use: the moment of the question is what makes an age sure.
         let Some(asked) = self.asked.remove(&nonce) else { return };
         match news {
-            News::None => {}
-            News::Whole(bytes) => self.whole(now, &bytes),
-            News::Entries { first, entries } => {
+            CatchUp::None => {}
+            CatchUp::Snapshot(bytes) => self.whole(now, &bytes),
+            CatchUp::Entries { first, entries } => {
                 for (at, bytes) in entries.iter().enumerate() {
                     if let Ok(entry) = postcard::from_bytes(bytes) {
                         self.take_in(now, first + at as u64, entry);
@@ -907,7 +917,7 @@
                 }
             }
         }
-        self.silence.heard(from, now);
+        self.failure_detector.heard(from, now);
         self.clocks.told(&self.terms, from, [asked, now], clock, &offsets);
         if self.is_upset(now) {
             self.lease.lapse();
@@ -916,12 +926,12 @@
             asked - Span::micros(age.saturating_add(self.terms.drift(Span::micros(age)).as_micros()))
         };
         if let Some((index, age)) = voters {
-            self.lease.voters(&self.terms, self.agreed.index, Word { index, at: at(age) });
+            self.lease.voters(&self.terms, self.agreed.index, Confirmation { index, at: at(age) });
         }
         if open {
-            self.lease.peer(from, Word { index, at: asked });
+            self.lease.peer(from, Confirmation { index, at: asked });
             for (peer, age) in words {
-                self.lease.peer(peer, Word { index, at: at(age) });
+                self.lease.peer(peer, Confirmation { index, at: at(age) });
             }
         }
         if leader.as_deref() != Some(&self.own.address) {
@@ -932,28 +942,29 @@
 
     fn reckon(&mut self, now: Moment) {
         // Peers' words are for when the voters' word is old: it costs a look at each.
-        if self.lease.left(now) > self.terms.lease * 0.6 && self.agreed.roll.listed().len() > 64 {
+        if self.lease.left(now) > self.terms.lease * 0.6 && self.agreed.members.listed().len() > 64 {
             return;
         }
-        let word = Word { index: self.agreed.index, at: now };
-        let open = self.agreed.is_open() && self.agreed.roll.has(self.own.start);
-        let listed = self.agreed.roll.listed().keys();
+        let word = Confirmation { index: self.agreed.index, at: now };
+        let open = self.agreed.is_open() && self.agreed.members.has(self.own.start);
+        let listed = self.agreed.members.listed().keys();
         self.lease.reckon(&self.terms, word, open, listed, self.own.start);
     }
 
     /// A router of the list by lot, rarely one that has been silent for long.
     fn some_peer(&mut self, now: Moment, voters_only: bool) -> Option<String> {
         for _ in 0..4 {
-            let voters: Vec<Start> = self.voters().filter(|_| voters_only).collect();
+            let voters: Vec<Incarnation> = self.voters().filter(|_| voters_only).collect();
             let among = if voters_only { &voters } else { &self.routers };
             if among.is_empty() {
                 return None;
             }
             let start = among[self.chance.random_range(0..among.len())];
-            let Some(listed) = self.agreed.roll.get(start).filter(|_| start != self.own.start) else {
+            let Some(listed) = self.agreed.members.get(start).filter(|_| start != self.own.start) else {
                 continue;
             };
-            let silent = self.silence.of(start, now, self.terms.beat * 4.0).is_some_and(|usual| usual > 4.0);
+            let silent =
+                self.failure_detector.of(start, now, self.terms.beat * 4.0).is_some_and(|usual| usual > 4.0);
             if !silent || self.chance.random_bool(0.25) {
                 return Some(listed.address.clone());
             }
@@ -971,14 +982,14 @@
         self.asked.insert(self.nonce, now);
         let words = self.lease.left(now) < self.terms.lease * 0.7;
         let (fleet, index) = (self.agreed.fleet, self.agreed.index);
-        self.send(to, Body::Ask { nonce: self.nonce, fleet, index, words });
+        self.send(to, Body::StatusRequest { nonce: self.nonce, fleet, index, words });
     }
 
     fn beat(&mut self, now: Moment) {
-        let listed = self.agreed.roll.has(self.own.start);
+        let listed = self.agreed.members.has(self.own.start);
         let mut whom: Vec<String> =
             (0..self.limits.asks).filter_map(|_| self.some_peer(now, false)).collect();
-        let votes = self.own.seat.is_some_and(|seat| self.agreed.voters.contains(&seat));
+        let votes = self.own.replica_id.is_some_and(|replica_id| self.agreed.voters.contains(&replica_id));
         if votes {
             whom.extend(self.some_peer(now, true));
         }
@@ -993,8 +1004,8 @@
         whom.dedup();
         whom.iter().for_each(|to| self.ask(now, to));
         if !listed && self.agreed.fleet != 0 {
-            let Own { start, name, address, location, seat, after } = self.own.clone();
-            let listed = Listed { name, address, seat, location };
+            let LocalIdentity { start, name, address, location, replica_id, after } = self.own.clone();
+            let listed = Member { name, address, replica_id, location };
             self.bring(now, 0, Command::Join { start, listed, after });
         }
         if self.beats.is_multiple_of(self.limits.again) {
@@ -1027,13 +1038,13 @@
 
     /// Memory stays bounded by the list.
     fn forget(&mut self) {
-        let times: Vec<Start> = self.may_keep_times().collect();
+        let times: Vec<Incarnation> = self.may_keep_times().collect();
         let agreed = &self.agreed;
         self.clocks.keep(|clock| agreed.clocks.contains_key(&clock) || times.contains(&clock));
-        self.lease.keep(|start| agreed.roll.has(start));
-        self.silence.keep(|start| agreed.roll.has(start));
+        self.lease.keep(|start| agreed.members.has(start));
+        self.failure_detector.keep(|start| agreed.members.has(start));
         let oldest =
-            agreed.roll.oldest_step().into_iter().chain(agreed.staged.as_ref().map(|s| s.index)).min();
+            agreed.members.oldest_step().into_iter().chain(agreed.staged.as_ref().map(|s| s.index)).min();
         // The last few are kept in any case.
         while self.seen.len() > 8
             && self.seen.keys().next().is_some_and(|first| oldest.is_none_or(|o| *first < o))
@@ -1049,7 +1060,7 @@
         let objection = objection.as_ref().map(|objection| objection.why.clone());
         // One whose time is not sure enough can't confirm.
         let sure = self.time(now).is_some_and(|time| time.bound() <= self.terms.bound * 0.5);
-        if objection.is_none() && !sure || !self.agreed.roll.has(self.own.start) {
+        if objection.is_none() && !sure || !self.agreed.members.has(self.own.start) {
             return;
         }
         self.bring(now, 0, Command::Answer { generation, start: self.own.start, objection });
@@ -1063,12 +1074,12 @@
                 !under_way && agreed.end_of(proposal.token).is_none()
             }
             Command::Withdraw { generation } => {
-                let at = |staged: &tindoor_policy::Staged| {
+                let at = |staged: &tindoor_policy::StagedChange| {
                     staged.at.is_none() && staged.version.generation == *generation
                 };
                 agreed.staged.as_ref().is_some_and(at)
             }
-            Command::Forget { name } => agreed.roll.named(name).is_some(),
+            Command::Forget { name } => agreed.members.named(name).is_some(),
             _ => false,
         });
         for command in self.pending.clone() {
@@ -1076,18 +1087,16 @@
         }
     }
 
-    /// Tells the voters how views ended here, and that this router is there.
+    /// Tells the voters how requests ended here, and that this router is there.
     fn report(&mut self, now: Moment) {
-        let counts: Vec<_> = std::mem::take(&mut self.counts)
-            .into_iter()
-            .map(|((of, offering), n)| (of, offering, n))
-            .collect();
+        let counts: Vec<_> =
+            std::mem::take(&mut self.counts).into_iter().map(|((of, class), n)| (of, class, n)).collect();
         let report = Command::Report { start: self.own.start, location: self.own.location, counts };
-        let seats = self.agreed.voters.clone();
-        for seat in seats {
-            if self.own.seat == Some(seat) {
+        let replica_ids = self.agreed.voters.clone();
+        for replica_id in replica_ids {
+            if self.own.replica_id == Some(replica_id) {
                 self.reported(now, &report);
-            } else if let Some(to) = self.seat_address(seat).map(str::to_string) {
+            } else if let Some(to) = self.seat_address(replica_id).map(str::to_string) {
                 self.send(&to, Body::Command(self.limits.hops, report.clone()));
             }
         }
@@ -1095,13 +1104,13 @@
 
     fn reported(&mut self, now: Moment, report: &Command) {
         let Command::Report { start, location, counts } = report else { return };
-        if !self.agreed.roll.has(*start) {
+        if !self.agreed.members.has(*start) {
             return;
         }
-        self.silence.heard(*start, now);
+        self.failure_detector.heard(*start, now);
         let kept = self.limits.probation.before + self.limits.probation.lasts + Span::secs(5.0);
-        for (generation, offering, count) in counts {
-            self.tally.add(now, kept, *generation, (*location, *offering), *count);
+        for (generation, class, count) in counts {
+            self.tally.add(now, kept, *generation, (*location, *class), *count);
         }
     }
 
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -7,10 +7,10 @@
     ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2, ConfState, EntryType, Message,
 };
 use raft::{ProgressState, RawNode, SnapshotStatus, StateRole};
-use tindoor_policy::{Agreed, Entry};
+use tindoor_policy::{AgreedState, LogEntry};
 
-use crate::log::{Log, Write};
-use crate::voters::Reseating;
+use crate::log::{Log, StorageWrite};
+use crate::voters::MembershipChange;
 
 /// Ticks until a voter that hears nothing stands for election, and between a leader's heartbeats.
 const ELECTION: usize = 12;
@@ -24,14 +24,14 @@
 
 pub struct Voter {
     raw: RawNode<Log>,
-    seat: u64,
+    replica_id: u64,
     /// What waits for its write, in order.
     waiting: VecDeque<Waiting>,
     ticks: u64,
     /// What is to be folded once it counts as taken in: up to where, who votes there, and all that is agreed.
     to_fold: Option<(u64, ConfState, Vec<u8>)>,
     /// A snapshot that is to be written with what comes next.
-    folded: Option<Write>,
+    folded: Option<StorageWrite>,
 }
 
 struct Waiting {
@@ -49,19 +49,19 @@
 pub struct Progress {
     /// To which seat, and the message.
     pub messages: Vec<(u64, Vec<u8>)>,
-    pub writes: Vec<Write>,
+    pub writes: Vec<StorageWrite>,
     /// A whole state in place of all before.
     pub installed: Option<Vec<u8>>,
-    pub agreed: Vec<(u64, Entry)>,
+    pub agreed: Vec<(u64, LogEntry)>,
     /// A read that a majority confirmed: its number, and what was committed then.
     pub reads: Vec<(u64, u64)>,
 }
 
 impl Voter {
     /// Takes its seat with this log.
-    pub fn sit(seat: u64, log: Log) -> Result<Self, String> {
+    pub fn sit(replica_id: u64, log: Log) -> Result<Self, String> {
         let told = raft::Config {
-            id: seat,
+            id: replica_id,
             election_tick: ELECTION,
             heartbeat_tick: HEARTBEAT,
             applied: log.base(),
@@ -74,7 +74,8 @@
         };
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
         let raw = RawNode::new(&told, log, &quiet).map_err(|error| error.to_string())?;
-        let mut voter = Self { raw, seat, waiting: VecDeque::new(), ticks: 0, to_fold: None, folded: None };
+        let mut voter =
+            Self { raw, replica_id, waiting: VecDeque::new(), ticks: 0, to_fold: None, folded: None };
         voter.steady();
         Ok(voter)
     }
@@ -82,7 +83,8 @@
     /// The library draws its election timeouts from the system: they are set from seat, term and ticks instead,
     /// so that a simulated day replays exactly.
     fn steady(&mut self) {
-        let mixed = self.seat ^ self.raw.raft.term.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (self.ticks >> 6);
+        let mixed =
+            self.replica_id ^ self.raw.raft.term.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (self.ticks >> 6);
         let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
         let extra = ((mixed >> 32) as usize) % ELECTION;
         self.raw.raft.set_randomized_election_timeout(ELECTION + extra);
@@ -97,8 +99,9 @@
         if self.ticks.is_multiple_of(SNAPSHOT) && self.leads() {
             let sent =
                 self.raw.raft.prs().iter().filter(|(_, progress)| progress.state == ProgressState::Snapshot);
-            let sent: Vec<u64> = sent.map(|(seat, _)| *seat).collect();
-            sent.into_iter().for_each(|seat| self.raw.report_snapshot(seat, SnapshotStatus::Failure));
+            let sent: Vec<u64> = sent.map(|(replica_id, _)| *replica_id).collect();
+            sent.into_iter()
+                .for_each(|replica_id| self.raw.report_snapshot(replica_id, SnapshotStatus::Failure));
         }
     }
 
@@ -111,7 +114,7 @@
     /// Takes in a message of another voter. What can't be read is dropped.
     pub fn step(&mut self, bytes: &[u8]) {
         if let Ok(message) = Message::parse_from_bytes(bytes)
-            && message.to == self.seat
+            && message.to == self.replica_id
         {
             let _ = self.raw.step(message);
             self.steady();
@@ -137,22 +140,22 @@
     }
 
     /// False where it doesn't lead, or where too much is on its way.
-    pub fn propose(&mut self, entry: &Entry) -> bool {
+    pub fn propose(&mut self, entry: &LogEntry) -> bool {
         let data = postcard::to_stdvec(entry).expect("plain values have a form");
         self.raw.propose(Vec::new(), data).is_ok()
     }
 
-    /// Has some seats vote and others no longer: from when this is agreed on, until [`reseated`](Self::reseated) is,
+    /// Has some seats vote and others no longer: from when this is agreed on, until [`finish_membership_change`](Self::finish_membership_change) is,
     /// those before and those to come must both agree to anything.
-    pub fn reseat(&mut self, reseating: &Reseating) -> bool {
-        let single = |(seat, kind): (u64, ConfChangeType)| {
+    pub fn plan_membership_change(&mut self, membership_change: &MembershipChange) -> bool {
+        let single = |(replica_id, kind): (u64, ConfChangeType)| {
             let mut single = ConfChangeSingle::default();
             single.set_change_type(kind);
-            single.node_id = seat;
+            single.node_id = replica_id;
             single
         };
-        let come = reseating.come.iter().map(|seat| (*seat, ConfChangeType::AddNode));
-        let go = reseating.go.iter().map(|seat| (*seat, ConfChangeType::RemoveNode));
+        let come = membership_change.come.iter().map(|replica_id| (*replica_id, ConfChangeType::AddNode));
+        let go = membership_change.go.iter().map(|replica_id| (*replica_id, ConfChangeType::RemoveNode));
         let mut change = ConfChangeV2::default();
         // Left by a step of its own: the library's way of leaving by itself may be lost with its leader.
         change.set_transition(ConfChangeTransition::Explicit);
@@ -161,12 +164,12 @@
     }
 
     /// Has another lead in its place.
-    pub fn hand_over(&mut self, seat: u64) {
-        self.raw.transfer_leader(seat);
+    pub fn hand_over(&mut self, replica_id: u64) {
+        self.raw.transfer_leader(replica_id);
     }
 
     /// Those before have no say any more.
-    pub fn reseated(&mut self) -> bool {
+    pub fn finish_membership_change(&mut self) -> bool {
         self.raw.propose_conf_change(Vec::new(), ConfChangeV2::default()).is_ok()
     }
 
@@ -185,10 +188,10 @@
 
     /// Folds what was applied into a snapshot, where there is much of it, or where it is `due`: a new voter takes
     /// none from before it was one.
-    pub fn fold(&mut self, index: u64, due: bool, agreed: &Agreed) {
+    pub fn fold(&mut self, index: u64, due: bool, agreed: &AgreedState) {
         let log = self.raw.store();
         if (due || log.len() >= FOLDED_AT && self.to_fold.is_none()) && index > log.base() {
-            // Who votes there, as agreed at that index: the library's own view of it may lag behind.
+            // Who votes there, as agreed at that index: the library's own request of it may lag behind.
             let (voters, voters_outgoing) = (agreed.voters.clone(), agreed.leaving.clone());
             let conf = ConfState { voters, voters_outgoing, ..ConfState::default() };
             let data = postcard::to_stdvec(agreed).expect("plain values have a form");
@@ -238,20 +241,20 @@
             progress.reads.extend(reads);
             for entry in ready.take_committed_entries() {
                 let meant = match entry.get_entry_type() {
-                    EntryType::EntryNormal if entry.data.is_empty() => Entry::Nothing,
+                    EntryType::EntryNormal if entry.data.is_empty() => LogEntry::Nothing,
                     // What can't be read was proposed by a newer version of the program: it changes nothing here.
-                    EntryType::EntryNormal => postcard::from_bytes(&entry.data).unwrap_or(Entry::Nothing),
+                    EntryType::EntryNormal => postcard::from_bytes(&entry.data).unwrap_or(LogEntry::Nothing),
                     // This program changes voters by the other kind alone.
-                    EntryType::EntryConfChange => Entry::Nothing,
+                    EntryType::EntryConfChange => LogEntry::Nothing,
                     EntryType::EntryConfChangeV2 => match ConfChangeV2::parse_from_bytes(&entry.data) {
                         Ok(change) => self.changed(|raw| raw.apply_conf_change(&change)),
-                        Err(_) => Entry::Nothing,
+                        Err(_) => LogEntry::Nothing,
                     },
                 };
                 applied = entry.index;
                 progress.agreed.push((entry.index, meant));
             }
-            let writes = write != Write::default();
+            let writes = write != StorageWrite::default();
             if writes {
                 write.number = number;
                 progress.writes.push(write);
@@ -265,23 +268,23 @@
     fn changed(
         &mut self,
         apply: impl FnOnce(&mut RawNode<Log>) -> raft::Result<raft::eraftpb::ConfState>,
-    ) -> Entry {
+    ) -> LogEntry {
         match apply(&mut self.raw) {
             Ok(conf) => {
                 // The library goes on leading where it has no say any more, and fails at the next answer.
                 if self.leads()
-                    && !conf.voters.contains(&self.seat)
-                    && !conf.voters_outgoing.contains(&self.seat)
+                    && !conf.voters.contains(&self.replica_id)
+                    && !conf.voters_outgoing.contains(&self.replica_id)
                 {
                     let term = self.raw.raft.term;
                     self.raw.raft.become_follower(term, raft::INVALID_ID);
                 }
-                let (mut seats, mut leaving) = (conf.voters, conf.voters_outgoing);
-                seats.sort_unstable();
+                let (mut replica_ids, mut leaving) = (conf.voters, conf.voters_outgoing);
+                replica_ids.sort_unstable();
                 leaving.sort_unstable();
-                Entry::Voters { seats, leaving }
+                LogEntry::Voters { replica_ids, leaving }
             }
-            Err(_) => Entry::Nothing,
+            Err(_) => LogEntry::Nothing,
         }
     }
 
--- a/crates/consensus/tests/stories.rs
+++ b/crates/consensus/tests/stories.rs
@@ -2,15 +2,16 @@
 
 use tindoor::time::{Moment, Span};
 use tindoor_consensus::{
-    Body, Command, Frame, Guards, Limits, Node, Objection, Out, Own, Reseating, Seat, Why, reseat,
+    Action, Body, Command, Frame, Guards, Limits, LocalIdentity, MembershipChange, Node, Objection, Replica,
+    UnavailableReason, plan_membership_change,
 };
-use tindoor_membership::{Listed, Start, Terms};
+use tindoor_membership::{Incarnation, Member, Timings};
 use tindoor_policy::Policy;
 use tindoor_policy::budgets::Budget;
-use tindoor_quota::{Ask, Lend, Share, Want};
+use tindoor_quota::{KeyDemand, Quota, QuotaGrant, QuotaRequest};
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Timings {
+    Timings {
         lease: Span::millis(1000),
         hold_out: Span::secs(6.0),
         bound: Span::millis(40),
@@ -33,7 +34,14 @@
 impl Alone {
     fn new(routers_most: f64) -> Self {
         let (name, address) = ("n0".to_string(), "a0".to_string());
-        let own = Own { start: Start(1), name, address, location: 0, seat: Some(1), after: None };
+        let own = LocalIdentity {
+            start: Incarnation(1),
+            name,
+            address,
+            location: 0,
+            replica_id: Some(1),
+            after: None,
+        };
         let node =
             Node::start("f", own, terms(), Limits::default(), Guards::default(), Vec::new(), None, 7, at(0));
         let mut alone = Self { node: node.unwrap(), now: 0, said: Vec::new() };
@@ -69,10 +77,10 @@
         while !self.node.is_quiet() {
             for out in self.node.take_out() {
                 match out {
-                    Out::Write(write) => self.node.wrote(at(self.now), write.number),
-                    Out::Check(version) => self.node.answer(at(self.now), version.generation, None),
-                    Out::Send { to, frame } => self.said.push((to, frame.body)),
-                    Out::Step(_) | Out::Leads(_) => {}
+                    Action::StorageWrite(write) => self.node.wrote(at(self.now), write.number),
+                    Action::Check(version) => self.node.answer(at(self.now), version.generation, None),
+                    Action::Send { to, frame } => self.said.push((to, frame.body)),
+                    Action::Transition(_) | Action::Leads(_) => {}
                 }
             }
         }
@@ -80,33 +88,34 @@
 
     fn hears(&mut self, from: u64, address: &str, body: Body) {
         let (fleet, address) = ("f".to_string(), address.to_string());
-        self.node.heard(at(self.now), Frame { fleet, from: Start(from), address, body });
+        self.node.heard(at(self.now), Frame { fleet, from: Incarnation(from), address, body });
         self.see();
     }
 
     fn join(&mut self, start: u64, name: &str) {
-        let listed = Listed { name: name.into(), address: format!("a{start}"), seat: None, location: 0 };
+        let listed =
+            Member { name: name.into(), address: format!("a{start}"), replica_id: None, location: 0 };
         let address = listed.address.clone();
         self.hears(
             start,
             &address,
-            Body::Command(0, Command::Join { start: Start(start), listed, after: None }),
+            Body::Command(0, Command::Join { start: Incarnation(start), listed, after: None }),
         );
         self.pass(500);
     }
 
     /// What it lends to one that wants all.
-    fn lends(&mut self, to: u64, address: &str, nonce: u64) -> Option<Share> {
+    fn lends(&mut self, to: u64, address: &str, nonce: u64) -> Option<Quota> {
         self.said.clear();
-        let line = Budget::OriginFills.of(0);
-        let lines =
-            vec![Ask { line, wants: Share::rate(100.0, 40.0), weight: 1, holds: Share::NONE, term: 0 }];
-        self.hears(to, address, Body::Want(Want { nonce, lines }));
+        let key = Budget::OriginFills.of(0);
+        let keys =
+            vec![KeyDemand { key, wants: Quota::rate(100.0, 40.0), weight: 1, holds: Quota::NONE, term: 0 }];
+        self.hears(to, address, Body::QuotaRequest(QuotaRequest { nonce, keys }));
         let lend = self.said.iter().find_map(|(_, body)| match body {
-            Body::Lend(Lend { shares, .. }) => Some(shares[0].share),
+            Body::QuotaGrant(QuotaGrant { shares, .. }) => Some(shares[0].quota),
             _ => None,
         });
-        lend.filter(|share| *share != Share::NONE)
+        lend.filter(|share| *share != Quota::NONE)
     }
 }
 
@@ -116,7 +125,7 @@
     alone.join(2, "n1");
     assert_eq!(alone.lends(9, "a2", 1), None, "an earlier start at that address");
     let listed = alone.lends(2, "a2", 1).expect("one of the fleet is lent to");
-    assert!(listed.flow > 80_000, "all but the floors, as nobody else wants any: {listed:?}");
+    assert!(listed.rate > 80_000, "all but the floors, as nobody else wants any: {listed:?}");
 }
 
 #[test]
@@ -125,7 +134,7 @@
     alone.join(2, "n1");
     alone.join(3, "n2");
     let names = |alone: &Alone| {
-        let listed = alone.node.agreed().roll.listed();
+        let listed = alone.node.agreed().members.listed();
         listed.iter().map(|(start, listed)| (start.0, listed.name.clone())).collect::<Vec<_>>()
     };
     assert_eq!(names(&alone), [(1, "n0".into()), (2, "n1".into())]);
@@ -144,8 +153,8 @@
         let listed = alone.node.version(now).is_ok();
         alone.node.shares().refused(now, &[line]);
         let might = alone.node.shares().might_spend(now);
-        let might = might.iter().find(|known| known.0 == line).map_or(Share::NONE, |known| known.1);
-        if might != Share::NONE {
+        let might = might.iter().find(|known| known.0 == line).map_or(Quota::NONE, |known| known.1);
+        if might != Quota::NONE {
             break;
         }
         early += u64::from(listed);
@@ -154,7 +163,7 @@
     assert!(early * 20 >= 1000, "{} ms after it took views", early * 20);
 }
 
-/// Seen among five under all faults: a router that had two views in hand learnt, after the decision, of a policy that
+/// Seen among five under all faults: a router that had two requests in hand learnt, after the decision, of a policy that
 /// allows one, and stayed out for as long as that policy held.
 #[test]
 fn what_speaks_against_a_change_for_the_moment_keeps_nobody_out_once_it_holds() {
@@ -164,29 +173,29 @@
     alone.node.answer(now, 1, objection(false));
     assert!(alone.node.version(now).is_ok());
     alone.node.answer(now, 1, objection(true));
-    assert_eq!(alone.node.version(now).err(), Some(Why::Unfit));
+    assert_eq!(alone.node.version(now).err(), Some(UnavailableReason::Unfit));
 }
 
 /// Met in a simulated day: all routers that were told as seeds had started anew at once, and asked none but each other
 /// while the rest of the fleet asked them.
 #[test]
 fn one_that_knows_of_no_fleet_asks_whoever_asks_it_and_does() {
-    let own = Own {
-        start: Start(2),
+    let own = LocalIdentity {
+        start: Incarnation(2),
         name: "n1".into(),
         address: "a1".into(),
         location: 0,
-        seat: None,
+        replica_id: None,
         after: None,
     };
     let seeds = vec!["a2".to_string()];
     let (limits, guards) = (Limits::default(), Guards::default());
     let mut node = Node::start("f", own, terms(), limits, guards, seeds, None, 7, at(0)).unwrap();
     let asks = |node: &mut Node, fleet| {
-        let body = Body::Ask { nonce: 1, fleet, index: 9, words: false };
-        node.heard(at(1), Frame { fleet: "f".into(), from: Start(3), address: "a3".into(), body });
+        let body = Body::StatusRequest { nonce: 1, fleet, index: 9, words: false };
+        node.heard(at(1), Frame { fleet: "f".into(), from: Incarnation(3), address: "a3".into(), body });
         let out = node.take_out().into_iter();
-        out.filter(|out| matches!(out, Out::Send { to, frame } if to == "a3" && matches!(frame.body, Body::Ask { .. })))
+        out.filter(|out| matches!(out, Action::Send { to, frame } if to == "a3" && matches!(frame.body, Body::StatusRequest { .. })))
             .count()
     };
     assert_eq!(asks(&mut node, 0), 0, "who knows nothing either is of no help");
@@ -194,13 +203,23 @@
 }
 
 /// Seats by number, each in the location of its last digit; those named are silent.
-fn seats(numbers: &[u64], silent: &[u64]) -> Vec<Seat> {
-    let seat = |seat: &u64| Seat { seat: *seat, location: (seat % 10) as u16, there: !silent.contains(seat) };
-    numbers.iter().map(seat).collect()
+fn replica_ids(numbers: &[u64], silent: &[u64]) -> Vec<Replica> {
+    let replica_id = |replica_id: &u64| Replica {
+        replica_id: *replica_id,
+        location: (replica_id % 10) as u16,
+        there: !silent.contains(replica_id),
+    };
+    numbers.iter().map(replica_id).collect()
 }
 
-fn reseated(voters: &[u64], silent: &[u64], free: &[u64], wanted: usize) -> Option<(Vec<u64>, Vec<u64>)> {
-    let Reseating { come, go } = reseat(voters[0], &seats(voters, silent), &seats(free, &[]), wanted)?;
+fn finish_membership_change(
+    voters: &[u64],
+    silent: &[u64],
+    free: &[u64],
+    wanted: usize,
+) -> Option<(Vec<u64>, Vec<u64>)> {
+    let MembershipChange { come, go } =
+        plan_membership_change(voters[0], &replica_ids(voters, silent), &replica_ids(free, &[]), wanted)?;
     Some((come, go))
 }
 
@@ -208,23 +227,26 @@
 /// change was taken for ten seconds.
 #[test]
 fn from_one_voter_on_two_come_at_once_and_one_that_is_gone_is_replaced_in_one_step() {
-    assert_eq!(reseated(&[11], &[], &[12], 3), None, "two would need both");
-    assert_eq!(reseated(&[11], &[], &[12, 13], 3), Some((vec![12, 13], vec![])));
-    assert_eq!(reseated(&[11, 12, 13], &[12], &[], 3), None, "nobody is there to come");
-    assert_eq!(reseated(&[11, 12, 13], &[12], &[15], 3), Some((vec![15], vec![12])));
-    assert_eq!(reseated(&[11, 12, 13], &[], &[14], 5), None);
+    assert_eq!(finish_membership_change(&[11], &[], &[12], 3), None, "two would need both");
+    assert_eq!(finish_membership_change(&[11], &[], &[12, 13], 3), Some((vec![12, 13], vec![])));
+    assert_eq!(finish_membership_change(&[11, 12, 13], &[12], &[], 3), None, "nobody is there to come");
+    assert_eq!(finish_membership_change(&[11, 12, 13], &[12], &[15], 3), Some((vec![15], vec![12])));
+    assert_eq!(finish_membership_change(&[11, 12, 13], &[], &[14], 5), None);
     assert_eq!(
-        reseated(&[11, 12, 13], &[], &[14, 15], 4),
+        finish_membership_change(&[11, 12, 13], &[], &[14, 15], 4),
         None,
         "four would need three, as three of five do"
     );
-    assert_eq!(reseated(&[11, 12, 13, 14, 15], &[13], &[16], 3), Some((vec![], vec![13, 15])));
-    assert_eq!(reseated(&[11, 12], &[], &[13], 3), Some((vec![13], vec![])));
-    assert_eq!(reseated(&[11, 12], &[12], &[], 3), Some((vec![], vec![12])));
+    assert_eq!(
+        finish_membership_change(&[11, 12, 13, 14, 15], &[13], &[16], 3),
+        Some((vec![], vec![13, 15]))
+    );
+    assert_eq!(finish_membership_change(&[11, 12], &[], &[13], 3), Some((vec![13], vec![])));
+    assert_eq!(finish_membership_change(&[11, 12], &[12], &[], 3), Some((vec![], vec![12])));
 }
 
 #[test]
 fn voters_come_from_locations_that_have_fewest() {
-    assert_eq!(reseated(&[11], &[], &[21, 31, 12], 3), Some((vec![12, 21], vec![])));
-    assert_eq!(reseated(&[11, 12, 21], &[21], &[31, 13], 3), Some((vec![13], vec![21])));
+    assert_eq!(finish_membership_change(&[11], &[], &[21, 31, 12], 3), Some((vec![12, 21], vec![])));
+    assert_eq!(finish_membership_change(&[11, 12, 21], &[21], &[31, 13], 3), Some((vec![13], vec![21])));
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,4 +1,4 @@
-//! The lines of the change log: changes of the list of caches, purges, and a beat each second.
+//! The lines of the change stream: changes of the list of caches, purges, and a beat each second.
 //! Nothing here does I/O.
 
 use serde::Deserialize;
@@ -93,7 +93,7 @@
     Some(line)
 }
 
-/// How far the change log is known.
+/// How far the change stream is known.
 #[derive(Default)]
 pub struct Place {
     /// The last event heeded.
--- a/crates/discovery/tests/stories.rs
+++ b/crates/discovery/tests/stories.rs
@@ -1,4 +1,4 @@
-//! What the change log may say, whole, cut and damaged.
+//! What the change stream may say, whole, cut and damaged.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/external-requests/benches/table.rs
+++ b/crates/external-requests/benches/table.rs
@@ -3,29 +3,29 @@
 use std::hint::black_box;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use tindoor::host::{CacheNo, Note, Pass, Verdict};
+use tindoor::host::{AttemptStatus, Authorization, EndpointId, Outcome, OutcomeDetail};
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::*;
 
 struct Nobody;
 
-impl Hands for Nobody {
-    fn begin(&mut self, _: Serial, _: &Call, _: Option<(Moment, CacheNo)>) {}
-    fn ended(&mut self, _: Serial, _: u16, _: (Verdict, Note), _: bool) {}
-    fn left(&mut self, _: Serial) {}
-    fn close(&mut self, _: Serial) {}
-    fn say(&mut self, stream: Stream, say: Say) {
+impl TableHost for Nobody {
+    fn begin(&mut self, _: RequestNumber, _: &ExternalRequest, _: Option<(Moment, EndpointId)>) {}
+    fn ended(&mut self, _: RequestNumber, _: u16, _: Outcome, _: bool) {}
+    fn left(&mut self, _: RequestNumber) {}
+    fn close(&mut self, _: RequestNumber) {}
+    fn say(&mut self, stream: CallId, say: CallReply) {
         black_box((stream, say));
     }
-    fn come_back(&mut self) -> Option<Span> {
+    fn retry_after(&mut self) -> Option<Span> {
         None
     }
 }
 
-fn table() -> Calls {
+fn table() -> ExternalRequestTable {
     let bounds = Bounds {
-        views: 1 << 12,
-        marks: 1 << 30,
+        requests: 1 << 12,
+        idempotency_keys: 1 << 30,
         over: 1 << 30,
         waiters: 8,
         use_within: Span::millis(200),
@@ -34,31 +34,42 @@
         window: Span::millis(3000),
         longest: Span::millis(60_000),
     };
-    Calls::new(bounds, Guards::default(), Moment::default())
+    ExternalRequestTable::new(bounds, Guards::default(), Moment::default())
 }
 
 /// Asked, chosen, sent and reported done.
-fn one(calls: &mut Calls, nth: u64, mark: Option<u128>) {
+fn one(calls: &mut ExternalRequestTable, nth: u64, idempotency_key: Option<u128>) {
     let now = Moment::at_micros(100_000_000 + nth * 20);
-    let (offering, object, part, group, repeat, attempt) = (0, nth % 5000, 0, 3, false, 1);
+    let (class, object, part, group, client_retry, attempt) = (0, nth % 5000, 0, 3, false, 1);
     let left = Span::millis(3000);
-    let call =
-        Call { ticket: nth, attempt, offering, object, part, group, mark, repeat, left, pass: Pass::Free };
-    let stream = Stream(nth);
+    let call = ExternalRequest {
+        correlation_id: nth,
+        attempt,
+        class,
+        object,
+        part,
+        group,
+        idempotency_key,
+        client_retry,
+        left,
+        authorization: Authorization::Granted,
+    };
+    let stream = CallId(nth);
     calls.tick(now, &mut Nobody);
     calls.call(now, &mut Nobody, stream, call);
-    let choice = Choice { nth: 0, cache: CacheNo(1), terms: None, wait: left };
-    calls.ordered(now, &mut Nobody, Serial(nth), choice);
-    calls.leaves(stream, &Say::Choice { choice, use_within: left, left });
-    let known = Known { status: 200, version: 0 };
-    let report = Report { verdict: Verdict::Done, note: Note::Untold, known, used_after: None };
+    let decision = RoutingDecision { nth: 0, cache: EndpointId(1), directives: None, wait: left };
+    calls.ordered(now, &mut Nobody, RequestNumber(nth), decision);
+    calls.leaves(stream, &CallReply::Decision { decision, use_within: left, left });
+    let known = StoredResult { status: 200, version: 0 };
+    let report =
+        Report { verdict: AttemptStatus::Served, note: OutcomeDetail::Unknown, known, used_after: None };
     calls.reported(now, &mut Nobody, stream, None, report);
 }
 
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).unwrap_or_default()
+    line.split_whitespace().nth(1).and_then(|size_kb| size_kb.parse().ok()).unwrap_or_default()
 }
 
 fn bench(criterion: &mut Criterion) {
@@ -74,8 +85,8 @@
         // All within a window, so that none has its end yet.
         one(&mut calls, nth, Some(u128::from(nth).wrapping_mul(0x9E37_79B9_7F4A_7C15_F39C_C060_5CED_C834)));
     }
-    let marks = calls.marks().len();
-    println!("{marks} marks and as many tickets over: {} kB more resident", resident() - before);
+    let idempotency_keys = calls.idempotency_keys().len();
+    println!("{idempotency_keys} marks and as many tickets over: {} kB more resident", resident() - before);
     let mut nth = 1_000_000;
     criterion.bench_function("a save beside a million marks", |bencher| {
         bencher.iter(|| {
--- a/crates/external-requests/src/marks.rs
+++ b/crates/external-requests/src/idempotency_keys.rs
@@ -3,15 +3,15 @@
 
 use std::collections::BTreeMap;
 
-use tindoor::host::CacheNo;
+use tindoor::host::EndpointId;
 use tindoor::time::Moment;
 
-use crate::Serial;
+use crate::RequestNumber;
 use crate::timers::Timers;
 
-/// The answer that a done dispatch brought, as far as the router sees it.
+/// The answer that a done attempt brought, as far as the router sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Known {
+pub struct StoredResult {
     pub status: u16,
     /// The version of the object, 16 hex digits as a number; 0 where none was told.
     pub version: u64,
@@ -19,10 +19,10 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum State {
-    InHand(Serial),
-    Done(Known),
+    InHand(RequestNumber),
+    Done(StoredResult),
     /// When and where it first may have run; it has no known end.
-    Ran(Moment, CacheNo),
+    Ran(Moment, EndpointId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -34,12 +34,12 @@
 
 /// The marks of writes that were lately seen.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Marks {
+pub struct IdempotencyKeys {
     entries: BTreeMap<u128, Entry>,
     ends: Timers<u128>,
 }
 
-impl Marks {
+impl IdempotencyKeys {
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -48,38 +48,38 @@
         self.entries.is_empty()
     }
 
-    pub(crate) fn state(&self, mark: u128) -> Option<State> {
-        self.entries.get(&mark).map(|entry| entry.state)
+    pub(crate) fn state(&self, idempotency_key: u128) -> Option<State> {
+        self.entries.get(&idempotency_key).map(|entry| entry.state)
     }
 
     /// Takes a mark in hand; false where there is no room for a new one.
-    pub(crate) fn take(&mut self, mark: u128, serial: Serial, most: usize) -> bool {
-        if !self.entries.contains_key(&mark) && self.entries.len() >= most {
+    pub(crate) fn take(&mut self, idempotency_key: u128, serial: RequestNumber, most: usize) -> bool {
+        if !self.entries.contains_key(&idempotency_key) && self.entries.len() >= most {
             return false;
         }
-        let old = self.entries.insert(mark, Entry { state: State::InHand(serial), until: None });
+        let old = self.entries.insert(idempotency_key, Entry { state: State::InHand(serial), until: None });
         if let Some(until) = old.and_then(|old| old.until) {
-            self.ends.unset(until, mark);
+            self.ends.unset(until, idempotency_key);
         }
         true
     }
 
-    /// Its view is over: what is known of it now, and until when; nothing where it never ran.
-    pub(crate) fn settle(&mut self, mark: u128, known: Option<(State, Moment)>) {
+    /// Its request is over: what is known of it now, and until when; nothing where it never ran.
+    pub(crate) fn settle(&mut self, idempotency_key: u128, known: Option<(State, Moment)>) {
         match known {
             Some((state, until)) => {
-                self.entries.insert(mark, Entry { state, until: Some(until) });
-                self.ends.set(until, mark);
+                self.entries.insert(idempotency_key, Entry { state, until: Some(until) });
+                self.ends.set(until, idempotency_key);
             }
-            None => drop(self.entries.remove(&mark)),
+            None => drop(self.entries.remove(&idempotency_key)),
         }
     }
 
     /// Forgets those whose end has come.
     pub(crate) fn sweep(&mut self, now: Moment) {
-        while let Some((at, mark)) = self.ends.take(now) {
-            if self.entries.get(&mark).is_some_and(|entry| entry.until == Some(at)) {
-                self.entries.remove(&mark);
+        while let Some((at, idempotency_key)) = self.ends.take(now) {
+            if self.entries.get(&idempotency_key).is_some_and(|entry| entry.until == Some(at)) {
+                self.entries.remove(&idempotency_key);
             }
         }
     }
--- a/crates/external-requests/src/lib.rs
+++ b/crates/external-requests/src/lib.rs
@@ -1,91 +1,91 @@
-//! Calls of proxies that carry the bytes themselves: which view a call belongs to, which choice is out and
+//! Calls of proxies that carry the bytes themselves: which request a call belongs to, which choice is out and
 //! until when, how it ended, and what is known of the marks of writes. Nothing here does I/O or reads a
 //! clock.
 //!
-//! A caller builds one [`Calls`] and calls the method named for each thing that happens, with the time and
-//! its [`Hands`]. Which cache, whether again and what is refused is the decision module's, reached through
+//! A caller builds one [`ExternalRequestTable`] and calls the method named for each thing that happens, with the time and
+//! its [`TableHost`]. Which cache, whether again and what is refused is the routing engine's, reached through
 //! the hands.
 
-mod marks;
+mod idempotency_keys;
 mod table;
 mod timers;
 
-pub use marks::{Known, Marks};
-pub use table::{Bounds, Calls, Figures, Guards};
+pub use idempotency_keys::{IdempotencyKeys, StoredResult};
+pub use table::{Bounds, Counters, ExternalRequestTable, Guards};
 
-use tindoor::host::{CacheNo, Note, Pass, Terms, Verdict};
+use tindoor::host::{AttemptStatus, Authorization, EndpointId, FillDirectives, Outcome, OutcomeDetail};
 use tindoor::time::{Moment, Span};
 
 /// A call on its way, as the front counts them; never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Stream(pub u64);
+pub struct CallId(pub u64);
 
-/// A view in hand, as the table counts them; never used again.
+/// A request in hand, as the table counts them; never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Serial(pub u64);
+pub struct RequestNumber(pub u64);
 
 /// What a proxy asks, read and checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Call {
-    /// The view's id: the same for all calls that are made for one view.
-    pub ticket: u64,
-    /// Counted by the proxy from 1: a further try of the same view has a higher one.
+pub struct ExternalRequest {
+    /// The request's id: the same for all calls that are made for one request.
+    pub correlation_id: u64,
+    /// Counted by the proxy from 1: a further try of the same request has a higher one.
     pub attempt: u32,
-    pub offering: u16,
+    pub class: u16,
     pub object: u64,
     pub part: u32,
     pub group: u32,
     /// Where a repeat is told by its mark: the mark.
-    pub mark: Option<u128>,
+    pub idempotency_key: Option<u128>,
     /// Marked as a client's further try.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// How long the client waits from now on.
     pub left: Span,
     /// What the check of its link said.
-    pub pass: Pass,
+    pub authorization: Authorization,
 }
 
-/// A choice as the module ordered it.
+/// A choice as the routing engine ordered it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Choice {
-    /// Which dispatch of its view, from 0.
+pub struct RoutingDecision {
+    /// Which attempt of its request, from 0.
     pub nth: u16,
-    pub cache: CacheNo,
-    pub terms: Option<Terms>,
+    pub cache: EndpointId,
+    pub directives: Option<FillDirectives>,
     /// How long it may take, from the order on.
     pub wait: Span,
 }
 
-impl Choice {
+impl RoutingDecision {
     /// Whether its cache or its source is one of these.
-    pub fn names(&self, no: CacheNo) -> bool {
-        self.cache == no || self.terms.is_some_and(|terms| terms.source == no)
+    pub fn names(&self, no: EndpointId) -> bool {
+        self.cache == no || self.directives.is_some_and(|directives| directives.source == no)
     }
 }
 
-/// How a proxy says that its dispatch ended.
+/// How a proxy says that its attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Report {
-    pub verdict: Verdict,
-    pub note: Note,
+    pub verdict: AttemptStatus,
+    pub note: OutcomeDetail,
     /// The status that the client gets where it is done, and the version of the object.
-    pub known: Known,
+    pub known: StoredResult,
     /// How long after the choice it was used, where the proxy tells.
     pub used_after: Option<Span>,
 }
 
 /// Why a call got no choice of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
-    /// The module gave the view up.
+pub enum RefusalReason {
+    /// The routing engine gave the request up.
     GivenUp,
-    /// There is no room for a further view, mark or waiter.
+    /// There is no room for a further request, mark or waiter.
     NoRoom,
-    /// A view of that ticket is in hand with this or a later try, or asks for something else.
+    /// A request of that ticket is in hand with this or a later try, or asks for something else.
     Ticket,
     /// Its mark is in hand, and the end did not come in time.
     Mark,
-    /// A later try of the same view came.
+    /// A later try of the same request came.
     Overtaken,
     /// The report belongs to no choice that is out.
     NoChoice,
@@ -98,34 +98,39 @@
 /// What a call or a report is told. Each call gets one of the first four; each report one of all but the
 /// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Say {
+pub enum CallReply {
     /// Go there, beginning within this time from now.
-    Choice { choice: Choice, use_within: Span, left: Span },
+    Decision { decision: RoutingDecision, use_within: Span, left: Span },
     /// Final: trying again is harmless, best after so long.
-    TurnedBack(Option<Span>, Why),
+    Rejected(Option<Span>, RefusalReason),
     /// Final: promises nothing.
-    WrittenOff(Why),
+    Failed(RefusalReason),
     /// Final: the write of this mark was done, and this was its answer.
-    Known(Known),
+    Replayed(StoredResult),
     /// Final: what the cache answered goes to the client.
-    PassOn,
-    /// Not final: a further choice waits for the next call of this view.
-    Again,
+    PassThrough,
+    /// Not final: a further choice waits for the next call of this request.
+    AwaitRetry,
 }
 
 /// What the table acts through. Every call takes effect at once, and none comes back into the table.
-pub trait Hands {
-    /// A view begins: the module is told of it. `ran` says when and where its mark first may have run; a
+pub trait TableHost {
+    /// A request begins: the routing engine is told of it. `first_ran` says when and where its mark first may have run; a
     /// moment long ago where nobody knows.
-    fn begin(&mut self, serial: Serial, call: &Call, ran: Option<(Moment, CacheNo)>);
-    /// A dispatch of the view ended; `last` says that the view has its final answer.
-    fn ended(&mut self, serial: Serial, nth: u16, end: (Verdict, Note), last: bool);
-    /// Nobody waits for the view any more.
-    fn left(&mut self, serial: Serial);
-    /// Everything of the view is reported: what stands for it can go.
-    fn close(&mut self, serial: Serial);
+    fn begin(
+        &mut self,
+        serial: RequestNumber,
+        call: &ExternalRequest,
+        first_ran: Option<(Moment, EndpointId)>,
+    );
+    /// A attempt of the request ended; `last` says that the request has its final answer.
+    fn ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool);
+    /// Nobody waits for the request any more.
+    fn left(&mut self, serial: RequestNumber);
+    /// Everything of the request is reported: what stands for it can go.
+    fn close(&mut self, serial: RequestNumber);
     /// A word to a call. One that was not yet sent is replaced by the next.
-    fn say(&mut self, stream: Stream, say: Say);
+    fn say(&mut self, stream: CallId, say: CallReply);
     /// When one that finds no room may come again.
-    fn come_back(&mut self) -> Option<Span>;
+    fn retry_after(&mut self) -> Option<Span>;
 }
--- a/crates/external-requests/tests/model.rs
+++ b/crates/external-requests/tests/model.rs
@@ -5,23 +5,23 @@
 use std::collections::BTreeMap;
 
 use stateright::{Checker, Model, Property};
-use tindoor::host::{CacheNo, Note, Pass, Verdict};
+use tindoor::host::{AttemptStatus, Authorization, EndpointId, Outcome, OutcomeDetail};
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::*;
 
-/// What the rest of the world knows: the module's views, and what each call was told.
+/// What the rest of the world knows: the routing engine's requests, and what each call was told.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Rest {
-    /// The module's dispatches that are not reported, by view; and how many there were.
-    out: BTreeMap<Serial, Option<u16>>,
-    dispatches: BTreeMap<Serial, u16>,
-    marks: BTreeMap<Serial, u128>,
-    /// Views that wait for the module's next word.
-    asked: BTreeMap<Serial, bool>,
+    /// The routing engine's attempts that are not reported, by request; and how many there were.
+    out: BTreeMap<RequestNumber, Option<u16>>,
+    attempts: BTreeMap<RequestNumber, u16>,
+    idempotency_keys: BTreeMap<RequestNumber, u128>,
+    /// Requests that wait for the routing engine's next word.
+    asked: BTreeMap<RequestNumber, bool>,
     /// What lies for each call, unsent, and what each was sent.
-    unsent: BTreeMap<Stream, Say>,
-    sent: BTreeMap<Stream, Vec<Kind>>,
-    /// Dispatches ended twice, or never ordered; and words out of turn.
+    unsent: BTreeMap<CallId, CallReply>,
+    sent: BTreeMap<CallId, Vec<Kind>>,
+    /// Attempts ended twice, or never ordered; and words out of turn.
     wrong: bool,
     done: u8,
     known_before_done: bool,
@@ -29,66 +29,66 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Kind {
-    Choice,
+    RoutingDecision,
     Final,
     Again,
 }
 
-impl Hands for Rest {
-    fn begin(&mut self, serial: Serial, call: &Call, _: Option<(Moment, CacheNo)>) {
+impl TableHost for Rest {
+    fn begin(&mut self, serial: RequestNumber, call: &ExternalRequest, _: Option<(Moment, EndpointId)>) {
         self.out.insert(serial, None);
-        self.dispatches.insert(serial, 0);
+        self.attempts.insert(serial, 0);
         self.asked.insert(serial, true);
-        self.marks.extend(call.mark.map(|mark| (serial, mark)));
+        self.idempotency_keys.extend(call.idempotency_key.map(|idempotency_key| (serial, idempotency_key)));
     }
-    fn ended(&mut self, serial: Serial, nth: u16, end: (Verdict, Note), last: bool) {
+    fn ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
         let open = self.out.get_mut(&serial).and_then(Option::take);
         self.wrong |= open != Some(nth);
-        self.done += u8::from(end.0 == Verdict::Done);
+        self.done += u8::from(end.status == AttemptStatus::Served);
         self.asked.insert(serial, !last);
     }
-    fn left(&mut self, serial: Serial) {
+    fn left(&mut self, serial: RequestNumber) {
         self.asked.insert(serial, false);
     }
-    fn close(&mut self, serial: Serial) {
+    fn close(&mut self, serial: RequestNumber) {
         // The router reports what was ordered and never given; the table must leave nothing else open.
         self.wrong |= self.out.remove(&serial).is_none();
         self.asked.remove(&serial);
-        self.marks.remove(&serial);
+        self.idempotency_keys.remove(&serial);
     }
-    fn say(&mut self, stream: Stream, say: Say) {
-        self.known_before_done |= matches!(say, Say::Known(_)) && self.done == 0;
+    fn say(&mut self, stream: CallId, say: CallReply) {
+        self.known_before_done |= matches!(say, CallReply::Replayed(_)) && self.done == 0;
         self.unsent.insert(stream, say);
     }
-    fn come_back(&mut self) -> Option<Span> {
+    fn retry_after(&mut self) -> Option<Span> {
         None
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    calls: Calls,
+    calls: ExternalRequestTable,
     rest: Rest,
     now: u64,
     streams: u64,
     /// By proxy, its try and its stream, if one is open.
-    proxies: [(u32, Option<Stream>); 2],
+    proxies: [(u32, Option<CallId>); 2],
     changes: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    Call(usize),
-    Send(Stream),
-    Order(Serial),
-    Refuse(Serial),
-    Report(usize, Verdict),
+    ExternalRequest(usize),
+    Send(CallId),
+    Action(RequestNumber),
+    Refuse(RequestNumber),
+    Report(usize, AttemptStatus),
     End(usize),
     Change,
     Tick,
 }
 
-/// Two proxies; `same` has both of them carry one view, else each its own with the same mark.
+/// Two proxies; `same` has both of them carry one request, else each its own with the same mark.
 struct Two {
     same: bool,
     guards: Guards,
@@ -103,8 +103,8 @@
     fn init_states(&self) -> Vec<State> {
         let ms = Span::millis;
         let bounds = Bounds {
-            views: 2,
-            marks: 2,
+            requests: 2,
+            idempotency_keys: 2,
             over: 4,
             waiters: 1,
             use_within: ms(1),
@@ -113,7 +113,7 @@
             window: ms(20),
             longest: ms(9),
         };
-        let calls = Calls::new(bounds, self.guards, Moment::default());
+        let calls = ExternalRequestTable::new(bounds, self.guards, Moment::default());
         let proxies = [(0, None); 2];
         vec![State { calls, rest: Rest::default(), now: 100_000, streams: 0, proxies, changes: 0 }]
     }
@@ -121,12 +121,13 @@
     fn actions(&self, state: &State, actions: &mut Vec<Event>) {
         for (nth, (attempt, stream)) in state.proxies.iter().enumerate() {
             match stream {
-                None if *attempt < 2 => actions.push(Event::Call(nth)),
+                None if *attempt < 2 => actions.push(Event::ExternalRequest(nth)),
                 None => {}
                 Some(stream) => {
                     let said = state.rest.sent.get(stream);
-                    if said.is_some_and(|said| said.last() == Some(&Kind::Choice)) {
-                        let reports = [Verdict::Done, Verdict::Full, Verdict::Broken];
+                    if said.is_some_and(|said| said.last() == Some(&Kind::RoutingDecision)) {
+                        let reports =
+                            [AttemptStatus::Served, AttemptStatus::Overloaded, AttemptStatus::Incomplete];
                         actions.extend(reports.map(|verdict| Event::Report(nth, verdict)));
                     }
                     actions.push(Event::End(nth));
@@ -136,8 +137,8 @@
         actions.extend(state.rest.unsent.keys().map(|stream| Event::Send(*stream)));
         for (serial, asked) in &state.rest.asked {
             if *asked && state.rest.out[serial].is_none() {
-                if state.rest.dispatches[serial] < MOST {
-                    actions.push(Event::Order(*serial));
+                if state.rest.attempts[serial] < MOST {
+                    actions.push(Event::Action(*serial));
                 }
                 actions.push(Event::Refuse(*serial));
             }
@@ -155,26 +156,26 @@
         let State { calls, rest, now, streams, proxies, changes } = &mut state;
         let at = Moment::at_micros(*now * 1000);
         match event {
-            Event::Call(nth) => {
+            Event::ExternalRequest(nth) => {
                 *streams += 1;
-                let stream = Stream(*streams);
+                let stream = CallId(*streams);
                 let attempt = proxies[nth].0 + 1;
                 proxies[nth] = (attempt, Some(stream));
-                let (ticket, attempt) =
+                let (correlation_id, attempt) =
                     if self.same { (1, attempt * 2 + nth as u32) } else { (nth as u64, attempt) };
-                let (offering, object, part, group, repeat) = (0, 1, 0, 0, false);
-                let (mark, left) = (Some(9), Span::millis(5));
-                let call = Call {
-                    ticket,
+                let (class, object, part, group, client_retry) = (0, 1, 0, 0, false);
+                let (idempotency_key, left) = (Some(9), Span::millis(5));
+                let call = ExternalRequest {
+                    correlation_id,
                     attempt,
-                    offering,
+                    class,
                     object,
                     part,
                     group,
-                    mark,
-                    repeat,
+                    idempotency_key,
+                    client_retry,
                     left,
-                    pass: Pass::Free,
+                    authorization: Authorization::Granted,
                 };
                 calls.call(at, rest, stream, call);
             }
@@ -182,27 +183,32 @@
                 let say = rest.unsent.remove(&stream)?;
                 if calls.leaves(stream, &say) {
                     let kind = match say {
-                        Say::Choice { .. } => Kind::Choice,
-                        Say::Again => Kind::Again,
+                        CallReply::Decision { .. } => Kind::RoutingDecision,
+                        CallReply::AwaitRetry => Kind::Again,
                         _ => Kind::Final,
                     };
                     rest.sent.entry(stream).or_default().push(kind);
                 }
             }
-            Event::Order(serial) => {
-                let nth = rest.dispatches[&serial];
-                rest.dispatches.insert(serial, nth + 1);
+            Event::Action(serial) => {
+                let nth = rest.attempts[&serial];
+                rest.attempts.insert(serial, nth + 1);
                 rest.out.insert(serial, Some(nth));
-                let choice = Choice { nth, cache: CacheNo(nth.into()), terms: None, wait: Span::millis(3) };
-                calls.ordered(at, rest, serial, choice);
+                let decision = RoutingDecision {
+                    nth,
+                    cache: EndpointId(nth.into()),
+                    directives: None,
+                    wait: Span::millis(3),
+                };
+                calls.ordered(at, rest, serial, decision);
             }
             Event::Refuse(serial) => {
                 rest.asked.insert(serial, false);
                 calls.refused_by_module(at, rest, serial, Some(None));
             }
             Event::Report(nth, verdict) => {
-                let known = Known { status: 200, version: 0 };
-                let report = Report { verdict, note: Note::Untold, known, used_after: None };
+                let known = StoredResult { status: 200, version: 0 };
+                let report = Report { verdict, note: OutcomeDetail::Unknown, known, used_after: None };
                 calls.reported(at, rest, proxies[nth].1?, None, report);
             }
             Event::End(nth) => {
@@ -212,7 +218,7 @@
             }
             Event::Change => {
                 *changes += 1;
-                calls.told(rest, |_, choice| choice.cache == CacheNo(0));
+                calls.told(rest, |_, decision| decision.cache == EndpointId(0));
             }
             Event::Tick => {
                 let next = calls.next()?;
@@ -226,17 +232,20 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always("one final answer a call", |_, state| {
-                let finals = |said: &Vec<Kind>| said.iter().filter(|kind| **kind != Kind::Choice).count();
+                let finals =
+                    |said: &Vec<Kind>| said.iter().filter(|kind| **kind != Kind::RoutingDecision).count();
                 // One that reports twice is told so each time; there is one report for each choice here.
                 state.rest.sent.values().all(|said| finals(said) <= 2)
                     && state
                         .rest
                         .sent
                         .values()
-                        .all(|said| said.iter().filter(|kind| **kind == Kind::Choice).count() <= 1)
+                        .all(|said| said.iter().filter(|kind| **kind == Kind::RoutingDecision).count() <= 1)
             }),
             Property::<Self>::always("each dispatch ends once", |_, state| !state.rest.wrong),
-            Property::<Self>::always("one view of a mark at a time", |_, state| state.rest.marks.len() <= 1),
+            Property::<Self>::always("one view of a mark at a time", |_, state| {
+                state.rest.idempotency_keys.len() <= 1
+            }),
             Property::<Self>::always("known only once done", |_, state| !state.rest.known_before_done),
             Property::<Self>::always("done at most once by a mark", |_, state| state.rest.done <= 1),
             Property::<Self>::always("nothing is left for ever", |_, state| {
@@ -258,7 +267,7 @@
         // A client tries again within its longest wait; after that and the window a mark is forgotten.
         state.now < 100_000 + 29
             && state.streams <= 3
-            && state.rest.dispatches.values().all(|count| *count <= MOST)
+            && state.rest.attempts.values().all(|count| *count <= MOST)
     }
 }
 
@@ -276,17 +285,17 @@
 }
 
 #[test]
-fn two_views_of_one_mark_keep_the_rules_in_every_order() {
+fn two_requests_of_one_mark_keep_the_rules_in_every_order() {
     assert_eq!(check(false, Guards::default()), [""; 0]);
 }
 
 #[test]
-fn one_view_over_two_proxies_keeps_the_rules_in_every_order() {
+fn one_request_over_two_proxies_keeps_the_rules_in_every_order() {
     assert_eq!(check(true, Guards::default()), [""; 0]);
 }
 
 #[test]
 fn without_the_guard_on_marks_the_checker_finds_a_save_run_twice() {
-    let found = check(false, Guards { marks: false, ..Guards::default() });
+    let found = check(false, Guards { idempotency_keys: false, ..Guards::default() });
     assert!(found.contains(&"one view of a mark at a time"), "{found:?}");
 }
--- a/crates/extproc/src/ask.rs
+++ b/crates/extproc/src/ask.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use tindoor::host::{Note, Pass, Verdict};
+use tindoor::host::{AttemptStatus, Authorization, OutcomeDetail};
 use tindoor::time::Span;
-use tindoor_external_requests::{Call, Known, Report};
+use tindoor_external_requests::{ExternalRequest, Report, StoredResult};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What is known of an offering here.
+/// What is known of an request class here.
 #[derive(Clone, Debug)]
-pub struct Offering {
+pub struct RequestClass {
     pub name: String,
     /// A repeat is told by its mark.
     pub tagged: bool,
@@ -24,15 +24,17 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Names {
     pub path: String,
-    pub ticket: String,
+    #[serde(alias = "ticket")]
+    pub correlation_id: String,
     /// Hashed for the ticket where that is missing.
     pub request: String,
     pub patience: String,
     /// The patience where that is missing.
     pub timeout: String,
-    pub mark: String,
+    #[serde(alias = "mark")]
+    pub idempotency_key: String,
     pub group: String,
-    pub repeat: String,
+    pub client_retry: String,
     pub attempt: String,
 }
 
@@ -41,13 +43,13 @@
         let name = str::to_string;
         Self {
             path: name(":path"),
-            ticket: name("x-ticket"),
+            correlation_id: name("x-ticket"),
             request: name("x-request-id"),
             patience: name("x-max-ms"),
             timeout: name("x-envoy-expected-rq-timeout-ms"),
-            mark: name("x-nonce"),
+            idempotency_key: name("x-nonce"),
             group: name("x-group"),
-            repeat: name("x-redo"),
+            client_retry: name("x-redo"),
             attempt: name("x-envoy-attempt-count"),
         }
     }
@@ -102,7 +104,7 @@
 }
 
 /// Reads what is asked; names the header at fault.
-pub fn call(headers: &Headers, names: &Names, offerings: &[Offering]) -> Result<Call, Fault> {
+pub fn call(headers: &Headers, names: &Names, classes: &[RequestClass]) -> Result<ExternalRequest, Fault> {
     let fault = |header: &str, what| Fault { header: header.to_string(), what };
     let path = headers.text(&names.path)?.ok_or_else(|| fault(&names.path, "missing"))?;
     let bad_path = |what| fault(&names.path, what);
@@ -114,50 +116,54 @@
     else {
         return Err(bad_path("not /v1/store/OFFERING/OBJECT/PART"));
     };
-    let offering = offerings.iter().position(|known| known.name == route);
-    let offering = offering.ok_or_else(|| bad_path("an unknown offering"))?;
+    let class = classes.iter().position(|known| known.name == route);
+    let class = class.ok_or_else(|| bad_path("an unknown offering"))?;
     let object = hex(object, 16).ok_or_else(|| bad_path("an object that is not 16 hex digits"))?;
     let plain = !part.is_empty()
         && part.bytes().all(|byte| byte.is_ascii_digit())
         && (part == "0" || !part.starts_with('0'));
     let part =
         part.parse::<u32>().ok().filter(|_| plain).ok_or_else(|| bad_path("a part that is no number"))?;
-    let ticket = match (headers.text(&names.ticket)?, headers.text(&names.request)?) {
-        (Some(ticket), _) => hex(ticket, 16).ok_or_else(|| fault(&names.ticket, "not 16 hex digits"))? as u64,
+    let correlation_id = match (headers.text(&names.correlation_id)?, headers.text(&names.request)?) {
+        (Some(correlation_id), _) => {
+            hex(correlation_id, 16).ok_or_else(|| fault(&names.correlation_id, "not 16 hex digits"))? as u64
+        }
         (None, Some(request)) => xxh3_64(request.as_bytes()),
-        (None, None) => return Err(fault(&names.ticket, "missing")),
+        (None, None) => return Err(fault(&names.correlation_id, "missing")),
     };
     let patience = match headers.number(&names.patience, [1, u64::from(u32::MAX)])? {
         Some(patience) => Some(patience),
         None => headers.number(&names.timeout, [1, u64::from(u32::MAX)])?,
     };
-    let known = &offerings[offering];
+    let known = &classes[class];
     let left = patience.map_or(Span::micros(known.cut_off.as_micros() as u64), Span::millis);
-    let mark = match headers.text(&names.mark)? {
-        Some(mark) => Some(hex(mark, 32).ok_or_else(|| fault(&names.mark, "not 32 hex digits"))?),
-        None if known.tagged => return Err(fault(&names.mark, "missing")),
+    let idempotency_key = match headers.text(&names.idempotency_key)? {
+        Some(idempotency_key) => {
+            Some(hex(idempotency_key, 32).ok_or_else(|| fault(&names.idempotency_key, "not 32 hex digits"))?)
+        }
+        None if known.tagged => return Err(fault(&names.idempotency_key, "missing")),
         None => None,
     };
-    let repeat = match headers.text(&names.repeat)? {
+    let client_retry = match headers.text(&names.client_retry)? {
         None => false,
         Some("1") => true,
-        Some(_) => return Err(fault(&names.repeat, "not 1")),
+        Some(_) => return Err(fault(&names.client_retry, "not 1")),
     };
-    Ok(Call {
-        ticket,
+    Ok(ExternalRequest {
+        correlation_id,
         attempt: headers.number(&names.attempt, [1, 1 << 16])?.unwrap_or(1) as u32,
-        offering: offering as u16,
+        class: class as u16,
         object: object as u64,
         part,
         group: headers.number(&names.group, [0, 255])?.unwrap_or(0) as u32,
-        mark: mark.filter(|_| known.tagged),
-        repeat,
+        idempotency_key: idempotency_key.filter(|_| known.tagged),
+        client_retry,
         left,
-        pass: Pass::Free,
+        authorization: Authorization::Granted,
     })
 }
 
-/// Reads what the headers of a cache's answer, or of a proxy's own, say of the dispatch.
+/// Reads what the headers of a cache's answer, or of a proxy's own, say of the attempt.
 pub fn report(headers: &Headers) -> Result<Report, Fault> {
     let status = headers.number(":status", [100, 999])?;
     let shed = headers.text("x-shed")? == Some("1");
@@ -166,26 +172,26 @@
     let version = headers.text("x-version")?.and_then(|version| hex(version, 16)).unwrap_or_default() as u64;
     // What the proxy says itself, where no answer came.
     let verdict = match headers.text("x-tindoor-failed")? {
-        Some("unreachable") => Verdict::Unreachable,
-        Some("timed-out") => Verdict::TimedOut,
-        Some("broken") => Verdict::Broken,
-        Some("unused") => Verdict::Moot,
-        Some("given-up") => Verdict::CalledOff,
+        Some("unreachable") => AttemptStatus::Unreachable,
+        Some("timed-out") => AttemptStatus::TimedOut,
+        Some("broken") => AttemptStatus::Incomplete,
+        Some("unused") => AttemptStatus::Superseded,
+        Some("given-up") => AttemptStatus::Cancelled,
         Some(_) => return Err(Fault { header: "x-tindoor-failed".into(), what: "an unknown word" }),
         None => {
             let status = status.ok_or(Fault { header: ":status".into(), what: "missing" })?;
             // An answer that no page names may be the proxy's own, of a cache that it did not reach or that
             // broke off: it may have run, and is not the cache's word.
-            tindoor_http::verdict(status as u16, shed).unwrap_or(match status {
-                502..=504 => Verdict::Broken,
-                _ => Verdict::Error,
+            tindoor_http::attempt_status(status as u16, shed).unwrap_or(match status {
+                502..=504 => AttemptStatus::Incomplete,
+                _ => AttemptStatus::Error,
             })
         }
     };
     Ok(Report {
         verdict,
-        note: tindoor_http::note(remark).unwrap_or(Note::Untold),
-        known: Known { status: status.unwrap_or_default() as u16, version },
+        note: tindoor_http::outcome_detail(remark).unwrap_or(OutcomeDetail::Unknown),
+        known: StoredResult { status: status.unwrap_or_default() as u16, version },
         used_after: used.map(Span::millis),
     })
 }
--- a/crates/extproc/src/say.rs
+++ b/crates/extproc/src/say.rs
@@ -1,7 +1,7 @@
 //! What the router says to a proxy, as headers and as messages of the external processing service.
 
 use tindoor::time::Span;
-use tindoor_external_requests::{Call, Choice, Say, Why};
+use tindoor_external_requests::{CallReply, ExternalRequest, RefusalReason, RoutingDecision};
 
 use crate::messages::{
     AppendAction, CommonResponse, HeaderMutation, HeaderSend, HeaderValue, HeaderValueOption,
@@ -10,7 +10,7 @@
 
 /// Names of the cache and the source that a choice goes to.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct RoutingTarget {
     pub cache: String,
     pub address: String,
     /// None where nothing may be filled, or where the cache is its own source.
@@ -24,24 +24,31 @@
 }
 
 /// The headers of a choice. Those of the platform's protocol are as a cache reads them.
-pub fn choice(call: &Call, choice: &Choice, place: &Place, use_within: Span, left: Span) -> Fields {
+pub fn decision(
+    call: &ExternalRequest,
+    decision: &RoutingDecision,
+    place: &RoutingTarget,
+    use_within: Span,
+    left: Span,
+) -> Fields {
     let mut fields = vec![
         ("x-tindoor-cache", place.cache.clone()),
         ("x-tindoor-address", place.address.clone()),
         ("x-tindoor-use-within-ms", millis(use_within).to_string()),
-        ("x-tindoor-nth", choice.nth.to_string()),
-        ("x-ticket", format!("{:016x}", call.ticket)),
+        ("x-tindoor-nth", decision.nth.to_string()),
+        ("x-ticket", format!("{:016x}", call.correlation_id)),
         ("x-max-ms", millis(left).max(1).to_string()),
     ];
     fields.extend(place.source.iter().map(|source| ("x-source", source.clone())));
-    if let Some(terms) = choice.terms {
-        if terms.rank > 0 {
-            fields.push(("x-tier", terms.rank.to_string()));
+    if let Some(directives) = decision.directives {
+        if directives.retention_rank > 0 {
+            fields.push(("x-tier", directives.retention_rank.to_string()));
         }
         // Rounded down; 0 would mean that any fresh copy will do. A copy ages while the choice waits for its
         // use, and the moment of the purge that bounds it lies ever further back: what holds now holds then.
-        fields.extend(terms.oldest.map(|oldest| ("x-accept-age", millis(oldest).max(1).to_string())));
-        let words = [(terms.join, "j"), (terms.only_held, "h"), (terms.renew, "r")];
+        fields.extend(directives.max_age.map(|max_age| ("x-accept-age", millis(max_age).max(1).to_string())));
+        let words =
+            [(directives.join_fill, "j"), (directives.only_if_cached, "h"), (directives.refresh, "r")];
         let words: Vec<&str> = words.iter().filter(|word| word.0).map(|word| word.1).collect();
         if !words.is_empty() {
             fields.push(("x-mode", words.join("+")));
@@ -54,38 +61,38 @@
 pub const OURS: [&str; 6] =
     ["x-tindoor-again", "x-tindoor-reason", "x-source", "x-tier", "x-accept-age", "x-mode"];
 
-fn reason(why: Why) -> &'static str {
+fn reason(why: RefusalReason) -> &'static str {
     match why {
-        Why::GivenUp => "given-up",
-        Why::NoRoom => "no-room",
-        Why::Ticket => "ticket",
-        Why::Mark => "mark",
-        Why::Overtaken => "overtaken",
-        Why::NoChoice => "no-choice",
-        Why::Unreported => "unreported",
-        Why::Stopping => "stopping",
+        RefusalReason::GivenUp => "given-up",
+        RefusalReason::NoRoom => "no-room",
+        RefusalReason::Ticket => "ticket",
+        RefusalReason::Mark => "mark",
+        RefusalReason::Overtaken => "overtaken",
+        RefusalReason::NoChoice => "no-choice",
+        RefusalReason::Unreported => "unreported",
+        RefusalReason::Stopping => "stopping",
     }
 }
 
 /// A final answer as status and headers; none for what is not final or goes on as it is.
-pub fn refusal(say: &Say) -> Option<(u16, Fields)> {
+pub fn refusal(say: &CallReply) -> Option<(u16, Fields)> {
     Some(match say {
-        Say::TurnedBack(come_back, why) => {
+        CallReply::Rejected(retry_after, why) => {
             let mut fields = vec![("x-tindoor-reason", reason(*why).to_string())];
-            if let Some(come_back) = come_back {
+            if let Some(retry_after) = retry_after {
                 // Whole seconds for those that know no better, rounded up; and the milliseconds.
-                fields.push(("retry-after", come_back.as_micros().div_ceil(1_000_000).max(1).to_string()));
-                fields.push(("x-tindoor-pause-ms", millis(*come_back).to_string()));
+                fields.push(("retry-after", retry_after.as_micros().div_ceil(1_000_000).max(1).to_string()));
+                fields.push(("x-tindoor-pause-ms", millis(*retry_after).to_string()));
             }
             (503, fields)
         }
-        Say::WrittenOff(why) => (502, vec![("x-tindoor-reason", reason(*why).to_string())]),
-        Say::Known(known) => {
+        CallReply::Failed(why) => (502, vec![("x-tindoor-reason", reason(*why).to_string())]),
+        CallReply::Replayed(known) => {
             let mut fields = vec![("x-tindoor-known", "1".to_string())];
             fields.push(("x-version", format!("{:016x}", known.version)));
             (if known.status == 0 { 200 } else { known.status }, fields)
         }
-        Say::Choice { .. } | Say::PassOn | Say::Again => return None,
+        CallReply::Decision { .. } | CallReply::PassThrough | CallReply::AwaitRetry => return None,
     })
 }
 
--- a/crates/extproc/tests/stories.rs
+++ b/crates/extproc/tests/stories.rs
@@ -5,23 +5,23 @@
 use bytes::BytesMut;
 use proptest::prelude::*;
 use prost::Message;
-use tindoor::host::{CacheNo, Note, Terms, Verdict};
+use tindoor::host::{AttemptStatus, EndpointId, FillDirectives, OutcomeDetail};
 use tindoor::time::Span;
-use tindoor_external_requests::{Choice, Known, Say, Why};
-use tindoor_extproc::ask::{self, Headers, Names, Offering};
+use tindoor_external_requests::{CallReply, RefusalReason, RoutingDecision, StoredResult};
+use tindoor_extproc::ask::{self, Headers, Names, RequestClass};
 use tindoor_extproc::frames::{self, Fault};
 use tindoor_extproc::messages::{HttpBody, Phase, ProcessingRequest};
 use tindoor_extproc::say;
 
-fn offerings() -> Vec<Offering> {
-    let offering =
-        |name: &str, tagged| Offering { name: name.into(), tagged, cut_off: Duration::from_secs(3) };
-    vec![offering("pages", false), offering("saves", true)]
+fn classes() -> Vec<RequestClass> {
+    let class =
+        |name: &str, tagged| RequestClass { name: name.into(), tagged, cut_off: Duration::from_secs(3) };
+    vec![class("pages", false), class("saves", true)]
 }
 
-fn call(fields: &[(&str, &str)]) -> Result<tindoor_external_requests::Call, ask::Fault> {
+fn call(fields: &[(&str, &str)]) -> Result<tindoor_external_requests::ExternalRequest, ask::Fault> {
     let headers = Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect());
-    ask::call(&headers, &Names::default(), &offerings())
+    ask::call(&headers, &Names::default(), &classes())
 }
 
 const PATH: (&str, &str) = (":path", "/v1/store/pages/7f3a9c21e0b4d655/3");
@@ -30,9 +30,15 @@
 #[test]
 fn what_a_proxy_leaves_out_has_its_stated_default() {
     let asked = call(&[PATH, TICKET]).unwrap();
-    assert_eq!((asked.ticket, asked.object, asked.part), (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655, 3));
-    assert_eq!((asked.attempt, asked.group, asked.repeat, asked.left), (1, 0, false, Span::millis(3000)));
-    let by_request = |id| call(&[PATH, ("x-request-id", id)]).unwrap().ticket;
+    assert_eq!(
+        (asked.correlation_id, asked.object, asked.part),
+        (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655, 3)
+    );
+    assert_eq!(
+        (asked.attempt, asked.group, asked.client_retry, asked.left),
+        (1, 0, false, Span::millis(3000))
+    );
+    let by_request = |id| call(&[PATH, ("x-request-id", id)]).unwrap().correlation_id;
     assert_eq!(by_request("a"), by_request("a"));
     assert_ne!(by_request("a"), by_request("b"));
     let timed = call(&[PATH, TICKET, ("x-envoy-expected-rq-timeout-ms", "900")]).unwrap();
@@ -43,10 +49,13 @@
 
 #[test]
 fn a_mark_counts_only_where_repeats_are_told_by_it() {
-    let mark = ("x-nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-    assert_eq!(call(&[PATH, TICKET, mark]).unwrap().mark, None);
+    let idempotency_key = ("x-nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+    assert_eq!(call(&[PATH, TICKET, idempotency_key]).unwrap().idempotency_key, None);
     let save = (":path", "/v1/store/saves/7f3a9c21e0b4d655/0");
-    assert_eq!(call(&[save, TICKET, mark]).unwrap().mark, Some(0x5c0f_6e1a_2b3d_4c59_a8b7_c6d5_e4f3_0211));
+    assert_eq!(
+        call(&[save, TICKET, idempotency_key]).unwrap().idempotency_key,
+        Some(0x5c0f_6e1a_2b3d_4c59_a8b7_c6d5_e4f3_0211)
+    );
     assert_eq!(call(&[save, TICKET]).unwrap_err().header, "x-nonce");
 }
 
@@ -56,13 +65,25 @@
         ask::report(&Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect()))
     };
     for (fields, verdict, note) in [
-        (&[(":status", "200"), ("x-remark", "piggy")][..], Verdict::Done, Note::Joined),
-        (&[(":status", "503"), ("x-shed", "1")], Verdict::Full, Note::Untold),
-        (&[(":status", "503")], Verdict::Broken, Note::Untold),
-        (&[(":status", "500"), ("x-remark", "bounced")], Verdict::Error, Note::SourceRefused),
-        (&[(":status", "503"), ("x-tindoor-failed", "unreachable")], Verdict::Unreachable, Note::Untold),
-        (&[(":status", "503"), ("x-tindoor-failed", "unused")], Verdict::Moot, Note::Untold),
-        (&[(":status", "404")], Verdict::Miss, Note::Untold),
+        (&[(":status", "200"), ("x-remark", "piggy")][..], AttemptStatus::Served, OutcomeDetail::JoinedFill),
+        (&[(":status", "503"), ("x-shed", "1")], AttemptStatus::Overloaded, OutcomeDetail::Unknown),
+        (&[(":status", "503")], AttemptStatus::Incomplete, OutcomeDetail::Unknown),
+        (
+            &[(":status", "500"), ("x-remark", "bounced")],
+            AttemptStatus::Error,
+            OutcomeDetail::SourceOverloaded,
+        ),
+        (
+            &[(":status", "503"), ("x-tindoor-failed", "unreachable")],
+            AttemptStatus::Unreachable,
+            OutcomeDetail::Unknown,
+        ),
+        (
+            &[(":status", "503"), ("x-tindoor-failed", "unused")],
+            AttemptStatus::Superseded,
+            OutcomeDetail::Unknown,
+        ),
+        (&[(":status", "404")], AttemptStatus::Miss, OutcomeDetail::Unknown),
     ] {
         let report = read(fields).unwrap();
         assert_eq!((report.verdict, report.note), (verdict, note), "{fields:?}");
@@ -77,11 +98,23 @@
 #[test]
 fn a_choice_names_what_the_cache_reads_and_takes_out_what_a_client_put_there() {
     let asked = call(&[PATH, TICKET]).unwrap();
-    let place = say::Place { cache: "c-1".into(), address: "10.0.0.1:80".into(), source: None };
-    let oldest = Some(Span::micros(300));
-    let terms = Terms { source: CacheNo(2), oldest, join: true, only_held: false, renew: true, rank: 2 };
-    let choice = Choice { nth: 4, cache: CacheNo(1), terms: Some(terms), wait: Span::millis(900) };
-    let fields = say::choice(&asked, &choice, &place, Span::millis(200), Span::millis(700));
+    let place = say::RoutingTarget { cache: "c-1".into(), address: "10.0.0.1:80".into(), source: None };
+    let max_age = Some(Span::micros(300));
+    let directives = FillDirectives {
+        source: EndpointId(2),
+        max_age,
+        join_fill: true,
+        only_if_cached: false,
+        refresh: true,
+        retention_rank: 2,
+    };
+    let decision = RoutingDecision {
+        nth: 4,
+        cache: EndpointId(1),
+        directives: Some(directives),
+        wait: Span::millis(900),
+    };
+    let fields = say::decision(&asked, &decision, &place, Span::millis(200), Span::millis(700));
     let field = |name: &str| fields.iter().find(|field| field.0 == name).map(|field| field.1.as_str());
     assert_eq!(
         (field("x-tier"), field("x-mode"), field("x-tindoor-nth")),
@@ -99,13 +132,14 @@
 
 #[test]
 fn a_refusal_tells_when_to_come_back_in_whole_seconds_and_in_milliseconds() {
-    let (status, fields) = say::refusal(&Say::TurnedBack(Some(Span::millis(1200)), Why::GivenUp)).unwrap();
+    let (status, fields) =
+        say::refusal(&CallReply::Rejected(Some(Span::millis(1200)), RefusalReason::GivenUp)).unwrap();
     assert_eq!(status, 503);
     assert!(fields.contains(&("retry-after", "2".to_string())));
     assert!(fields.contains(&("x-tindoor-pause-ms", "1200".to_string())));
-    assert_eq!(say::refusal(&Say::WrittenOff(Why::Ticket)).unwrap().0, 502);
-    assert_eq!(say::refusal(&Say::Known(Known { status: 0, version: 0 })).unwrap().0, 200);
-    assert!(say::refusal(&Say::PassOn).is_none());
+    assert_eq!(say::refusal(&CallReply::Failed(RefusalReason::Ticket)).unwrap().0, 502);
+    assert_eq!(say::refusal(&CallReply::Replayed(StoredResult { status: 0, version: 0 })).unwrap().0, 200);
+    assert!(say::refusal(&CallReply::PassThrough).is_none());
 }
 
 #[test]
@@ -149,8 +183,8 @@
     #[test]
     fn paths_of_any_kind_are_read_or_refused(path in "/?v1/store/[a-z]{0,6}/[0-9a-fA-F]{14,18}/[0-9/]{0,4}") {
         if let Ok(asked) = call(&[(":path", &path), TICKET]) {
-            let offering = &offerings()[usize::from(asked.offering)].name;
-            let again = format!("/v1/store/{offering}/{:016x}/{}", asked.object, asked.part);
+            let class = &classes()[usize::from(asked.class)].name;
+            let again = format!("/v1/store/{class}/{:016x}/{}", asked.object, asked.part);
             prop_assert_eq!(again, path.to_lowercase());
         }
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -5,23 +5,23 @@
 
 use std::fmt::Write;
 
-pub use outcome::{note, verdict};
+pub use outcome::{attempt_status, outcome_detail};
 
 /// A request to a cache. The texts go on as they came; the caller has seen to it that they are plain.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ask<'a> {
-    pub offering: &'a str,
+    pub class: &'a str,
     pub object: &'a str,
     pub part: &'a str,
-    pub ticket: &'a str,
+    pub correlation_id: &'a str,
     pub wait_ms: u64,
     pub nonce: Option<&'a str>,
     pub source: Option<&'a str>,
-    pub rank: u8,
-    pub oldest_ms: Option<u64>,
-    pub join: bool,
-    pub only_held: bool,
-    pub renew: bool,
+    pub retention_rank: u8,
+    pub max_age_ms: Option<u64>,
+    pub join_fill: bool,
+    pub only_if_cached: bool,
+    pub refresh: bool,
     pub client_tag: Option<&'a str>,
     pub body: usize,
 }
@@ -31,23 +31,23 @@
     /// the protocol knows no other method: a POST is answered 400, and every write is lost.
     pub fn head(&self) -> String {
         let mut out = String::with_capacity(320);
-        let Self { offering, object, part, ticket, wait_ms, .. } = self;
+        let Self { class, object, part, correlation_id, wait_ms, .. } = self;
         let _ = write!(
             out,
-            "GET /v1/store/{offering}/{object}/{part} HTTP/1.1\r\nHost: cache\r\n\
-             X-Ticket: {ticket}\r\nX-Max-Ms: {wait_ms}\r\n"
+            "GET /v1/store/{class}/{object}/{part} HTTP/1.1\r\nHost: cache\r\n\
+             X-Ticket: {correlation_id}\r\nX-Max-Ms: {wait_ms}\r\n"
         );
         let texts = [("X-Nonce", self.nonce), ("X-Source", self.source), ("X-Client-Tag", self.client_tag)];
         for (name, value) in texts.into_iter().filter_map(|(name, value)| Some((name, value?))) {
             let _ = write!(out, "{name}: {value}\r\n");
         }
-        if self.rank > 0 {
-            let _ = write!(out, "X-Tier: {}\r\n", self.rank);
+        if self.retention_rank > 0 {
+            let _ = write!(out, "X-Tier: {}\r\n", self.retention_rank);
         }
-        if let Some(oldest) = self.oldest_ms {
-            let _ = write!(out, "X-Accept-Age: {oldest}\r\n");
+        if let Some(max_age) = self.max_age_ms {
+            let _ = write!(out, "X-Accept-Age: {max_age}\r\n");
         }
-        let words = [(self.join, "j"), (self.only_held, "h"), (self.renew, "r")];
+        let words = [(self.join_fill, "j"), (self.only_if_cached, "h"), (self.refresh, "r")];
         let words: Vec<&str> = words.iter().filter(|word| word.0).map(|word| word.1).collect();
         if !words.is_empty() {
             let _ = write!(out, "X-Mode: {}\r\n", words.join("+"));
--- a/crates/http/src/outcome.rs
+++ b/crates/http/src/outcome.rs
@@ -1,33 +1,33 @@
-//! What an answer of a cache says of the dispatch.
+//! What an answer of a cache says of the attempt.
 
-use tindoor::host::{Note, Verdict};
+use tindoor::host::{AttemptStatus, OutcomeDetail};
 
 /// The verdict that a status stands for, with whether `X-Shed` is set; none for one that no page names.
-pub fn verdict(status: u16, shed: bool) -> Option<Verdict> {
+pub fn attempt_status(status: u16, shed: bool) -> Option<AttemptStatus> {
     match (status, shed) {
-        (200 | 304, _) => Some(Verdict::Done),
-        (404, _) => Some(Verdict::Miss),
-        (503, true) => Some(Verdict::Full),
-        (504, true) => Some(Verdict::Moot),
-        (500, _) => Some(Verdict::Error),
+        (200 | 304, _) => Some(AttemptStatus::Served),
+        (404, _) => Some(AttemptStatus::Miss),
+        (503, true) => Some(AttemptStatus::Overloaded),
+        (504, true) => Some(AttemptStatus::Superseded),
+        (500, _) => Some(AttemptStatus::Error),
         _ => None,
     }
 }
 
 /// The note that a remark stands for; none for one that no page names.
-pub fn note(remark: &str) -> Option<Note> {
+pub fn outcome_detail(remark: &str) -> Option<OutcomeDetail> {
     Some(match remark {
-        "" => Note::Untold,
-        "warm" => Note::Hit,
-        "fill" => Note::Filled,
-        "deep_fill" => Note::FilledByOrigin,
-        "piggy" => Note::Joined,
-        "aged" => Note::OldCopy,
-        "bounced" => Note::SourceRefused,
-        "dropped" => Note::SourceLost,
-        "lacking" => Note::SourceLacks,
-        "jammed" => Note::NoFillPlace,
-        "backfire" => Note::OriginFailed,
+        "" => OutcomeDetail::Unknown,
+        "warm" => OutcomeDetail::Hit,
+        "fill" => OutcomeDetail::FilledFromSource,
+        "deep_fill" => OutcomeDetail::FilledFromOrigin,
+        "piggy" => OutcomeDetail::JoinedFill,
+        "aged" => OutcomeDetail::StaleHit,
+        "bounced" => OutcomeDetail::SourceOverloaded,
+        "dropped" => OutcomeDetail::SourceUnreachable,
+        "lacking" => OutcomeDetail::SourceMiss,
+        "jammed" => OutcomeDetail::NoFillSlot,
+        "backfire" => OutcomeDetail::OriginFailed,
         _ => return None,
     })
 }
--- a/crates/http/tests/stories.rs
+++ b/crates/http/tests/stories.rs
@@ -82,17 +82,23 @@
 
 #[test]
 fn a_request_names_what_is_asked_and_nothing_else() {
-    let plain =
-        Ask { offering: "pages", object: "00ff", part: "3", ticket: "t", wait_ms: 900, ..Ask::default() };
+    let plain = Ask {
+        class: "pages",
+        object: "00ff",
+        part: "3",
+        correlation_id: "t",
+        wait_ms: 900,
+        ..Ask::default()
+    };
     let head = "GET /v1/store/pages/00ff/3 HTTP/1.1\r\nHost: cache\r\nX-Ticket: t\r\nX-Max-Ms: 900\r\n";
     assert_eq!(plain.head(), format!("{head}\r\n"));
     let full = Ask {
         nonce: Some("n"),
         source: Some("s-1"),
-        rank: 1,
-        oldest_ms: Some(5),
-        join: true,
-        only_held: true,
+        retention_rank: 1,
+        max_age_ms: Some(5),
+        join_fill: true,
+        only_if_cached: true,
         client_tag: Some("k"),
         body: 2,
         ..plain
--- a/crates/membership/src/clocks.rs
+++ b/crates/membership/src/clocks.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use tindoor::time::{Moment, Span};
 
-use crate::{Start, Terms};
+use crate::{Incarnation, Timings};
 
 /// A point in the fleet's time, in microseconds; may be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
 /// What one source last said of a clock: that clock less ours, when it was heard.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
-    by: Start,
+    by: Incarnation,
     off: Interval,
     at: Moment,
 }
@@ -73,7 +73,7 @@
 
 impl Readings {
     /// Where most of what was said meets, widened by what clocks may have drifted since.
-    fn best(&self, terms: &Terms, now: Moment) -> Option<Interval> {
+    fn best(&self, terms: &Timings, now: Moment) -> Option<Interval> {
         if self.agreed < SETTLED {
             return None;
         }
@@ -82,13 +82,13 @@
     }
 
     /// Whether a reading agrees with what was known; nothing was, if none.
-    fn agrees(&self, terms: &Terms, reading: &Reading) -> Option<bool> {
+    fn agrees(&self, terms: &Timings, reading: &Reading) -> Option<bool> {
         let aged = |r: &Reading| r.off.widened(terms.drift(reading.at.since(r.at)));
         let known = meeting(&self.last.iter().map(aged).collect::<Vec<_>>());
         known.map(|(known, _)| known.meets(reading.off))
     }
 
-    fn add(&mut self, terms: &Terms, reading: Reading) {
+    fn add(&mut self, terms: &Timings, reading: Reading) {
         if self.agrees(terms, &reading).unwrap_or(true) {
             self.agreed += 1;
         } else {
@@ -153,16 +153,16 @@
 /// The clocks of other processes, as read from here.
 #[derive(Debug, Default)]
 pub struct Clocks {
-    own: Start,
-    known: BTreeMap<Start, Readings>,
+    own: Incarnation,
+    known: BTreeMap<Incarnation, Readings>,
     /// Who gave the last answers of which nothing agreed with what was known.
-    doubts: Vec<Start>,
+    doubts: Vec<Incarnation>,
     /// When the own clock has jumped, and nothing has agreed since.
     upset: Option<Moment>,
 }
 
 impl Clocks {
-    pub fn of(own: Start) -> Self {
+    pub fn of(own: Incarnation) -> Self {
         Self { own, ..Self::default() }
     }
 
@@ -170,21 +170,21 @@
     /// `answered` are ours. The giver's own is told as 0 to 0.
     pub fn told(
         &mut self,
-        terms: &Terms,
-        by: Start,
+        terms: &Timings,
+        by: Incarnation,
         [asked, answered]: [Moment; 2],
         theirs: i64,
-        offsets: &[(Start, Interval)],
+        offsets: &[(Incarnation, Interval)],
     ) {
         let own = self.own;
-        let seen = |(clock, less_giver): &(Start, Interval)| {
+        let seen = |(clock, less_giver): &(Incarnation, Interval)| {
             let off = Interval {
                 low: less_giver.low.saturating_add(theirs).saturating_sub(micros(answered)),
                 high: less_giver.high.saturating_add(theirs).saturating_sub(micros(asked)),
             };
             (*clock != own && off.low <= off.high).then_some((*clock, Reading { by, off, at: answered }))
         };
-        let read: Vec<(Start, Reading)> = offsets.iter().filter_map(seen).collect();
+        let read: Vec<(Incarnation, Reading)> = offsets.iter().filter_map(seen).collect();
         let known = read.iter().filter_map(|(clock, reading)| self.known.get(clock)?.agrees(terms, reading));
         let (agreed, not) =
             known.fold((0, 0), |(a, n), agrees| (a + u32::from(agrees), n + u32::from(!agrees)));
@@ -213,12 +213,12 @@
     }
 
     /// Keeps only these: memory stays bounded.
-    pub fn keep(&mut self, which: impl Fn(Start) -> bool) {
+    pub fn keep(&mut self, which: impl Fn(Incarnation) -> bool) {
         self.known.retain(|clock, _| which(*clock));
     }
 
     /// What to tell others: that clock less ours, now.
-    pub fn offset(&self, terms: &Terms, clock: Start, now: Moment) -> Option<Interval> {
+    pub fn offset(&self, terms: &Timings, clock: Incarnation, now: Moment) -> Option<Interval> {
         if clock == self.own {
             return Some(Interval { low: 0, high: 0 });
         }
@@ -228,8 +228,14 @@
     /// The fleet's time now, from the agreed clocks: `agreed` says of each how far it is ahead of the fleet's
     /// time. It is surely within as long as no more than one of them is wrong, or of five no more than two; a lone clock
     /// is believed. None unless more than half of them can be read and all but as many meet.
-    pub fn time(&self, terms: &Terms, agreed: &BTreeMap<Start, i64>, now: Moment) -> Option<Interval> {
-        let ahead = |(clock, ahead): (&Start, &i64)| Some(self.offset(terms, *clock, now)?.moved(-ahead));
+    pub fn time(
+        &self,
+        terms: &Timings,
+        agreed: &BTreeMap<Incarnation, i64>,
+        now: Moment,
+    ) -> Option<Interval> {
+        let ahead =
+            |(clock, ahead): (&Incarnation, &i64)| Some(self.offset(terms, *clock, now)?.moved(-ahead));
         let offsets: Vec<Interval> = agreed.iter().filter_map(ahead).collect();
         if 2 * offsets.len() <= agreed.len() {
             return None;
@@ -241,9 +247,9 @@
     /// How far that clock is off what is agreed of it, where that is surely more than the bound.
     pub fn strays(
         &self,
-        terms: &Terms,
-        agreed: &BTreeMap<Start, i64>,
-        clock: Start,
+        terms: &Timings,
+        agreed: &BTreeMap<Incarnation, i64>,
+        clock: Incarnation,
         now: Moment,
     ) -> Option<i64> {
         let time = self.time(terms, agreed, now)?;
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -5,11 +5,11 @@
 
 use tindoor::time::{Moment, Span};
 
-use crate::{Start, Terms};
+use crate::{Incarnation, Timings};
 
 /// Somebody's word that it was at that index, no earlier than then by our clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Word {
+pub struct Confirmation {
     pub index: u64,
     pub at: Moment,
 }
@@ -18,16 +18,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lease {
     /// The voters' word of the newest kind, and the last that was at or before the own index.
-    newest: Option<Word>,
+    newest: Option<Confirmation>,
     voters: Option<Moment>,
     /// The last word of each peer, at whatever index it was.
-    peers: BTreeMap<Start, Word>,
+    peers: BTreeMap<Incarnation, Confirmation>,
     until: Option<Moment>,
 }
 
 impl Lease {
     /// The voters' word: that index was all that was agreed, no earlier than then.
-    pub fn voters(&mut self, terms: &Terms, own: u64, word: Word) {
+    pub fn voters(&mut self, terms: &Timings, own: u64, word: Confirmation) {
         if self.newest.is_none_or(|known| known.at <= word.at) {
             self.newest = Some(word);
         }
@@ -39,7 +39,7 @@
     }
 
     /// A peer's word, direct or passed on.
-    pub fn peer(&mut self, peer: Start, word: Word) {
+    pub fn peer(&mut self, peer: Incarnation, word: Confirmation) {
         let known = self.peers.entry(peer).or_insert(word);
         if (known.index, known.at) < (word.index, word.at) {
             *known = word;
@@ -50,18 +50,18 @@
     /// index, `open` says that no change waits for its decision there.
     pub fn reckon<'a>(
         &mut self,
-        terms: &Terms,
-        own: Word,
+        terms: &Timings,
+        own: Confirmation,
         open: bool,
-        listed: impl ExactSizeIterator<Item = &'a Start>,
-        me: Start,
+        listed: impl ExactSizeIterator<Item = &'a Incarnation>,
+        me: Incarnation,
     ) {
         if let Some(word) = self.newest {
             self.voters(terms, own.index, word);
         }
         let Some(voters) = self.voters.filter(|_| open) else { return };
         let more_than_half = listed.len() / 2 + 1;
-        let said = |start: &Start| self.peers.get(start).filter(|word| word.index == own.index);
+        let said = |start: &Incarnation| self.peers.get(start).filter(|word| word.index == own.index);
         let mut moments: Vec<Moment> = listed
             .filter_map(|start| if *start == me { Some(own.at) } else { Some(said(start)?.at) })
             .collect();
@@ -74,12 +74,12 @@
         self.reach(terms, (since + terms.lease).min(voters + terms.hold_out));
     }
 
-    fn reach(&mut self, terms: &Terms, until: Moment) {
+    fn reach(&mut self, terms: &Timings, until: Moment) {
         let until = until - terms.drift(terms.lease);
         self.until = self.until.max(Some(until));
     }
 
-    /// Whether new views may be taken now.
+    /// Whether new requests may be taken now.
     pub fn holds(&self, now: Moment) -> bool {
         self.until.is_some_and(|until| now < until)
     }
@@ -90,14 +90,14 @@
     }
 
     /// The voters' last word, for telling others.
-    pub fn newest(&self) -> Option<Word> {
+    pub fn newest(&self) -> Option<Confirmation> {
         self.newest
     }
 
     /// Words of peers at that index, the freshest first; at most so many.
-    pub fn words(&self, index: u64, most: usize) -> Vec<(Start, Moment)> {
+    pub fn words(&self, index: u64, most: usize) -> Vec<(Incarnation, Moment)> {
         let at_index = self.peers.iter().filter(|(_, word)| word.index == index);
-        let mut words: Vec<(Start, Moment)> = at_index.map(|(start, word)| (*start, word.at)).collect();
+        let mut words: Vec<(Incarnation, Moment)> = at_index.map(|(start, word)| (*start, word.at)).collect();
         words.sort_unstable_by_key(|(start, at)| (std::cmp::Reverse(*at), *start));
         words.truncate(most);
         words
@@ -109,7 +109,7 @@
     }
 
     /// Keeps only the words of these: memory stays bounded.
-    pub fn keep(&mut self, which: impl Fn(Start) -> bool) {
+    pub fn keep(&mut self, which: impl Fn(Incarnation) -> bool) {
         self.peers.retain(|start, _| which(*start));
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,27 +1,27 @@
-//! Routers of one fleet, as one of them knows them: who is listed ([`Roll`]), how long what it knows surely
+//! Routers of one fleet, as one of them knows them: who is listed ([`MemberList`]), how long what it knows surely
 //! still holds ([`Lease`]), what time it is for all ([`Clocks`]), and who has been silent for longer than is
-//! usual ([`Silence`]). Nothing here does I/O, reads a clock or draws lots.
+//! usual ([`FailureDetector`]). Nothing here does I/O, reads a clock or draws lots.
 //!
 //! What is promised with them, and on which assumptions, is in `docs/design/policy.md`.
 
 mod clocks;
+mod failure_detector;
 mod lease;
-mod roll;
-mod silence;
+mod member_list;
 
 pub use clocks::{Clocks, FleetTime, Interval};
-pub use lease::{Lease, Word};
-pub use roll::{Listed, Roll};
-pub use silence::Silence;
+pub use failure_detector::FailureDetector;
+pub use lease::{Confirmation, Lease};
+pub use member_list::{Member, MemberList};
 
 use serde::{Deserialize, Serialize};
 use tindoor::time::Span;
 
 /// One start of a router's process: 64 random bits, never used again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Start(pub u64);
+pub struct Incarnation(pub u64);
 
-impl std::fmt::Display for Start {
+impl std::fmt::Display for Incarnation {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(out, "{:016x}", self.0)
     }
@@ -29,7 +29,7 @@
 
 /// What all routers of a fleet must be told alike, since promises are reckoned with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Timings {
     /// How long a router may go by what it surely knew.
     pub lease: Span,
     /// How long a fleet goes on without its voters.
@@ -42,7 +42,7 @@
     pub drift_ppm: u64,
 }
 
-impl Terms {
+impl Timings {
     /// Says which term can't stand beside which.
     pub fn check(&self) -> Result<(), String> {
         let Self { lease, hold_out, bound, beat, drift_ppm } = *self;
--- a/crates/membership/src/roll.rs
+++ b/crates/membership/src/member_list.rs
@@ -5,16 +5,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Start;
+use crate::Incarnation;
 
 /// A router as the agreed list has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct Member {
     pub name: String,
     /// Where its peers reach it.
     pub address: String,
     /// Its number among voters, where it can be one: that of its folder, or of its start without one.
-    pub seat: Option<u64>,
+    pub replica_id: Option<u64>,
     /// Its location, by its place in the deployment's list.
     pub location: u16,
 }
@@ -24,54 +24,56 @@
 struct Step {
     /// The index at which it was agreed.
     index: u64,
-    came: Option<Start>,
-    went: Vec<Start>,
+    came: Option<Incarnation>,
+    went: Vec<Incarnation>,
 }
 
 /// The list of routers as agreed up to some index, and the steps from the oldest list that may still be held.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roll {
-    listed: Arc<BTreeMap<Start, Listed>>,
+pub struct MemberList {
+    listed: Arc<BTreeMap<Incarnation, Member>>,
     steps: VecDeque<Step>,
     /// Routers that are proved to have ended: they hold no list.
-    ended: BTreeSet<Start>,
+    ended: BTreeSet<Incarnation>,
 }
 
-impl Roll {
+impl MemberList {
     /// A first list, which supersedes none.
-    pub fn of(listed: BTreeMap<Start, Listed>) -> Self {
+    pub fn of(listed: BTreeMap<Incarnation, Member>) -> Self {
         Self { listed: Arc::new(listed), ..Self::default() }
     }
 
-    pub fn listed(&self) -> &BTreeMap<Start, Listed> {
+    pub fn listed(&self) -> &BTreeMap<Incarnation, Member> {
         &self.listed
     }
 
-    pub fn get(&self, start: Start) -> Option<&Listed> {
+    pub fn get(&self, start: Incarnation) -> Option<&Member> {
         self.listed.get(&start)
     }
 
-    pub fn has(&self, start: Start) -> bool {
+    pub fn has(&self, start: Incarnation) -> bool {
         self.listed.contains_key(&start)
     }
 
     /// The start that is listed under that name.
-    pub fn named(&self, name: &str) -> Option<Start> {
+    pub fn named(&self, name: &str) -> Option<Incarnation> {
         self.listed.iter().find(|(_, listed)| listed.name == name).map(|(start, _)| *start)
     }
 
     /// How many processes may still act as listed ones: the listed, and those of lists that some may still hold.
     pub fn possible(&self) -> usize {
-        let went: BTreeSet<Start> = self.steps.iter().flat_map(|step| step.went.iter().copied()).collect();
+        let went: BTreeSet<Incarnation> =
+            self.steps.iter().flat_map(|step| step.went.iter().copied()).collect();
         let gone = went.iter().filter(|start| !self.has(**start) && !self.ended.contains(start));
         self.listed.len() + gone.count()
     }
 
     /// A router joins; whoever had its name, or its seat, goes. With `after`, that one is proved to have ended.
-    pub fn join(&mut self, index: u64, start: Start, listed: Listed, after: Option<Start>) {
-        let same =
-            |known: &Listed| known.name == listed.name || known.seat.is_some() && known.seat == listed.seat;
-        let went: Vec<Start> =
+    pub fn join(&mut self, index: u64, start: Incarnation, listed: Member, after: Option<Incarnation>) {
+        let same = |known: &Member| {
+            known.name == listed.name || known.replica_id.is_some() && known.replica_id == listed.replica_id
+        };
+        let went: Vec<Incarnation> =
             self.listed.iter().filter(|(_, known)| same(known)).map(|(start, _)| *start).collect();
         if went == [start] && self.listed[&start] == listed {
             return;
@@ -79,8 +81,9 @@
         let members = Arc::make_mut(&mut self.listed);
         went.iter().for_each(|gone| drop(members.remove(gone)));
         members.insert(start, listed);
-        let held =
-            |gone: &Start| went.contains(gone) || self.steps.iter().any(|step| step.went.contains(gone));
+        let held = |gone: &Incarnation| {
+            went.contains(gone) || self.steps.iter().any(|step| step.went.contains(gone))
+        };
         if let Some(after) = after.filter(|after| *after != start && held(after)) {
             self.ended.insert(after);
         }
@@ -88,8 +91,8 @@
         self.steps.push_back(Step { index, came: Some(start), went });
     }
 
-    /// A router leaves, or is forgotten; `ended` says that it is proved to take no more views.
-    pub fn leave(&mut self, index: u64, start: Start, ended: bool) {
+    /// A router leaves, or is forgotten; `ended` says that it is proved to take no more requests.
+    pub fn leave(&mut self, index: u64, start: Incarnation, ended: bool) {
         if self.has(start) {
             Arc::make_mut(&mut self.listed).remove(&start);
             self.steps.push_back(Step { index, came: None, went: vec![start] });
@@ -115,9 +118,9 @@
     /// Of every list that some router may hold that is not yet at `index`, whether half `know`: those that do not are
     /// no more than half then, and it takes more to go on by each other's words. Says at which index the newest list
     /// was superseded that fails; all older ones end earlier.
-    pub fn most_know(&self, index: u64, know: impl Fn(Start) -> bool) -> Result<(), u64> {
-        let knows = |start: Start| know(start) || self.ended.contains(&start);
-        let mut members: BTreeSet<Start> = self.listed.keys().copied().collect();
+    pub fn most_know(&self, index: u64, know: impl Fn(Incarnation) -> bool) -> Result<(), u64> {
+        let knows = |start: Incarnation| know(start) || self.ended.contains(&start);
+        let mut members: BTreeSet<Incarnation> = self.listed.keys().copied().collect();
         let mut knowing = members.iter().filter(|start| knows(**start)).count();
         let mut superseded = index;
         let mut steps = self.steps.iter().rev().peekable();
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -6,10 +6,10 @@
 
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 use tindoor::time::{Moment, Span};
-use tindoor_membership::{Lease, Listed, Roll, Start, Terms, Word};
+use tindoor_membership::{Confirmation, Incarnation, Lease, Member, MemberList, Timings};
 
 /// One tick of the model is a second.
-const TERMS: Terms = Terms {
+const TERMS: Timings = Timings {
     lease: Span::millis(2000),
     hold_out: Span::millis(4000),
     bound: Span::millis(1),
@@ -90,9 +90,12 @@
 
 impl Play {
     fn may_decide(&self, fleet: &Fleet) -> bool {
-        let listed = |no| Listed { name: format!("{no}"), address: String::new(), seat: None, location: 0 };
-        let roll = Roll::of((0..self.routers).map(|no| (Start(no), listed(no))).collect::<BTreeMap<_, _>>());
-        let most = roll.most_know(10, |start| fleet.answered.contains(&start.0)).is_ok();
+        let listed =
+            |no| Member { name: format!("{no}"), address: String::new(), replica_id: None, location: 0 };
+        let member_list = MemberList::of(
+            (0..self.routers).map(|no| (Incarnation(no), listed(no))).collect::<BTreeMap<_, _>>(),
+        );
+        let most = member_list.most_know(10, |start| fleet.answered.contains(&start.0)).is_ok();
         !self.waits || most || at(fleet.now).since(at(fleet.proposed)) > TERMS.hold_out
     }
 }
@@ -104,7 +107,9 @@
     fn init_states(&self) -> Vec<Fleet> {
         let mut routers = vec![Router::default(); self.routers as usize];
         // All have just heard the voters.
-        routers.iter_mut().for_each(|router| router.lease.voters(&TERMS, 0, Word { index: 0, at: at(0) }));
+        routers
+            .iter_mut()
+            .for_each(|router| router.lease.voters(&TERMS, 0, Confirmation { index: 0, at: at(0) }));
         let (log, answered) = (Vec::new(), BTreeSet::new());
         vec![Fleet { now: 0, log, on_its_way: None, proposed: 0, answered, routers }]
     }
@@ -145,7 +150,11 @@
                 let router = &mut fleet.routers[no];
                 router.index = index;
                 if !quiet {
-                    router.lease.voters(&TERMS, index as u64, Word { index: index as u64, at: at(now) });
+                    router.lease.voters(
+                        &TERMS,
+                        index as u64,
+                        Confirmation { index: index as u64, at: at(now) },
+                    );
                 }
             }
             Act::AskPeer(no, other) => {
@@ -159,15 +168,15 @@
                 }
                 if vouches {
                     let index = index as u64;
-                    router.lease.peer(Start(other as u64), Word { index, at: at(now) });
+                    router.lease.peer(Incarnation(other as u64), Confirmation { index, at: at(now) });
                     for (peer, at) in lease.words(index, 8) {
-                        router.lease.peer(peer, Word { index, at });
+                        router.lease.peer(peer, Confirmation { index, at });
                     }
                 }
-                let own = Word { index: router.index as u64, at: at(now) };
-                let all: Vec<Start> = (0..self.routers).map(Start).collect();
+                let own = Confirmation { index: router.index as u64, at: at(now) };
+                let all: Vec<Incarnation> = (0..self.routers).map(Incarnation).collect();
                 let open = !self.open || open(&known);
-                router.lease.reckon(&TERMS, own, open, all.iter(), Start(no as u64));
+                router.lease.reckon(&TERMS, own, open, all.iter(), Incarnation(no as u64));
             }
             Act::Answer(no) => drop(fleet.answered.insert(no as u64)),
             Act::Propose => {
@@ -207,7 +216,7 @@
 const BROKEN: &str = "no view is decided by a policy that another has replaced";
 
 #[test]
-fn no_view_is_decided_by_a_policy_that_another_has_replaced() {
+fn no_request_is_decided_by_a_policy_that_another_has_replaced() {
     // All that can happen in so many steps; and longer ways by lot, until so many states were seen.
     let checked = WHOLE.checker().threads(2).target_max_depth(6).spawn_bfs().join();
     checked.assert_no_discovery(BROKEN);
--- a/crates/membership/tests/stories.rs
+++ b/crates/membership/tests/stories.rs
@@ -4,9 +4,11 @@
 
 use proptest::prelude::*;
 use tindoor::time::{Moment, Span};
-use tindoor_membership::{Clocks, Interval, Lease, Listed, Roll, Silence, Start, Terms, Word};
+use tindoor_membership::{
+    Clocks, Confirmation, FailureDetector, Incarnation, Interval, Lease, Member, MemberList, Timings,
+};
 
-const TERMS: Terms = Terms {
+const TERMS: Timings = Timings {
     lease: Span::millis(2000),
     hold_out: Span::millis(20_000),
     bound: Span::millis(50),
@@ -18,12 +20,12 @@
     Moment::at_micros(1_000_000_000 + ms * 1000)
 }
 
-fn word(index: u64, ms: u64) -> Word {
-    Word { index, at: at(ms) }
+fn word(index: u64, ms: u64) -> Confirmation {
+    Confirmation { index, at: at(ms) }
 }
 
-fn listed(no: u64) -> Listed {
-    Listed { name: format!("n{no}"), address: format!("a{no}"), seat: Some(no), location: 0 }
+fn listed(no: u64) -> Member {
+    Member { name: format!("n{no}"), address: format!("a{no}"), replica_id: Some(no), location: 0 }
 }
 
 #[test]
@@ -41,19 +43,19 @@
     let mut lease = Lease::default();
     lease.voters(&TERMS, 7, word(8, 0));
     assert!(!lease.holds(at(1)));
-    let all = [Start(1)];
-    lease.reckon(&TERMS, word(8, 100), true, all.iter(), Start(1));
+    let all = [Incarnation(1)];
+    lease.reckon(&TERMS, word(8, 100), true, all.iter(), Incarnation(1));
     assert!(lease.holds(at(1900)), "now it is known");
 }
 
 #[test]
 fn more_than_half_of_the_list_go_on_without_voters_until_the_hold_out() {
-    let all: Vec<Start> = (1..=5).map(Start).collect();
+    let all: Vec<Incarnation> = (1..=5).map(Incarnation).collect();
     let mut lease = Lease::default();
     lease.voters(&TERMS, 3, word(3, 0));
     let mut reckon = |ms: u64, peers: &[u64], open: bool| {
-        peers.iter().for_each(|peer| lease.peer(Start(*peer), word(3, ms)));
-        lease.reckon(&TERMS, word(3, ms), open, all.iter(), Start(1));
+        peers.iter().for_each(|peer| lease.peer(Incarnation(*peer), word(3, ms)));
+        lease.reckon(&TERMS, word(3, ms), open, all.iter(), Incarnation(1));
         lease.holds(at(ms + 1900))
     };
     assert!(!reckon(1000, &[2], true), "two of five are not more than half");
@@ -65,42 +67,46 @@
 
 #[test]
 fn peers_at_another_index_vouch_for_nothing() {
-    let all: Vec<Start> = (1..=3).map(Start).collect();
+    let all: Vec<Incarnation> = (1..=3).map(Incarnation).collect();
     let mut lease = Lease::default();
     lease.voters(&TERMS, 3, word(3, 0));
-    lease.peer(Start(2), word(4, 1500));
-    lease.peer(Start(3), word(4, 1500));
-    lease.reckon(&TERMS, word(3, 1500), true, all.iter(), Start(1));
+    lease.peer(Incarnation(2), word(4, 1500));
+    lease.peer(Incarnation(3), word(4, 1500));
+    lease.reckon(&TERMS, word(3, 1500), true, all.iter(), Incarnation(1));
     assert!(!lease.holds(at(2000)), "they know something that is not known here");
 }
 
 #[test]
 fn no_list_that_may_still_be_held_is_passed_over() {
-    let mut roll = Roll::of((1..=3).map(|no| (Start(no), listed(no))).collect());
-    (4..=10).for_each(|no| roll.join(no, Start(no), listed(no), None));
+    let mut member_list = MemberList::of((1..=3).map(|no| (Incarnation(no), listed(no))).collect());
+    (4..=10).for_each(|no| member_list.join(no, Incarnation(no), listed(no), None));
     // Two of the first three are cut off and hold the first list: more than half of it.
-    let knows = |start: Start| ![Start(1), Start(2)].contains(&start);
-    assert_eq!(roll.most_know(20, knows), Err(4), "eight of ten know, but only one of the first three");
-    roll.retire(4);
+    let knows = |start: Incarnation| ![Incarnation(1), Incarnation(2)].contains(&start);
+    assert_eq!(
+        member_list.most_know(20, knows),
+        Err(4),
+        "eight of ten know, but only one of the first three"
+    );
+    member_list.retire(4);
     assert_eq!(
-        roll.most_know(20, knows),
+        member_list.most_know(20, knows),
         Ok(()),
         "nobody holds that list any more, and two of four are not more than half"
     );
-    assert_eq!(roll.most_know(20, |start| start.0 > 6), Err(20), "six of ten are");
+    assert_eq!(member_list.most_know(20, |start| start.0 > 6), Err(20), "six of ten are");
 }
 
 #[test]
 fn one_that_is_proved_to_have_ended_holds_no_list() {
-    let first = || Roll::of((1..=3).map(|no| (Start(no), listed(no))).collect());
-    let mut roll = first();
-    roll.join(4, Start(11), listed(1), Some(Start(1)));
-    roll.join(5, Start(12), listed(2), None);
-    assert_eq!(roll.listed().len(), 3);
-    assert_eq!(roll.most_know(20, |start| start.0 == 3 || start.0 > 10), Ok(()));
+    let first = || MemberList::of((1..=3).map(|no| (Incarnation(no), listed(no))).collect());
+    let mut member_list = first();
+    member_list.join(4, Incarnation(11), listed(1), Some(Incarnation(1)));
+    member_list.join(5, Incarnation(12), listed(2), None);
+    assert_eq!(member_list.listed().len(), 3);
+    assert_eq!(member_list.most_know(20, |start| start.0 == 3 || start.0 > 10), Ok(()));
     let mut silent = first();
-    silent.join(4, Start(11), listed(1), None);
-    silent.join(5, Start(12), listed(2), None);
+    silent.join(4, Incarnation(11), listed(1), None);
+    silent.join(5, Incarnation(12), listed(2), None);
     assert!(silent.most_know(20, |start| start.0 == 3 || start.0 > 10).is_err(), "silence is not death");
 }
 
@@ -110,17 +116,18 @@
     let jump = |clock| if clock == 2 { jumped } else { 0 };
     let theirs = |ms: u64| (1_000_000_000 + ms * 1000) as i64 + off + jump(by);
     let offset = |clock| jump(clock) - jump(by);
-    let offsets = [1, 2, 3].map(|clock| (Start(clock), Interval { low: offset(clock), high: offset(clock) }));
-    clocks.told(&TERMS, Start(by), [at(ms), at(ms + 2)], theirs(ms + 1), &offsets);
+    let offsets =
+        [1, 2, 3].map(|clock| (Incarnation(clock), Interval { low: offset(clock), high: offset(clock) }));
+    clocks.told(&TERMS, Incarnation(by), [at(ms), at(ms + 2)], theirs(ms + 1), &offsets);
 }
 
-fn agreed() -> BTreeMap<Start, i64> {
-    (1..=3).map(|voter| (Start(voter), 0)).collect()
+fn agreed() -> BTreeMap<Incarnation, i64> {
+    (1..=3).map(|voter| (Incarnation(voter), 0)).collect()
 }
 
 #[test]
 fn round_trips_bound_the_time_and_age_widens_it() {
-    let mut clocks = Clocks::of(Start(9));
+    let mut clocks = Clocks::of(Incarnation(9));
     for ms in [0, 250, 500] {
         (1..=3).for_each(|by| read(&mut clocks, ms, by, 777_000, 0));
     }
@@ -133,7 +140,7 @@
 
 #[test]
 fn one_clock_that_jumps_is_outvoted() {
-    let mut clocks = Clocks::of(Start(9));
+    let mut clocks = Clocks::of(Incarnation(9));
     for ms in (0..3000).step_by(250) {
         let jumped = if ms >= 1000 { 900_000 } else { 0 };
         (1..=3).for_each(|by| read(&mut clocks, ms, by, 0, jumped));
@@ -146,7 +153,7 @@
         }
     }
     assert!(clocks.upset().is_none(), "its own clock is not to blame");
-    let strays = clocks.strays(&TERMS, &agreed(), Start(2), at(3000)).expect("it is over the bound");
+    let strays = clocks.strays(&TERMS, &agreed(), Incarnation(2), at(3000)).expect("it is over the bound");
     assert!((strays - 900_000).abs() < 5_000);
 }
 
@@ -155,14 +162,14 @@
 #[test]
 fn a_clock_that_is_off_by_less_than_the_others_can_be_read_is_not_believed() {
     for voters in 2..=3 {
-        let mut clocks = Clocks::of(Start(1));
-        let agreed: BTreeMap<Start, i64> = (1..=voters).map(|voter| (Start(voter), 0)).collect();
+        let mut clocks = Clocks::of(Incarnation(1));
+        let agreed: BTreeMap<Incarnation, i64> = (1..=voters).map(|voter| (Incarnation(voter), 0)).collect();
         // Its own is 100 ms behind, and others' answers take 300 ms.
         for ms in [0, 400, 800] {
             for by in 2..=voters {
                 let theirs = (1_000_000_000 + (ms + 150) * 1000 + 100_000) as i64;
-                let own = [(Start(by), Interval { low: 0, high: 0 })];
-                clocks.told(&TERMS, Start(by), [at(ms), at(ms + 300)], theirs, &own);
+                let own = [(Incarnation(by), Interval { low: 0, high: 0 })];
+                clocks.told(&TERMS, Incarnation(by), [at(ms), at(ms + 300)], theirs, &own);
             }
         }
         let time = clocks.time(&TERMS, &agreed, at(1100)).expect("they meet");
@@ -173,7 +180,7 @@
 
 #[test]
 fn a_router_whose_own_clock_jumps_finds_out_at_the_second_answer() {
-    let mut clocks = Clocks::of(Start(9));
+    let mut clocks = Clocks::of(Incarnation(9));
     for ms in [0, 250, 500] {
         (1..=3).for_each(|by| read(&mut clocks, ms, by, 0, 0));
     }
@@ -191,10 +198,10 @@
 
 #[test]
 fn silence_is_measured_by_what_is_usual() {
-    let mut silence = Silence::default();
-    assert_eq!(silence.of(Start(1), at(0), TERMS.beat), None);
-    (0..10).for_each(|nth| silence.heard(Start(1), at(nth * 1000)));
-    let usual = silence.of(Start(1), at(12_000), TERMS.beat).expect("it was heard");
+    let mut failure_detector = FailureDetector::default();
+    assert_eq!(failure_detector.of(Incarnation(1), at(0), TERMS.beat), None);
+    (0..10).for_each(|nth| failure_detector.heard(Incarnation(1), at(nth * 1000)));
+    let usual = failure_detector.of(Incarnation(1), at(12_000), TERMS.beat).expect("it was heard");
     assert!(
         (2.9..3.1).contains(&usual),
         "one that always takes a second is not suspect after three: {usual}"
@@ -204,9 +211,9 @@
 #[test]
 fn terms_that_can_not_stand_beside_each_other_are_named() {
     assert_eq!(TERMS.check(), Ok(()));
-    let short = Terms { lease: Span::millis(500), ..TERMS };
+    let short = Timings { lease: Span::millis(500), ..TERMS };
     assert!(short.check().unwrap_err().starts_with("lease_ms"));
-    let loose = Terms { drift_ppm: 9_999, lease: Span::millis(20_000), ..TERMS };
+    let loose = Timings { drift_ppm: 9_999, lease: Span::millis(20_000), ..TERMS };
     assert!(loose.check().unwrap_err().starts_with("drift_ppm"));
 }
 
@@ -217,20 +224,20 @@
         steps in prop::collection::vec((0u64..8, any::<bool>()), 1..24),
         knowing in prop::collection::btree_set(0u64..40, 0..40),
     ) {
-        let mut roll = Roll::default();
-        let mut lists: Vec<BTreeSet<Start>> = Vec::new();
+        let mut member_list = MemberList::default();
+        let mut lists: Vec<BTreeSet<Incarnation>> = Vec::new();
         for (nth, (name, comes)) in steps.iter().enumerate() {
-            let start = Start(nth as u64);
-            match (comes, roll.named(&format!("n{name}"))) {
-                (false, Some(known)) => roll.leave(nth as u64 + 1, known, false),
-                _ => roll.join(nth as u64 + 1, start, listed(*name), None),
+            let start = Incarnation(nth as u64);
+            match (comes, member_list.named(&format!("n{name}"))) {
+                (false, Some(known)) => member_list.leave(nth as u64 + 1, known, false),
+                _ => member_list.join(nth as u64 + 1, start, listed(*name), None),
             }
-            lists.push(roll.listed().keys().copied().collect());
+            lists.push(member_list.listed().keys().copied().collect());
         }
-        let knows = |start: Start| knowing.contains(&start.0);
+        let knows = |start: Incarnation| knowing.contains(&start.0);
         let live_on_each_other = lists.iter().any(|list| {
             2 * list.iter().filter(|start| !knows(**start)).count() > list.len()
         });
-        prop_assert_eq!(roll.most_know(100, knows).is_ok(), !live_on_each_other);
+        prop_assert_eq!(member_list.most_know(100, knows).is_ok(), !live_on_each_other);
     }
 }
