--- a/crates/policy/src/agreed.rs
+++ b/crates/policy/src/agreed.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use tindoor_membership::{FleetTime, Listed, Roll, Start};
+use tindoor_membership::{FleetTime, Incarnation, Member, MemberList};
 
 use crate::Policy;
 
@@ -33,20 +33,20 @@
 
 /// One entry of the agreed log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum LogEntry {
     /// The first of a fleet: its number and the policy that it begins with.
     Found {
         fleet: u64,
         policy: Policy,
-        seat: u64,
+        replica_id: u64,
     },
     Join {
-        start: Start,
-        listed: Listed,
-        after: Option<Start>,
+        start: Incarnation,
+        listed: Member,
+        after: Option<Incarnation>,
     },
     Leave {
-        start: Start,
+        start: Incarnation,
         ended: bool,
     },
     /// Lists that were superseded at or before that index are held by nobody any more.
@@ -57,12 +57,12 @@
     Nothing,
     /// Who votes from here on, by seats, and who does as well until the next of these.
     Voters {
-        seats: Vec<u64>,
+        replica_ids: Vec<u64>,
         leaving: Vec<u64>,
     },
     /// A voter's clock is so far ahead of the fleet's time; none, and it is no longer one of its clocks.
     Clock {
-        of: Start,
+        of: Incarnation,
         ahead: Option<i64>,
     },
     Propose(Proposal),
@@ -87,7 +87,7 @@
 
 /// A change under way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Staged {
+pub struct StagedChange {
     pub version: Version,
     pub token: u64,
     pub undoes: Option<u64>,
@@ -101,7 +101,7 @@
 
 /// How a change ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum ProposalOutcome {
     /// It never was one: what it was made from was no longer in force, or another was under way.
     Refused(String),
     CalledOff(String),
@@ -110,7 +110,7 @@
 
 /// A change that is over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastProposal {
     pub token: u64,
     /// None for one that was refused.
     pub generation: Option<u64>,
@@ -119,14 +119,14 @@
     pub by: String,
     pub note: String,
     pub undoes: Option<u64>,
-    pub end: End,
+    pub end: ProposalOutcome,
 }
 
 /// What an entry has led to, for logs and for whoever waits.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
-    Listed(Start),
-    Unlisted(Start),
+pub enum Transition {
+    Joined(Incarnation),
+    Removed(Incarnation),
     Proposed(u64),
     Refused(u64, String),
     Decided(u64, FleetTime),
@@ -143,26 +143,26 @@
 
 /// All that is agreed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct AgreedState {
     /// The fleet's number; 0 before it is founded.
     pub fleet: u64,
     /// How many entries lead to this.
     pub index: u64,
-    pub roll: Roll,
+    pub members: MemberList,
     /// The seats of the voters.
     pub voters: Vec<u64>,
     /// Those before, while both must agree to anything.
     pub leaving: Vec<u64>,
     /// Who last had each of them, and where that one is reached: also one that is listed no more, as its vote may be
     /// what it takes to list it again.
-    pub seats: BTreeMap<u64, (Start, String)>,
+    pub replica_ids: BTreeMap<u64, (Incarnation, String)>,
     /// How far each voter's clock is ahead of the fleet's time, in microseconds.
-    pub clocks: BTreeMap<Start, i64>,
+    pub clocks: BTreeMap<Incarnation, i64>,
     pub in_force: Option<Version>,
-    pub staged: Option<Staged>,
+    pub staged: Option<StagedChange>,
     /// The generation on probation, and the one before it.
     pub probation: Option<(u64, Version)>,
-    pub past: VecDeque<Past>,
+    pub past: VecDeque<PastProposal>,
     /// The last generation that was given.
     last: u64,
     /// Whether a proposal must be made from what is in force: always, but in an experiment that takes the
@@ -175,19 +175,19 @@
     true
 }
 
-impl Agreed {
+impl AgreedState {
     pub fn new() -> Self {
         Self { compares: true, ..Self::default() }
     }
 
     /// Whether that seat has a say now.
-    fn votes(&self, seat: u64) -> bool {
-        self.voters.contains(&seat) || self.leaving.contains(&seat)
+    fn votes(&self, replica_id: u64) -> bool {
+        self.voters.contains(&replica_id) || self.leaving.contains(&replica_id)
     }
 
     /// Whether there are clocks enough for a change to be decided by.
     pub fn has_clocks(&self) -> bool {
-        self.clocks.len() >= self.roll.listed().len().min(CLOCKS)
+        self.clocks.len() >= self.members.listed().len().min(CLOCKS)
     }
 
     /// Whether no change waits for its decision: then peers may vouch for each other.
@@ -201,96 +201,99 @@
     }
 
     /// How a proposal ended; none while it is under way, or where it is not known any more.
-    pub fn end_of(&self, token: u64) -> Option<&Past> {
+    pub fn end_of(&self, token: u64) -> Option<&PastProposal> {
         self.past.iter().rev().find(|past| past.token == token)
     }
 
     /// Takes in the next entry. One that doesn't fit any more changes nothing but the index: it was proposed on
     /// a state that has moved on.
-    pub fn apply(&mut self, index: u64, entry: Entry) -> Vec<Step> {
+    pub fn apply(&mut self, index: u64, entry: LogEntry) -> Vec<Transition> {
         self.index = index;
         let enough = self.has_clocks();
         match entry {
-            Entry::Found { fleet, policy, seat } if self.fleet == 0 => {
+            LogEntry::Found { fleet, policy, replica_id } if self.fleet == 0 => {
                 self.fleet = fleet;
-                self.voters = vec![seat];
+                self.voters = vec![replica_id];
                 self.last = 1;
                 let hash = policy.hash();
                 self.in_force = Some(Version { generation: 1, made_from: 0, hash, policy: Arc::new(policy) });
-                vec![Step::Held(1)]
+                vec![Transition::Held(1)]
             }
-            Entry::Found { .. } => Vec::new(),
-            Entry::Join { start, listed, after } => {
-                if let Some(seat) = listed.seat.filter(|seat| self.votes(*seat)) {
-                    self.seats.insert(seat, (start, listed.address.clone()));
+            LogEntry::Found { .. } => Vec::new(),
+            LogEntry::Join { start, listed, after } => {
+                if let Some(replica_id) = listed.replica_id.filter(|replica_id| self.votes(*replica_id)) {
+                    self.replica_ids.insert(replica_id, (start, listed.address.clone()));
                 }
-                self.roll.join(index, start, listed, after);
+                self.members.join(index, start, listed, after);
                 self.forget_clocks();
-                vec![Step::Listed(start)]
+                vec![Transition::Joined(start)]
             }
-            Entry::Leave { start, ended } => {
-                self.roll.leave(index, start, ended);
+            LogEntry::Leave { start, ended } => {
+                self.members.leave(index, start, ended);
                 self.forget_clocks();
-                vec![Step::Unlisted(start)]
+                vec![Transition::Removed(start)]
             }
-            Entry::Retire { before } => {
-                self.roll.retire(before);
+            LogEntry::Retire { before } => {
+                self.members.retire(before);
                 Vec::new()
             }
-            Entry::Nothing => Vec::new(),
-            Entry::Voters { seats, leaving } => {
-                (self.voters, self.leaving) = (seats, leaving);
-                let votes = |listed: &Listed| listed.seat.filter(|seat| self.votes(*seat));
-                let holds = |(start, listed): (&Start, &Listed)| {
+            LogEntry::Nothing => Vec::new(),
+            LogEntry::Voters { replica_ids, leaving } => {
+                (self.voters, self.leaving) = (replica_ids, leaving);
+                let votes = |listed: &Member| listed.replica_id.filter(|replica_id| self.votes(*replica_id));
+                let holds = |(start, listed): (&Incarnation, &Member)| {
                     Some((votes(listed)?, (*start, listed.address.clone())))
                 };
-                let seats: Vec<(u64, (Start, String))> =
-                    self.roll.listed().iter().filter_map(holds).collect();
-                self.seats.extend(seats);
+                let replica_ids: Vec<(u64, (Incarnation, String))> =
+                    self.members.listed().iter().filter_map(holds).collect();
+                self.replica_ids.extend(replica_ids);
                 let (voters, leaving) = (&self.voters, &self.leaving);
-                self.seats.retain(|seat, _| voters.contains(seat) || leaving.contains(seat));
+                self.replica_ids
+                    .retain(|replica_id, _| voters.contains(replica_id) || leaving.contains(replica_id));
                 Vec::new()
             }
-            Entry::Clock { of, ahead } => {
+            LogEntry::Clock { of, ahead } => {
                 // Never once a change is decided: its moment is told in the time that this moves.
-                match ahead.filter(|_| self.roll.has(of)) {
+                match ahead.filter(|_| self.members.has(of)) {
                     _ if self.staged.as_ref().is_some_and(|staged| staged.at.is_some()) => {}
                     Some(ahead) => drop(self.clocks.insert(of, ahead)),
                     None => drop(self.clocks.remove(&of)),
                 }
                 Vec::new()
             }
-            Entry::Propose(proposal) => self.propose(index, proposal),
-            Entry::Decide { generation, at } => match &mut self.staged {
+            LogEntry::Propose(proposal) => self.propose(index, proposal),
+            LogEntry::Decide { generation, at } => match &mut self.staged {
                 // A clock may have gone while this was on its way. One that jumps is seen by another only.
                 Some(staged) if staged.version.generation == generation && staged.at.is_none() && enough => {
                     staged.at = Some(at);
-                    vec![Step::Decided(generation, at)]
+                    vec![Transition::Decided(generation, at)]
                 }
                 _ => Vec::new(),
             },
-            Entry::CallOff { generation, why } => {
-                let fits =
-                    |staged: &mut Staged| staged.version.generation == generation && staged.at.is_none();
+            LogEntry::CallOff { generation, why } => {
+                let fits = |staged: &mut StagedChange| {
+                    staged.version.generation == generation && staged.at.is_none()
+                };
                 let Some(staged) = self.staged.take_if(fits) else { return Vec::new() };
-                self.remember(staged, End::CalledOff(why.clone()));
-                vec![Step::CalledOff(generation, why)]
+                self.remember(staged, ProposalOutcome::CalledOff(why.clone()));
+                vec![Transition::CalledOff(generation, why)]
             }
-            Entry::Held { generation } => {
-                let fits =
-                    |staged: &mut Staged| staged.version.generation == generation && staged.at.is_some();
+            LogEntry::Held { generation } => {
+                let fits = |staged: &mut StagedChange| {
+                    staged.version.generation == generation && staged.at.is_some()
+                };
                 let Some(staged) = self.staged.take_if(fits) else { return Vec::new() };
                 let before = self.in_force.replace(staged.version.clone());
                 self.probation = before.filter(|_| staged.undoes.is_none()).map(|old| (generation, old));
-                self.remember(staged, End::TookHold);
+                self.remember(staged, ProposalOutcome::TookHold);
                 self.forget_clocks();
-                vec![Step::Held(generation)]
+                vec![Transition::Held(generation)]
             }
-            Entry::Kept { generation, finding } => {
+            LogEntry::Kept { generation, finding } => {
                 if self.probation.take_if(|(on, _)| *on == generation).is_none() {
                     return Vec::new();
                 }
-                vec![Step::Kept(generation, finding)]
+                vec![Transition::Kept(generation, finding)]
             }
         }
     }
@@ -299,12 +302,12 @@
     /// tells its moment, and with one clock left nobody would see it jump.
     fn forget_clocks(&mut self) {
         if self.staged.as_ref().is_none_or(|staged| staged.at.is_none()) {
-            let roll = &self.roll;
-            self.clocks.retain(|clock, _| roll.has(*clock));
+            let members = &self.members;
+            self.clocks.retain(|clock, _| members.has(*clock));
         }
     }
 
-    fn propose(&mut self, index: u64, proposal: Proposal) -> Vec<Step> {
+    fn propose(&mut self, index: u64, proposal: Proposal) -> Vec<Transition> {
         let Proposal { token, made_from, policy, undoes, by, note } = proposal;
         let under_way = self.staged.as_ref().is_some_and(|staged| staged.token == token);
         if under_way || self.end_of(token).is_some() {
@@ -322,27 +325,42 @@
         };
         let hash = policy.hash();
         if let Some(why) = objection {
-            let end = End::Refused(why.clone());
-            self.keep(Past { token, generation: None, made_from, hash, by, note, undoes, end });
-            return vec![Step::Refused(token, why)];
+            let end = ProposalOutcome::Refused(why.clone());
+            self.keep(PastProposal { token, generation: None, made_from, hash, by, note, undoes, end });
+            return vec![Transition::Refused(token, why)];
         }
         self.last += 1;
         let generation = self.last;
         let version = Version { generation, made_from, hash, policy: Arc::new(policy) };
-        self.staged = Some(Staged { version, token, undoes, by, note, index, at: None });
-        vec![Step::Proposed(generation)]
+        self.staged = Some(StagedChange { version, token, undoes, by, note, index, at: None });
+        vec![Transition::Proposed(generation)]
     }
 
-    fn remember(&mut self, staged: Staged, end: End) {
-        let Staged { version: Version { generation, made_from, hash, .. }, token, undoes, by, note, .. } =
-            staged;
-        if undoes.is_some() && end == End::TookHold {
+    fn remember(&mut self, staged: StagedChange, end: ProposalOutcome) {
+        let StagedChange {
+            version: Version { generation, made_from, hash, .. },
+            token,
+            undoes,
+            by,
+            note,
+            ..
+        } = staged;
+        if undoes.is_some() && end == ProposalOutcome::TookHold {
             self.probation = None;
         }
-        self.keep(Past { token, generation: Some(generation), made_from, hash, by, note, undoes, end });
+        self.keep(PastProposal {
+            token,
+            generation: Some(generation),
+            made_from,
+            hash,
+            by,
+            note,
+            undoes,
+            end,
+        });
     }
 
-    fn keep(&mut self, past: Past) {
+    fn keep(&mut self, past: PastProposal) {
         if self.past.len() == PAST {
             self.past.pop_front();
         }
--- a/crates/policy/src/budgets.rs
+++ b/crates/policy/src/budgets.rs
@@ -1,8 +1,8 @@
 //! The budgets that a policy declares, as what is divided among the routers.
 
-use tindoor::host::{Draw, Note, Verdict};
+use tindoor::host::{AttemptStatus, Outcome, OutcomeDetail, QuotaCharge};
 use tindoor::time::Span;
-use tindoor_quota::{Kind, Line, Plan, Share, UNIT, Whole};
+use tindoor_quota::{BudgetKey, BudgetLimit, Kind, Plan, Quota, UNIT};
 
 use crate::Policy;
 
@@ -10,18 +10,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
 pub enum Budget {
-    /// Fills by the origin: of the fleet, and within that of each location and of each offering.
+    /// Fills by the origin: of the fleet, and within that of each location and of each request class.
     OriginFills = 1,
     LocationFills = 2,
     OfferingFills = 3,
     /// Those that are under way at once.
     FillsInHand = 4,
-    /// Dispatches after one that failed.
+    /// Attempts after one that failed.
     Further = 5,
     /// Plain looks, and new connections, to each cache.
     Looks = 6,
     Connections = 7,
-    /// Views of each account.
+    /// Requests of each account.
     Accounts = 8,
     /// The allowance of each cold cache, among the routers of its location, and of each cold parent.
     ColdCaches = 9,
@@ -30,12 +30,12 @@
 
 impl Budget {
     /// Its line for one of its scope; 0 for the fleet.
-    pub fn of(self, of: u64) -> Line {
-        Line { budget: self as u16, of }
+    pub fn of(self, of: u64) -> BudgetKey {
+        BudgetKey { budget: self as u16, of }
     }
 
     /// The name of a line's budget, as the policy's keys have it.
-    pub fn name(line: Line) -> &'static str {
+    pub fn name(line: BudgetKey) -> &'static str {
         const NAMES: [&str; 10] = [
             "origin_fills",
             "location_fills",
@@ -52,30 +52,30 @@
     }
 }
 
-/// What stands for an offering in a line (FNV-1a of its name), the same at every router.
+/// What stands for an request class in a line (FNV-1a of its name), the same at every router.
 pub fn number(name: &str) -> u64 {
     let mix = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     name.bytes().fold(0xcbf2_9ce4_8422_2325, mix)
 }
 
-/// Where a router stands, for what its dispatches draw on.
+/// Where a router stands, for what its attempts draw on.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct BudgetScope {
     location: u64,
-    /// By offering.
+    /// By request class.
     numbers: Vec<u64>,
     /// Whether caches tell fills by the origin from others.
     tells_fills: bool,
 }
 
-impl Place {
-    pub fn new(location: u64, offerings: &[String], tells_fills: bool) -> Self {
-        Self { location, numbers: offerings.iter().map(|name| number(name)).collect(), tells_fills }
+impl BudgetScope {
+    pub fn new(location: u64, classes: &[String], tells_fills: bool) -> Self {
+        Self { location, numbers: classes.iter().map(|name| number(name)).collect(), tells_fills }
     }
 
     /// All lines that a fill by the origin draws on; the last is the level, the others are rates.
-    pub fn fills(&self, offering: u16) -> [Line; 4] {
-        let number = self.numbers.get(usize::from(offering)).copied().unwrap_or_default();
+    pub fn fills(&self, class: u16) -> [BudgetKey; 4] {
+        let number = self.numbers.get(usize::from(class)).copied().unwrap_or_default();
         [
             Budget::OriginFills.of(0),
             Budget::LocationFills.of(self.location),
@@ -84,12 +84,12 @@
         ]
     }
 
-    /// All lines that a dispatch draws on, and how many they are: kept in place, as it is on the path of a view.
-    pub fn draws(&self, draw: &Draw) -> ([Line; 6], usize) {
-        let fills = self.fills(draw.offering).map(|line| draw.fills.then_some(line));
+    /// All lines that a attempt draws on, and how many they are: kept in place, as it is on the path of a request.
+    pub fn draws(&self, draw: &QuotaCharge) -> ([BudgetKey; 6], usize) {
+        let fills = self.fills(draw.class).map(|line| draw.fills.then_some(line));
         let look = draw.look.then(|| Budget::Looks.of(draw.cache));
         let further = draw.further.then(|| Budget::Further.of(0));
-        let (mut lines, mut count) = ([Line::default(); 6], 0);
+        let (mut lines, mut count) = ([BudgetKey::default(); 6], 0);
         for line in fills.into_iter().chain([look, further]).flatten() {
             lines[count] = line;
             count += 1;
@@ -97,13 +97,22 @@
         (lines, count)
     }
 
-    /// Whether the origin was asked for what a dispatch brought, as far as its end tells: what may have been counts.
-    pub fn by_origin(&self, (verdict, note): (Verdict, Note)) -> bool {
-        match (verdict, note) {
-            (_, Note::OriginFailed) => true,
-            (Verdict::Full | Verdict::Unreachable | Verdict::Moot | Verdict::Miss, _) => false,
-            (Verdict::Done, Note::Hit | Note::OldCopy | Note::Joined) => false,
-            (Verdict::Done, Note::Filled) => !self.tells_fills,
+    /// Whether the origin was asked for what a attempt brought, as far as its end tells: what may have been counts.
+    pub fn by_origin(&self, outcome: Outcome) -> bool {
+        match (outcome.status, outcome.detail) {
+            (_, OutcomeDetail::OriginFailed) => true,
+            (
+                AttemptStatus::Overloaded
+                | AttemptStatus::Unreachable
+                | AttemptStatus::Superseded
+                | AttemptStatus::Miss,
+                _,
+            ) => false,
+            (
+                AttemptStatus::Served,
+                OutcomeDetail::Hit | OutcomeDetail::StaleHit | OutcomeDetail::JoinedFill,
+            ) => false,
+            (AttemptStatus::Served, OutcomeDetail::FilledFromSource) => !self.tells_fills,
             _ => true,
         }
     }
@@ -126,7 +135,7 @@
     Some(format!("budget.routers_most: {most} is below the {possible} that may belong"))
 }
 
-/// How many further dispatches a view that was done allows, at the router that has done it.
+/// How many further attempts a request that was done allows, at the router that has done it.
 pub fn per_success(policy: &Policy) -> Option<f64> {
     policy.0.get("budget.further.per_success").copied()
 }
@@ -138,11 +147,11 @@
     let get = |name: &str| policy.0.get(name).copied();
     let part = get("budget.floor_part").unwrap_or(FLOOR_PART);
     let rate = |name: &str| {
-        let share = Share::rate(get(&format!("{name}per_s"))?, get(&format!("{name}burst"))?);
-        let flow = (share.flow as f64 * part / routers as f64) as u64;
+        let quota = Quota::rate(get(&format!("{name}per_s"))?, get(&format!("{name}burst"))?);
+        let rate = (quota.rate as f64 * part / routers as f64) as u64;
         // Under one unit of burst nothing would ever be let through.
-        let floor = Share { flow, stock: UNIT };
-        Some(Whole { kind: Kind::Rate, share, floor, routers, lag: Span::ZERO })
+        let floor = Quota { rate, burst: UNIT };
+        Some(BudgetLimit { kind: Kind::Rate, quota, floor, routers, lag: Span::ZERO })
     };
     let rates = [
         (Budget::OriginFills, "budget.origin_fills."),
@@ -157,25 +166,25 @@
     }
     for name in policy.0.keys() {
         let of = name.strip_prefix("offering.").and_then(|rest| rest.strip_suffix(".origin_fills_per_s"));
-        let Some(offering) = of else { continue };
-        let whole = rate(&format!("offering.{offering}.origin_fills_"));
-        plan.one.extend(whole.map(|whole| (Budget::OfferingFills.of(number(offering)), whole)));
+        let Some(class) = of else { continue };
+        let whole = rate(&format!("offering.{class}.origin_fills_"));
+        plan.one.extend(whole.map(|whole| (Budget::OfferingFills.of(number(class)), whole)));
     }
     let ms = |name: &str| get(name).map(|ms| Span::micros((ms * 1000.0) as u64));
     if let Some(most) = get("budget.origin_fills.in_hand") {
-        let floor = Share::level((most * part / routers as f64).floor());
-        // A fill that was begun lasts as long as its view at most.
+        let floor = Quota::level((most * part / routers as f64).floor());
+        // A fill that was begun lasts as long as its request at most.
         let cut_offs = policy.0.iter().filter(|(name, _)| name.ends_with(".cut_off_ms"));
         let longest = cut_offs.map(|(_, ms)| *ms).fold(0.0, f64::max);
         let lag = Span::micros((longest * 1000.0) as u64);
-        let whole = Whole { kind: Kind::Level, share: Share::level(most), floor, routers, lag };
+        let whole = BudgetLimit { kind: Kind::Level, quota: Quota::level(most), floor, routers, lag };
         plan.any.insert(Budget::FillsInHand as u16, whole);
     }
     if get("budget.cold_parts") == Some(1.0) {
-        let share = Share::level(1000.0);
-        let floor = Share { flow: 0, stock: (share.stock as f64 * part / routers as f64) as u64 };
+        let quota = Quota::level(1000.0);
+        let floor = Quota { rate: 0, burst: (quota.burst as f64 * part / routers as f64) as u64 };
         let lag = ms("cold_window_ms").unwrap_or(Span::millis(1000));
-        let whole = Whole { kind: Kind::Part, share, floor, routers, lag };
+        let whole = BudgetLimit { kind: Kind::Part, quota, floor, routers, lag };
         plan.any.extend([Budget::ColdCaches, Budget::ColdParents].map(|budget| (budget as u16, whole)));
     }
     plan
--- a/crates/policy/src/keys.rs
+++ b/crates/policy/src/keys.rs
@@ -9,14 +9,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum When {
     InService,
-    /// Only by the file that a router is started with: something beside the module is built from it.
+    /// Only by the file that a router is started with: something beside the routing engine is built from it.
     AtStart,
 }
 
 /// What a number stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// Milliseconds here, microseconds in the module's facts.
+    /// Milliseconds here, microseconds in the routing engine's facts.
     Ms,
     Flag,
     /// A whole number.
@@ -24,11 +24,11 @@
     Number,
 }
 
-/// One key. A name that begins with `offering.*.` stands for one of each offering, by the offering's name.
+/// One key. A name that begins with `class.*.` stands for one of each request class, by the request class's name.
 #[derive(Debug)]
 pub struct Key {
     pub name: &'static str,
-    /// What the module calls it; empty for what the router itself heeds.
+    /// What the routing engine calls it; empty for what the router itself heeds.
     pub fact: &'static str,
     pub unit: Unit,
     pub least: f64,
@@ -48,7 +48,7 @@
     Key { name, fact, unit, least, most, when, what }
 }
 
-/// What is divided among routers: not the module's, and changed in service.
+/// What is divided among routers: not the routing engine's, and changed in service.
 const fn budget(name: &'static str, unit: Unit, bounds: [f64; 2], what: &'static str) -> Key {
     key(name, "", unit, bounds, When::InService, what)
 }
@@ -249,16 +249,16 @@
     key("limit.open_views", "", Count, [1.0, 4096.0], InService, "views in hand at once, at each router"),
 ];
 
-/// Where a policy comes from or goes to: the offerings' names, in the order of the facts.
-pub type Offerings<'a> = &'a [String];
+/// Where a policy comes from or goes to: the request classes' names, in the order of the facts.
+pub type RequestClasses<'a> = &'a [String];
 
-/// The declaration of a name, and which offering it is about.
-pub fn find<'a>(name: &str, offerings: Offerings<'a>) -> Result<(&'static Key, Option<usize>), String> {
+/// The declaration of a name, and which request class it is about.
+pub fn find<'a>(name: &str, classes: RequestClasses<'a>) -> Result<(&'static Key, Option<usize>), String> {
     if let Some(rest) = name.strip_prefix("offering.") {
-        let (offering, of) = rest.rsplit_once('.').ok_or_else(|| format!("{name}: no such key"))?;
+        let (class, of) = rest.rsplit_once('.').ok_or_else(|| format!("{name}: no such key"))?;
         let declared = KEYS.iter().find(|key| key.name.strip_prefix("offering.*.") == Some(of));
-        let at = offerings.iter().position(|known| known == offering);
-        let at = at.ok_or_else(|| format!("{name}: no offering is called {offering:?}"))?;
+        let at = classes.iter().position(|known| known == class);
+        let at = at.ok_or_else(|| format!("{name}: no offering is called {class:?}"))?;
         return declared.map(|key| (key, Some(at))).ok_or_else(|| format!("{name}: no such key"));
     }
     let declared = KEYS.iter().find(|key| key.name == name);
@@ -266,9 +266,9 @@
 }
 
 /// Checks each number against its declaration, and those against each other that belong together.
-pub fn check(policy: &Policy, offerings: Offerings) -> Result<(), String> {
+pub fn check(policy: &Policy, classes: RequestClasses) -> Result<(), String> {
     for (name, number) in &policy.0 {
-        let (key, _) = find(name, offerings)?;
+        let (key, _) = find(name, classes)?;
         if !number.is_finite() || !(key.least..=key.most).contains(number) {
             return Err(format!("{name}: {number} is not from {} to {}", key.least, key.most));
         }
@@ -276,21 +276,19 @@
             return Err(format!("{name}: {number} is not a whole number"));
         }
     }
-    for offering in offerings {
-        let of = |what: &str| policy.0.get(&format!("offering.{offering}.{what}")).copied();
+    for class in classes {
+        let of = |what: &str| policy.0.get(&format!("offering.{class}.{what}")).copied();
         if let (Some(goal), Some(cut_off)) = (of("latency_goal_ms"), of("cut_off_ms"))
             && goal > cut_off
         {
-            return Err(format!(
-                "offering.{offering}.latency_goal_ms: {goal} is over the cut-off of {cut_off}"
-            ));
+            return Err(format!("offering.{class}.latency_goal_ms: {goal} is over the cut-off of {cut_off}"));
         }
         // A copy that may be older than the memory of purges could be from before one.
         if let (Some(fresh), Some(gone)) = (of("fresh_ms"), policy.0.get("copies_gone_after_ms"))
             && fresh + of("older_by_ms").unwrap_or_default() > *gone
         {
             return Err(format!(
-                "offering.{offering}.fresh_ms: with older_by_ms over copies_gone_after_ms of {gone}: \
+                "offering.{class}.fresh_ms: with older_by_ms over copies_gone_after_ms of {gone}: \
                  a copy could outlive the memory of its purge"
             ));
         }
@@ -299,14 +297,14 @@
 }
 
 /// Whether the second policy can follow the first in service.
-pub fn check_change(from: &Policy, to: &Policy, offerings: Offerings) -> Result<(), String> {
-    check(to, offerings)?;
+pub fn check_change(from: &Policy, to: &Policy, classes: RequestClasses) -> Result<(), String> {
+    check(to, classes)?;
     for (name, old, new) in from.differ(to) {
-        let (key, _) = find(name, offerings)?;
+        let (key, _) = find(name, classes)?;
         if key.when == AtStart {
             return Err(format!("{name}: changes at a start only"));
         }
-        // What the module does not read may go again, as a budget: then nothing is limited by it.
+        // What the routing engine does not read may go again, as a budget: then nothing is limited by it.
         if new.is_none() && old.is_some() && !key.fact.is_empty() {
             return Err(format!("{name}: missing, and it was set"));
         }
@@ -314,26 +312,26 @@
     Ok(())
 }
 
-fn fact_name(key: &Key, offering: Option<usize>) -> String {
-    match offering {
+fn fact_name(key: &Key, class: Option<usize>) -> String {
+    match class {
         Some(at) => format!("offering.{at}.{}", key.fact),
         None => key.fact.to_string(),
     }
 }
 
 /// What the facts of a deployment say under these keys.
-pub fn of_facts(facts: &Facts, offerings: Offerings) -> Policy {
+pub fn of_facts(facts: &Facts, classes: RequestClasses) -> Policy {
     let mut policy = Policy::default();
     for key in KEYS.iter().filter(|key| !key.fact.is_empty()) {
         let places: Vec<Option<usize>> = match key.name.starts_with("offering.*.") {
-            true => (0..offerings.len()).map(Some).collect(),
+            true => (0..classes.len()).map(Some).collect(),
             false => vec![None],
         };
         for place in places {
             let Some(number) = facts.get(&fact_name(key, place)).and_then(Fact::number) else { continue };
             let number = if key.unit == Ms { number / 1000.0 } else { number };
             let name = match place {
-                Some(at) => key.name.replace('*', &offerings[at]),
+                Some(at) => key.name.replace('*', &classes[at]),
                 None => key.name.to_string(),
             };
             policy.0.insert(name, number);
@@ -343,10 +341,10 @@
 }
 
 /// The facts of a deployment with what the policy says in place of their own.
-pub fn onto_facts(policy: &Policy, facts: &Facts, offerings: Offerings) -> Result<Facts, String> {
+pub fn onto_facts(policy: &Policy, facts: &Facts, classes: RequestClasses) -> Result<Facts, String> {
     let mut facts = facts.clone();
     for (name, number) in &policy.0 {
-        let (key, at) = find(name, offerings)?;
+        let (key, at) = find(name, classes)?;
         if !key.fact.is_empty() {
             let number = if key.unit == Ms { (number * 1000.0).round() } else { *number };
             facts.insert(fact_name(key, at), Fact::Number(number));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,5 @@
 //! The policy that all routers of a fleet decide by alike: what it may say ([`keys`]), what was agreed of it
-//! ([`Agreed`]), and whether a change did harm ([`Probation`]). Nothing here does I/O, reads a clock or draws
+//! ([`AgreedState`]), and whether a change did harm ([`Probation`]). Nothing here does I/O, reads a clock or draws
 //! lots. What is promised, and why it holds, is in `docs/design/policy.md`.
 
 mod agreed;
@@ -8,6 +8,8 @@
 mod probation;
 mod value;
 
-pub use agreed::{Agreed, End, Entry, Past, Proposal, Staged, Step, Version};
-pub use probation::{Bounds, Count, Finding, Probation, Tally};
+pub use agreed::{
+    AgreedState, LogEntry, PastProposal, Proposal, ProposalOutcome, StagedChange, Transition, Version,
+};
+pub use probation::{Assessment, Count, OutcomeWindow, Probation, ProbationLimits};
 pub use value::Policy;
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -1,9 +1,9 @@
-//! Stories of the budgets that a policy declares, and of what a dispatch draws on.
+//! Stories of the budgets that a policy declares, and of what a attempt draws on.
 
-use tindoor::host::{Draw, Note, Verdict};
-use tindoor_policy::budgets::{Budget, Place, number, plan, too_few};
+use tindoor::host::{AttemptStatus, Outcome, OutcomeDetail, QuotaCharge};
+use tindoor_policy::budgets::{Budget, BudgetScope, number, plan, too_few};
 use tindoor_policy::{Policy, keys};
-use tindoor_quota::{Kind, Share, UNIT};
+use tindoor_quota::{Kind, Quota, UNIT};
 
 fn policy(keys: &[(&str, f64)]) -> Policy {
     Policy::default().with(keys.iter().map(|(key, number)| (key.to_string(), *number)))
@@ -50,63 +50,63 @@
     ];
     let plan = plan(&policy(&[&PLAIN[..], &more].concat()));
     let fills = plan.whole(Budget::OriginFills.of(0)).expect("it is declared");
-    assert_eq!(fills.floor, Share { flow: 2 * UNIT, stock: UNIT });
-    assert_eq!(fills.divided(), Share { flow: 80 * UNIT, stock: 30 * UNIT });
+    assert_eq!(fills.floor, Quota { rate: 2 * UNIT, burst: UNIT });
+    assert_eq!(fills.divided(), Quota { rate: 80 * UNIT, burst: 30 * UNIT });
     let in_hand = plan.whole(Budget::FillsInHand.of(0)).expect("it is declared");
-    // A fill that was begun lasts as long as its view.
-    assert_eq!((in_hand.floor.stock, in_hand.lag.as_micros()), (2 * UNIT, 1_500_000));
-    assert_eq!(plan.whole(Budget::OfferingFills.of(pages)).map(|whole| whole.share.flow), Some(50 * UNIT));
+    // A fill that was begun lasts as long as its request.
+    assert_eq!((in_hand.floor.burst, in_hand.lag.as_micros()), (2 * UNIT, 1_500_000));
+    assert_eq!(plan.whole(Budget::OfferingFills.of(pages)).map(|whole| whole.quota.rate), Some(50 * UNIT));
     assert!(plan.whole(Budget::OfferingFills.of(number("saves"))).is_none(), "another is not limited");
     assert_eq!(plan.whole(Budget::ColdCaches.of(7)).map(|whole| whole.kind), Some(Kind::Part));
     assert!(tindoor_policy::budgets::plan(&policy(&PLAIN[1..])).is_empty(), "nor anything without floors");
 }
 
 #[test]
-fn a_dispatch_draws_on_what_it_may_cost() {
-    let place = Place::new(3, &["pages".to_string(), "saves".to_string()], true);
-    let drawn = |draw: Draw| {
+fn a_attempt_draws_on_what_it_may_cost() {
+    let place = BudgetScope::new(3, &["pages".to_string(), "saves".to_string()], true);
+    let drawn = |draw: QuotaCharge| {
         let (lines, count) = place.draws(&draw);
         lines[..count].to_vec()
     };
-    let plain = Draw { cache: 9, offering: 1, look: false, fills: false, further: false };
+    let plain = QuotaCharge { cache: 9, class: 1, look: false, fills: false, further: false };
     assert!(drawn(plain).is_empty(), "what is only held costs nothing of these");
-    assert_eq!(drawn(Draw { look: true, ..plain }), [Budget::Looks.of(9)]);
+    assert_eq!(drawn(QuotaCharge { look: true, ..plain }), [Budget::Looks.of(9)]);
     let fills = [
         Budget::OriginFills.of(0),
         Budget::LocationFills.of(3),
         Budget::OfferingFills.of(number("saves")),
         Budget::FillsInHand.of(0),
     ];
-    assert_eq!(drawn(Draw { fills: true, ..plain }), fills);
-    let further = drawn(Draw { fills: true, further: true, ..plain });
+    assert_eq!(drawn(QuotaCharge { fills: true, ..plain }), fills);
+    let further = drawn(QuotaCharge { fills: true, further: true, ..plain });
     assert_eq!(further, [&fills[..], &[Budget::Further.of(0)]].concat());
 }
 
 #[test]
 fn what_may_have_filled_counts_and_what_surely_did_not_comes_back() {
-    let [told, untold] = [true, false].map(|told| Place::new(0, &[], told));
+    let [told, untold] = [true, false].map(|told| BudgetScope::new(0, &[], told));
     let fills = [
-        (Verdict::Done, Note::FilledByOrigin),
-        (Verdict::Done, Note::Untold),
-        (Verdict::TimedOut, Note::Untold),
-        (Verdict::Error, Note::Untold),
-        (Verdict::CalledOff, Note::Untold),
-        (Verdict::Full, Note::OriginFailed),
+        Outcome::new(AttemptStatus::Served, OutcomeDetail::FilledFromOrigin),
+        Outcome::new(AttemptStatus::Served, OutcomeDetail::Unknown),
+        Outcome::new(AttemptStatus::TimedOut, OutcomeDetail::Unknown),
+        Outcome::new(AttemptStatus::Error, OutcomeDetail::Unknown),
+        Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
+        Outcome::new(AttemptStatus::Overloaded, OutcomeDetail::OriginFailed),
     ];
     let none = [
-        (Verdict::Done, Note::Hit),
-        (Verdict::Done, Note::Joined),
-        (Verdict::Done, Note::OldCopy),
-        (Verdict::Miss, Note::Untold),
-        (Verdict::Moot, Note::Untold),
-        (Verdict::Unreachable, Note::Untold),
-        (Verdict::Full, Note::NoFillPlace),
+        Outcome::new(AttemptStatus::Served, OutcomeDetail::Hit),
+        Outcome::new(AttemptStatus::Served, OutcomeDetail::JoinedFill),
+        Outcome::new(AttemptStatus::Served, OutcomeDetail::StaleHit),
+        Outcome::new(AttemptStatus::Miss, OutcomeDetail::Unknown),
+        Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown),
+        Outcome::new(AttemptStatus::Unreachable, OutcomeDetail::Unknown),
+        Outcome::new(AttemptStatus::Overloaded, OutcomeDetail::NoFillSlot),
     ];
     for place in [&told, &untold] {
         fills.iter().for_each(|end| assert!(place.by_origin(*end), "{end:?}"));
         none.iter().for_each(|end| assert!(!place.by_origin(*end), "{end:?}"));
     }
-    let filled = (Verdict::Done, Note::Filled);
+    let filled = Outcome::new(AttemptStatus::Served, OutcomeDetail::FilledFromSource);
     assert!(!told.by_origin(filled) && untold.by_origin(filled), "a parent may have held it");
 }
 
--- a/crates/quota/src/divide.rs
+++ b/crates/quota/src/divide.rs
@@ -3,14 +3,14 @@
 
 /// What one asks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wish {
+pub struct Demand {
     pub wants: u64,
     pub weight: u64,
 }
 
 /// Divides so much in whole grains. Where grains are fewer than those who ask, `turn` decides who goes without, and
 /// the next turn others do.
-pub fn divide(whole: u64, wishes: &[Wish], grain: u64, turn: usize) -> Vec<u64> {
+pub fn divide(whole: u64, wishes: &[Demand], grain: u64, turn: usize) -> Vec<u64> {
     let grain = grain.max(1);
     let mut given = vec![0; wishes.len()];
     let weight = |at: &usize| u128::from(wishes[*at].weight.max(1));
--- a/crates/quota/src/book.rs
+++ b/crates/quota/src/ledger.rs
@@ -7,22 +7,22 @@
 use std::collections::BTreeMap;
 
 use tindoor::time::{Moment, Span};
-use tindoor_membership::Start;
+use tindoor_membership::Incarnation;
 
-use crate::divide::{Wish, divide};
-use crate::{Share, Whole};
+use crate::divide::{Demand, divide};
+use crate::{BudgetLimit, Quota};
 
 /// What one asks for, and how much it counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Claim {
-    pub wants: Share,
+    pub wants: Quota,
     pub weight: u64,
 }
 
 /// What one is given, and until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Given {
-    pub share: Share,
+pub struct Grant {
+    pub quota: Quota,
     pub until: Moment,
 }
 
@@ -31,22 +31,22 @@
 struct Child {
     claim: Claim,
     /// What it might still spend, and until when its last share lasts.
-    out: Share,
+    out: Quota,
     until: Moment,
     heard: Moment,
 }
 
 /// The account of one line at one router.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
-    income: Share,
+pub struct LeaseLedger {
+    income: Quota,
     until: Moment,
-    children: BTreeMap<Start, Child>,
-    targets: BTreeMap<Start, Share>,
+    children: BTreeMap<Incarnation, Child>,
+    targets: BTreeMap<Incarnation, Quota>,
     targeted: Moment,
     /// What came back or lapsed, and when: at the router that leads it is lent again only once a majority has
     /// confirmed that it led after that moment. One deposed meanwhile might else lend what its successor renews.
-    cooling: Vec<(Moment, Share)>,
+    cooling: Vec<(Moment, Quota)>,
 }
 
 /// With more who ask than this, they are divided among anew only so often.
@@ -59,13 +59,13 @@
 /// How long one that is silent still counts where room is divided, beyond its share's end.
 const FORGOTTEN: Span = Span::millis(2000);
 
-impl Book {
+impl LeaseLedger {
     /// What may be lent from now on, and until when; nothing that is out is called back by it.
-    pub fn earn(&mut self, income: Share, until: Moment) {
+    pub fn earn(&mut self, income: Quota, until: Moment) {
         (self.income, self.until) = (income, until);
     }
 
-    pub fn income(&self) -> Share {
+    pub fn income(&self) -> Quota {
         self.income
     }
 
@@ -74,22 +74,29 @@
     }
 
     /// What lapsed is room again; at the router that leads, once it was confirmed after that.
-    fn settle(&mut self, now: Moment, whole: &Whole, confirmed: Option<Moment>, drift: Span, lapses: bool) {
+    fn settle(
+        &mut self,
+        now: Moment,
+        whole: &BudgetLimit,
+        confirmed: Option<Moment>,
+        drift: Span,
+        lapses: bool,
+    ) {
         let lag = whole.lag + drift;
         for child in self.children.values_mut() {
             // Whoever is silent for so long wants nothing, as far as is known: others have the room.
             if now >= child.until + lag {
                 child.claim = Claim::default();
             }
-            if child.out != Share::NONE && (now >= child.until + lag || !lapses) {
+            if child.out != Quota::NONE && (now >= child.until + lag || !lapses) {
                 if lapses {
                     self.cooling.push((child.until + lag, child.out));
                 }
-                child.out = Share::NONE;
+                child.out = Quota::NONE;
             }
         }
         self.children.retain(|_, child| {
-            child.out != Share::NONE || now < child.until + lag + FORGOTTEN || now < child.heard + FORGOTTEN
+            child.out != Quota::NONE || now < child.until + lag + FORGOTTEN || now < child.heard + FORGOTTEN
         });
         self.warm(confirmed);
     }
@@ -102,9 +109,9 @@
     }
 
     /// All that others and this router might still spend of it.
-    pub fn out(&self) -> Share {
-        let cooling = self.cooling.iter().map(|(_, share)| *share);
-        self.children.values().map(|child| child.out).chain(cooling).fold(Share::NONE, Share::plus)
+    pub fn out(&self) -> Quota {
+        let cooling = self.cooling.iter().map(|(_, quota)| *quota);
+        self.children.values().map(|child| child.out).chain(cooling).fold(Quota::NONE, Quota::plus)
     }
 
     /// The sum of what is asked here, and of the weights.
@@ -122,21 +129,21 @@
     pub fn ask(
         &mut self,
         now: Moment,
-        whole: &Whole,
-        who: Start,
+        whole: &BudgetLimit,
+        who: Incarnation,
         claim: Claim,
-        holds: Share,
+        holds: Quota,
         confirmed: Option<Moment>,
-        honours: Option<Share>,
+        honours: Option<Quota>,
         guards: Guarding,
-    ) -> Given {
+    ) -> Grant {
         self.settle(now, whole, confirmed, guards.drift, guards.lapse);
         let known = self.children.get(&who).copied();
-        let out = known.map_or(Share::NONE, |child| child.out);
+        let out = known.map_or(Quota::NONE, |child| child.out);
         // It may hold less than was lent last; more only where another lent it, which counts there.
-        let holds = if guards.returned { holds.least(out) } else { Share::NONE };
+        let holds = if guards.returned { holds.least(out) } else { Quota::NONE };
         let back = out.less(holds);
-        if back != Share::NONE && confirmed.is_some() && guards.returned {
+        if back != Quota::NONE && confirmed.is_some() && guards.returned {
             self.cooling.push((now, back));
             self.warm(confirmed);
         }
@@ -144,29 +151,29 @@
         self.children.insert(who, Child { claim, out: holds, until, heard: now });
         let lapsed = now >= self.until;
         let target = self.target(now, whole, who);
-        let room = if lapsed { Share::NONE } else { self.income.less(self.out().less(holds)) };
+        let room = if lapsed { Quota::NONE } else { self.income.less(self.out().less(holds)) };
         let given = match honours {
             // What a predecessor lent goes on, and nothing else is lent before that can have lapsed.
-            Some(held) => Given { share: held.most(holds), until: self.until },
+            Some(held) => Grant { quota: held.most(holds), until: self.until },
             None => {
                 let fresh = target.least(room);
                 // What it holds already it may keep, but no longer than it was to: so nothing is out twice, and one
                 // that others still hold more than they are to have is not left without.
                 let kept = target.least(holds);
                 match fresh.within(kept) && fresh != kept && now < until {
-                    true => Given { share: kept, until },
-                    false => Given { share: fresh, until: self.until },
+                    true => Grant { quota: kept, until },
+                    false => Grant { quota: fresh, until: self.until },
                 }
             }
         };
         let child = self.children.get_mut(&who).expect("just put there");
-        child.out = child.out.most(given.share);
+        child.out = child.out.most(given.quota);
         child.until = child.until.max(given.until);
         given
     }
 
     /// What one is to have, as all ask now.
-    fn target(&mut self, now: Moment, whole: &Whole, who: Start) -> Share {
+    fn target(&mut self, now: Moment, whole: &BudgetLimit, who: Incarnation) -> Quota {
         let stale = now.since(self.targeted) >= ANEW || !self.targets.contains_key(&who);
         if self.children.len() <= FEW || stale {
             self.divide(now, whole);
@@ -174,22 +181,22 @@
         self.targets.get(&who).copied().unwrap_or_default()
     }
 
-    fn divide(&mut self, now: Moment, whole: &Whole) {
-        let part = |of: fn(Share) -> u64| -> Vec<Wish> {
-            let wish = |child: &Child| Wish { wants: of(child.claim.wants), weight: child.claim.weight };
+    fn divide(&mut self, now: Moment, whole: &BudgetLimit) {
+        let part = |of: fn(Quota) -> u64| -> Vec<Demand> {
+            let wish = |child: &Child| Demand { wants: of(child.claim.wants), weight: child.claim.weight };
             self.children.values().map(wish).collect()
         };
         // A turn lasts a while: one that gets a lone unit must have the time to spend it.
         let turn = (now.since(Moment::default()).as_micros() / TURN.as_micros()) as usize;
-        let flows = divide(self.income.flow, &part(|share| share.flow), 1, turn);
-        let stocks = divide(self.income.stock, &part(|share| share.stock), whole.grain(), turn);
-        let shares = flows.into_iter().zip(stocks).map(|(flow, stock)| Share { flow, stock });
+        let flows = divide(self.income.rate, &part(|quota| quota.rate), 1, turn);
+        let stocks = divide(self.income.burst, &part(|quota| quota.burst), whole.grain(), turn);
+        let shares = flows.into_iter().zip(stocks).map(|(rate, burst)| Quota { rate, burst });
         self.targets = self.children.keys().copied().zip(shares).collect();
         self.targeted = now;
     }
 
     /// Whether that one has asked here.
-    pub fn knows(&self, who: Start) -> bool {
+    pub fn knows(&self, who: Incarnation) -> bool {
         self.children.contains_key(&who)
     }
 
--- a/crates/quota/src/party.rs
+++ b/crates/quota/src/participant.rs
@@ -5,24 +5,24 @@
 
 use serde::{Deserialize, Serialize};
 use tindoor::time::{Moment, Span};
-use tindoor_membership::{Start, Terms};
+use tindoor_membership::{Incarnation, Timings};
 
-use crate::book::{Book, Claim, Given, Guarding};
-use crate::purse::Purse;
-use crate::{Line, Share, Whole};
+use crate::ledger::{Claim, Grant, Guarding, LeaseLedger};
+use crate::token_bucket::TokenBucket;
+use crate::{BudgetKey, BudgetLimit, Quota};
 
 /// What each line's whole is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     /// By budget, the same for every member of its scope.
-    pub any: BTreeMap<u16, Whole>,
+    pub any: BTreeMap<u16, BudgetLimit>,
     /// Of single lines.
-    pub one: BTreeMap<Line, Whole>,
+    pub one: BTreeMap<BudgetKey, BudgetLimit>,
 }
 
 impl Plan {
-    pub fn whole(&self, line: Line) -> Option<&Whole> {
-        self.any.get(&line.budget).or_else(|| self.one.get(&line))
+    pub fn whole(&self, key: BudgetKey) -> Option<&BudgetLimit> {
+        self.any.get(&key.budget).or_else(|| self.one.get(&key))
     }
 
     pub fn is_empty(&self) -> bool {
@@ -33,35 +33,35 @@
 /// A router asks for its shares, and says of each line all that it might still spend. What it does not name it does
 /// not hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct QuotaRequest {
     /// Goes up with each question of one start; with a new one, answers to earlier ones are void.
     pub nonce: u64,
-    pub lines: Vec<Ask>,
+    pub keys: Vec<KeyDemand>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
-    pub line: Line,
-    pub wants: Share,
+pub struct KeyDemand {
+    pub key: BudgetKey,
+    pub wants: Quota,
     pub weight: u64,
-    pub holds: Share,
+    pub holds: Quota,
     /// The term of the leader that lent this by itself; 0 where another did.
     pub term: u64,
 }
 
 /// The answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lend {
+pub struct QuotaGrant {
     pub nonce: u64,
     /// The giver's term where it leads; 0 where it lends on what it was lent.
     pub term: u64,
-    pub shares: Vec<Lent>,
+    pub shares: Vec<Granted>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lent {
-    pub line: Line,
-    pub share: Share,
+pub struct Granted {
+    pub key: BudgetKey,
+    pub quota: Quota,
     /// Microseconds that it lasts from the question on.
     pub left: u64,
 }
@@ -92,8 +92,8 @@
 /// One line as this router knows it.
 #[derive(Clone, Debug)]
 struct Held {
-    purse: Purse,
-    book: Book,
+    bucket: TokenBucket,
+    ledger: LeaseLedger,
     /// By whom the income was lent: a leader's term, or 0.
     term: u64,
 }
@@ -110,9 +110,9 @@
 
 /// One router's part.
 #[derive(Clone, Debug)]
-pub struct Party {
-    own: Start,
-    terms: Terms,
+pub struct Participant {
+    own: Incarnation,
+    terms: Timings,
     guards: Guards,
     weight: u64,
     plan: Plan,
@@ -120,14 +120,14 @@
     next: Option<Plan>,
     /// Whether its floors are its own yet.
     floors: bool,
-    lines: BTreeMap<Line, Held>,
+    keys: BTreeMap<BudgetKey, Held>,
     lead: Option<Lead>,
     asked: Option<(u64, Moment)>,
     nonce: u64,
     /// Questions in a row that were not answered.
     vain: u32,
     /// The last question of each that asks here.
-    heard: BTreeMap<Start, (u64, Moment)>,
+    heard: BTreeMap<Incarnation, (u64, Moment)>,
 }
 
 /// Lines that are known at once, so that one message names all, and those who ask here.
@@ -140,8 +140,8 @@
 /// How long a line is kept that nobody wants anything of.
 const RESTS: Span = Span::millis(30_000);
 
-impl Party {
-    pub fn new(own: Start, terms: Terms, guards: Guards, weight: u64) -> Self {
+impl Participant {
+    pub fn new(own: Incarnation, terms: Timings, guards: Guards, weight: u64) -> Self {
         Self {
             own,
             terms,
@@ -150,7 +150,7 @@
             plan: Plan::default(),
             next: None,
             floors: false,
-            lines: BTreeMap::new(),
+            keys: BTreeMap::new(),
             lead: None,
             asked: None,
             nonce: 0,
@@ -162,7 +162,7 @@
     /// What holds at this router now, and what will.
     pub fn plan(&mut self, now: Moment, plan: Plan, next: Option<Plan>) {
         (self.plan, self.next) = (plan, next);
-        self.lines.retain(|line, _| self.plan.whole(*line).is_some());
+        self.keys.retain(|key, _| self.plan.whole(*key).is_some());
         self.cut(now);
     }
 
@@ -177,9 +177,9 @@
     /// What is at hand is cut to what holds.
     fn cut(&mut self, now: Moment) {
         let (plan, floors) = (&self.plan, self.floors);
-        for (line, held) in &mut self.lines {
-            if let Some(whole) = plan.whole(*line) {
-                held.purse.change(now, own(whole, floors));
+        for (key, held) in &mut self.keys {
+            if let Some(whole) = plan.whole(*key) {
+                held.bucket.change(now, own(whole, floors));
             }
         }
     }
@@ -189,86 +189,87 @@
         self.plan.is_empty() && self.next.is_none()
     }
 
-    fn held(&mut self, now: Moment, line: Line) -> Option<&mut Held> {
-        let whole = self.plan.whole(line)?;
-        if !self.lines.contains_key(&line) && self.lines.len() >= LINES {
+    fn held(&mut self, now: Moment, key: BudgetKey) -> Option<&mut Held> {
+        let whole = self.plan.whole(key)?;
+        if !self.keys.contains_key(&key) && self.keys.len() >= LINES {
             return None;
         }
         let (full, floors) = (!self.guards.burst, self.floors);
-        Some(self.lines.entry(line).or_insert_with(|| {
-            let mut purse = Purse::new(own(whole, floors), now);
-            purse.comes_full = full;
-            Held { purse, book: Book::default(), term: 0 }
+        Some(self.keys.entry(key).or_insert_with(|| {
+            let mut bucket = TokenBucket::new(own(whole, floors), now);
+            bucket.comes_full = full;
+            Held { bucket, ledger: LeaseLedger::default(), term: 0 }
         }))
     }
 
     /// Whether one unit of each of these could be spent now. What is not limited can.
-    pub fn affords(&mut self, now: Moment, lines: &[Line]) -> bool {
-        lines.iter().all(|line| {
-            self.plan.whole(*line).is_none()
-                || self.held(now, *line).is_some_and(|held| held.purse.affords(now))
+    pub fn affords(&mut self, now: Moment, keys: &[BudgetKey]) -> bool {
+        keys.iter().all(|key| {
+            self.plan.whole(*key).is_none()
+                || self.held(now, *key).is_some_and(|held| held.bucket.affords(now))
         })
     }
 
     /// Spends one of each, or nothing.
-    pub fn spend(&mut self, now: Moment, lines: &[Line]) -> bool {
-        if !self.affords(now, lines) {
-            self.refused(now, lines);
+    pub fn spend(&mut self, now: Moment, keys: &[BudgetKey]) -> bool {
+        if !self.affords(now, keys) {
+            self.refused(now, keys);
             return false;
         }
-        for line in lines {
-            if let Some(held) = self.lines.get_mut(line) {
-                held.purse.charge(now);
+        for key in keys {
+            if let Some(held) = self.keys.get_mut(key) {
+                held.bucket.charge(now);
             }
         }
         true
     }
 
     /// Of these one each was wanted, and not all were to be had.
-    pub fn refused(&mut self, now: Moment, lines: &[Line]) {
-        for line in lines {
-            if let Some(held) = self.held(now, *line) {
-                held.purse.refused(now);
+    pub fn refused(&mut self, now: Moment, keys: &[BudgetKey]) {
+        for key in keys {
+            if let Some(held) = self.held(now, *key) {
+                held.bucket.refused(now);
             }
         }
     }
 
     /// What was spent then is over; where it was not used it comes back: a hit fills nothing.
-    pub fn settled(&mut self, now: Moment, spent: Moment, lines: &[Line], used: bool) {
-        for line in lines {
-            if let Some(held) = self.lines.get_mut(line) {
-                held.purse.settled(now, spent, used);
+    pub fn settled(&mut self, now: Moment, spent: Moment, keys: &[BudgetKey], used: bool) {
+        for key in keys {
+            if let Some(held) = self.keys.get_mut(key) {
+                held.bucket.settled(now, spent, used);
             }
         }
     }
 
     /// What was spent then of levels is over.
-    pub fn ended(&mut self, spent: Moment, lines: &[Line]) {
-        for line in lines {
-            if let Some(held) = self.lines.get_mut(line) {
-                held.purse.ended(spent);
+    pub fn ended(&mut self, spent: Moment, keys: &[BudgetKey]) {
+        for key in keys {
+            if let Some(held) = self.keys.get_mut(key) {
+                held.bucket.ended(spent);
             }
         }
     }
 
     /// This router's part of something; none where it is not divided.
-    pub fn part(&mut self, now: Moment, line: Line) -> Option<f64> {
-        let held = self.held(now, line)?;
-        held.purse.refused(now);
-        Some(held.purse.part(now))
+    pub fn part(&mut self, now: Moment, key: BudgetKey) -> Option<f64> {
+        let held = self.held(now, key)?;
+        held.bucket.refused(now);
+        Some(held.bucket.part(now))
     }
 
     /// What may be spent of a line now, and of how much; for whoever looks.
-    pub fn shares(&mut self, now: Moment) -> Vec<(Line, Share, Share)> {
-        let of = |(line, held): (&Line, &Held)| (*line, held.purse.share(now), held.purse.whole().share);
-        self.lines.iter().map(of).collect()
+    pub fn shares(&mut self, now: Moment) -> Vec<(BudgetKey, Quota, Quota)> {
+        let of = |(key, held): (&BudgetKey, &Held)| (*key, held.bucket.quota(now), held.bucket.whole().quota);
+        self.keys.iter().map(of).collect()
     }
 
     /// All that this router itself might still spend of each line, its floor in it.
-    pub fn might_spend(&mut self, now: Moment) -> Vec<(Line, Share)> {
-        let of =
-            |(line, held): (&Line, &mut Held)| (*line, held.purse.holds(now).plus(held.purse.whole().floor));
-        self.lines.iter_mut().map(of).collect()
+    pub fn might_spend(&mut self, now: Moment) -> Vec<(BudgetKey, Quota)> {
+        let of = |(key, held): (&BudgetKey, &mut Held)| {
+            (*key, held.bucket.holds(now).plus(held.bucket.whole().floor))
+        };
+        self.keys.iter_mut().map(of).collect()
     }
 
     /// This router leads in that term, and surely did at `confirmed`. The words of the majority are those by which a
@@ -285,8 +286,8 @@
         lead.confirmed = lead.confirmed.max(confirmed);
         // Whoever led before was confirmed before this one was elected: what it lent has lapsed a lease later.
         lead.open = lead.open.or(confirmed.map(|confirmed| confirmed + wait));
-        let lines: Vec<Line> = self.lines.keys().copied().collect();
-        lines.into_iter().for_each(|line| self.earn(line));
+        let keys: Vec<BudgetKey> = self.keys.keys().copied().collect();
+        keys.into_iter().for_each(|key| self.earn(key));
         self.settle(now);
     }
 
@@ -297,15 +298,15 @@
 
     /// The leader's income of a line, for a lease from when it surely led: the whole without the floors, by all that may
     /// hold meanwhile.
-    fn earn(&mut self, line: Line) {
+    fn earn(&mut self, key: BudgetKey) {
         let Some(confirmed) = self.lead.and_then(|lead| lead.confirmed) else { return };
         let until = confirmed + self.terms.lease - self.terms.drift(self.terms.lease);
         let floors = self.guards.floor;
-        let divided = |whole: &Whole| if floors { whole.divided() } else { whole.share };
-        let [now, next] = [Some(&self.plan), self.next.as_ref()].map(|plan| plan.and_then(|p| p.whole(line)));
-        let income = [now, next].into_iter().flatten().map(divided).reduce(Share::least);
-        if let (Some(income), Some(held)) = (income, self.lines.get_mut(&line)) {
-            held.book.earn(income, until);
+        let divided = |whole: &BudgetLimit| if floors { whole.divided() } else { whole.quota };
+        let [now, next] = [Some(&self.plan), self.next.as_ref()].map(|plan| plan.and_then(|p| p.whole(key)));
+        let income = [now, next].into_iter().flatten().map(divided).reduce(Quota::least);
+        if let (Some(income), Some(held)) = (income, self.keys.get_mut(&key)) {
+            held.ledger.earn(income, until);
         }
     }
 
@@ -318,8 +319,8 @@
 
     fn deposed(&mut self) {
         let term = self.lead.map_or(0, |lead| lead.term);
-        for held in self.lines.values_mut() {
-            held.book.forget();
+        for held in self.keys.values_mut() {
+            held.ledger.forget();
             held.term = term;
         }
         self.heard.clear();
@@ -329,61 +330,61 @@
     pub fn jumped(&mut self, now: Moment) {
         let (guards, weight, nonce) = (self.guards, self.weight, self.nonce);
         let (plan, next) = (std::mem::take(&mut self.plan), self.next.take());
-        let levels = std::mem::take(&mut self.lines);
+        let levels = std::mem::take(&mut self.keys);
         *self = Self::new(self.own, self.terms, guards, weight);
         (self.plan, self.next, self.nonce) = (plan, next, nonce);
         // What is in hand stays so; nothing else does.
-        for (line, mut held) in levels {
-            held.purse.jumped(now);
-            held.book.forget();
-            self.lines.insert(line, Held { term: 0, ..held });
+        for (key, mut held) in levels {
+            held.bucket.jumped(now);
+            held.ledger.forget();
+            self.keys.insert(key, Held { term: 0, ..held });
         }
     }
 
     /// Takes what this router may spend out of what it was lent.
     fn settle(&mut self, now: Moment) {
-        let lines: Vec<Line> = self.lines.keys().copied().collect();
-        for line in lines {
-            let held = self.lines.get_mut(&line).expect("it is known");
-            let ((wants, weight), holds) = (held.purse.wants(now), held.purse.holds(now));
+        let keys: Vec<BudgetKey> = self.keys.keys().copied().collect();
+        for key in keys {
+            let held = self.keys.get_mut(&key).expect("it is known");
+            let ((wants, weight), holds) = (held.bucket.wants(now), held.bucket.holds(now));
             let weight = if weight == 0 { self.weight } else { weight };
-            let ask = Ask { line, wants, weight, holds, term: held.term };
+            let ask = KeyDemand { key, wants, weight, holds, term: held.term };
             if let Some(given) = self.lend(now, self.own, ask) {
-                let held = self.lines.get_mut(&line).expect("it is known");
+                let held = self.keys.get_mut(&key).expect("it is known");
                 let until = if self.guards.wakes { given.until } else { Moment::at_micros(u64::MAX) };
-                held.purse.grant(now, given.share, until);
+                held.bucket.grant(now, given.quota, until);
                 if let Some(lead) = self.lead {
                     held.term = lead.term;
                 }
             }
         }
-        let resting = |held: &mut Held| held.purse.rests(now, RESTS) && held.book.rests();
-        self.lines.retain(|_, held| !resting(held));
+        let resting = |held: &mut Held| held.bucket.rests(now, RESTS) && held.ledger.rests();
+        self.keys.retain(|_, held| !resting(held));
     }
 
-    fn lend(&mut self, now: Moment, who: Start, ask: Ask) -> Option<Given> {
+    fn lend(&mut self, now: Moment, who: Incarnation, ask: KeyDemand) -> Option<Grant> {
         let lead = self.lead;
         let drift = self.terms.drift(self.terms.lease);
         let Guards { lapse, returned, .. } = self.guards;
-        let whole = *self.plan.whole(ask.line).or_else(|| self.next.as_ref()?.whole(ask.line))?;
-        let next = self.next.as_ref().and_then(|next| next.whole(ask.line)).copied();
+        let whole = *self.plan.whole(ask.key).or_else(|| self.next.as_ref()?.whole(ask.key))?;
+        let next = self.next.as_ref().and_then(|next| next.whole(ask.key)).copied();
         let lag = if self.guards.epoch { whole.lag } else { Span::ZERO };
-        let held = self.lines.get_mut(&ask.line)?;
+        let held = self.keys.get_mut(&ask.key)?;
         let confirmed = lead.map(|lead| lead.confirmed.unwrap_or_default());
         let honours = lead.filter(|lead| lead.open.is_none_or(|open| now < open + lag)).map(|lead| {
             let before = ask.term != 0 && ask.term < lead.term;
-            let held = if before { ask.holds } else { Share::NONE };
+            let held = if before { ask.holds } else { Quota::NONE };
             // Where less is to hold soon, what goes on is less by as much: all of it together fits then.
             next.map_or(held, |next| scaled(held, whole.divided(), next.divided()))
         });
         let claim = Claim { wants: ask.wants, weight: ask.weight.clamp(1, HEAVIEST) };
         let guarding = Guarding { drift, lapse, returned };
-        Some(held.book.ask(now, &whole, who, claim, ask.holds, confirmed, honours, guarding))
+        Some(held.ledger.ask(now, &whole, who, claim, ask.holds, confirmed, honours, guarding))
     }
 
     /// What to ask of whom this router has its shares from: none while an answer is still to be waited for, and of
     /// the router that leads.
-    pub fn ask(&mut self, now: Moment) -> Option<Want> {
+    pub fn ask(&mut self, now: Moment) -> Option<QuotaRequest> {
         if self.lead.is_some() || self.plan.is_empty() {
             return None;
         }
@@ -396,17 +397,17 @@
         self.settle(now);
         self.nonce += 1;
         self.asked = Some((self.nonce, now));
-        let mut lines: Vec<Ask> = Vec::new();
-        for (line, held) in &self.lines {
-            let Claim { wants, weight } = held.book.claims();
+        let mut keys: Vec<KeyDemand> = Vec::new();
+        for (key, held) in &self.keys {
+            let Claim { wants, weight } = held.ledger.claims();
             // What it was lent it may lend on or spend at any time, until it is lent less.
-            let income = if now < held.book.until() { held.book.income() } else { Share::NONE };
-            let holds = held.book.out().most(income);
-            if wants != Share::NONE || holds != Share::NONE {
-                lines.push(Ask { line: *line, wants, weight, holds, term: held.term });
+            let income = if now < held.ledger.until() { held.ledger.income() } else { Quota::NONE };
+            let holds = held.ledger.out().most(income);
+            if wants != Quota::NONE || holds != Quota::NONE {
+                keys.push(KeyDemand { key: *key, wants, weight, holds, term: held.term });
             }
         }
-        Some(Want { nonce: self.nonce, lines })
+        Some(QuotaRequest { nonce: self.nonce, keys })
     }
 
     /// How many questions in a row were not answered.
@@ -420,70 +421,71 @@
     }
 
     /// One asks here.
-    pub fn asked(&mut self, now: Moment, from: Start, want: Want) -> Option<Lend> {
+    pub fn asked(&mut self, now: Moment, from: Incarnation, want: QuotaRequest) -> Option<QuotaGrant> {
         let known = self.heard.get(&from).map(|(nonce, _)| *nonce);
         let fresh = known.is_none_or(|known| known < want.nonce);
-        if !fresh || known.is_none() && self.heard.len() >= ASKERS || want.lines.len() > LINES {
+        if !fresh || known.is_none() && self.heard.len() >= ASKERS || want.keys.len() > LINES {
             return None;
         }
         self.heard.insert(from, (want.nonce, now));
         // What it does not name it neither wants nor holds.
-        let named: BTreeSet<Line> = want.lines.iter().map(|ask| ask.line).collect();
-        let unnamed = |(line, held): &(&Line, &Held)| held.book.knows(from) && !named.contains(line);
-        let unnamed: Vec<Line> = self.lines.iter().filter(unnamed).map(|(line, _)| *line).collect();
-        for line in unnamed {
-            let ask = Ask { line, wants: Share::NONE, weight: 1, holds: Share::NONE, term: 0 };
+        let named: BTreeSet<BudgetKey> = want.keys.iter().map(|ask| ask.key).collect();
+        let unnamed = |(key, held): &(&BudgetKey, &Held)| held.ledger.knows(from) && !named.contains(key);
+        let unnamed: Vec<BudgetKey> = self.keys.iter().filter(unnamed).map(|(key, _)| *key).collect();
+        for key in unnamed {
+            let ask = KeyDemand { key, wants: Quota::NONE, weight: 1, holds: Quota::NONE, term: 0 };
             self.lend(now, from, ask);
         }
         let mut shares = Vec::new();
-        for ask in want.lines {
-            if self.held(now, ask.line).is_none() {
+        for ask in want.keys {
+            if self.held(now, ask.key).is_none() {
                 continue;
             }
-            self.earn(ask.line);
-            if let Some(Given { share, until }) = self.lend(now, from, ask) {
-                shares.push(Lent { line: ask.line, share, left: until.since(now).as_micros() });
+            self.earn(ask.key);
+            if let Some(Grant { quota, until }) = self.lend(now, from, ask) {
+                shares.push(Granted { key: ask.key, quota, left: until.since(now).as_micros() });
             }
         }
-        Some(Lend { nonce: want.nonce, term: self.lead.map_or(0, |lead| lead.term), shares })
+        Some(QuotaGrant { nonce: want.nonce, term: self.lead.map_or(0, |lead| lead.term), shares })
     }
 
     /// The answer came: only the one to the last question is of use, as all before it are void.
-    pub fn lent(&mut self, now: Moment, lend: Lend) {
+    pub fn lent(&mut self, now: Moment, lend: QuotaGrant) {
         let Some((_, asked)) = self.asked.take_if(|(nonce, _)| *nonce == lend.nonce) else { return };
         self.vain = 0;
         if self.lead.is_some() {
             return;
         }
         let lease = self.terms.lease;
-        let mut named: BTreeMap<Line, Lent> = lend.shares.into_iter().map(|lent| (lent.line, lent)).collect();
-        for (line, held) in &mut self.lines {
-            let lent = named.remove(line);
-            let share = lent.map_or(Share::NONE, |lent| lent.share);
+        let mut named: BTreeMap<BudgetKey, Granted> =
+            lend.shares.into_iter().map(|lent| (lent.key, lent)).collect();
+        for (key, held) in &mut self.keys {
+            let lent = named.remove(key);
+            let quota = lent.map_or(Quota::NONE, |lent| lent.quota);
             let left = lent.map_or(Span::ZERO, |lent| Span::micros(lent.left)).min(lease);
-            held.book.earn(share, asked + left - self.terms.drift(lease).min(left));
+            held.ledger.earn(quota, asked + left - self.terms.drift(lease).min(left));
             held.term = lend.term;
         }
         self.settle(now);
     }
 
     /// Memory stays bounded by those listed.
-    pub fn keep(&mut self, now: Moment, which: impl Fn(Start) -> bool) {
+    pub fn keep(&mut self, now: Moment, which: impl Fn(Incarnation) -> bool) {
         let over = self.terms.lease * 4.0;
         self.heard.retain(|start, (_, at)| which(*start) || now.since(*at) < over);
     }
 }
 
 /// The whole as one router spends of it.
-fn own(whole: &Whole, floors: bool) -> Whole {
-    if floors { *whole } else { Whole { floor: Share::NONE, ..*whole } }
+fn own(whole: &BudgetLimit, floors: bool) -> BudgetLimit {
+    if floors { *whole } else { BudgetLimit { floor: Quota::NONE, ..*whole } }
 }
 
 /// A share in proportion to what is divided, no more than it was.
-fn scaled(share: Share, from: Share, to: Share) -> Share {
-    let part = |share: u64, from: u64, to: u64| match from > to {
-        true => (u128::from(share) * u128::from(to) / u128::from(from.max(1))) as u64,
-        false => share,
+fn scaled(quota: Quota, from: Quota, to: Quota) -> Quota {
+    let part = |quota: u64, from: u64, to: u64| match from > to {
+        true => (u128::from(quota) * u128::from(to) / u128::from(from.max(1))) as u64,
+        false => quota,
     };
-    Share { flow: part(share.flow, from.flow, to.flow), stock: part(share.stock, from.stock, to.stock) }
+    Quota { rate: part(quota.rate, from.rate, to.rate), burst: part(quota.burst, from.burst, to.burst) }
 }
--- a/crates/quota/src/purse.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -5,7 +5,7 @@
 
 use tindoor::time::{Moment, Span};
 
-use crate::{Kind, Share, UNIT, Whole};
+use crate::{BudgetLimit, Kind, Quota, UNIT};
 
 /// How long a charge may be given back: a hit is known by then to have filled nothing.
 const BACK_WITHIN: Span = Span::millis(250);
@@ -26,7 +26,7 @@
     /// Units wanted, and the most in hand that was, by slice.
     slices: VecDeque<(f64, u64)>,
     began: Moment,
-    asked: Share,
+    asked: Quota,
 }
 
 impl Demand {
@@ -76,9 +76,9 @@
 
 /// One router's side of one line.
 #[derive(Clone, Debug)]
-pub struct Purse {
-    whole: Whole,
-    grant: Share,
+pub struct TokenBucket {
+    whole: BudgetLimit,
+    grant: Quota,
     until: Option<Moment>,
     /// Units of a rate that are there at `at`.
     tokens: f64,
@@ -98,12 +98,12 @@
     pub(crate) comes_full: bool,
 }
 
-impl Purse {
+impl TokenBucket {
     /// Begins with nothing at hand, not even the floor's burst: a process before it may just have spent that.
-    pub fn new(whole: Whole, now: Moment) -> Self {
+    pub fn new(whole: BudgetLimit, now: Moment) -> Self {
         Self {
             whole,
-            grant: Share::NONE,
+            grant: Quota::NONE,
             until: None,
             tokens: 0.0,
             at: now,
@@ -118,12 +118,12 @@
         }
     }
 
-    pub fn whole(&self) -> &Whole {
+    pub fn whole(&self) -> &BudgetLimit {
         &self.whole
     }
 
     /// The whole has changed: what is at hand is cut to it.
-    pub fn change(&mut self, now: Moment, whole: Whole) {
+    pub fn change(&mut self, now: Moment, whole: BudgetLimit) {
         if self.whole != whole {
             self.settle(now);
             self.whole = whole;
@@ -135,22 +135,22 @@
     /// The own clock has jumped: nothing that was reckoned by it is at hand any more, and what counted on does so anew.
     pub fn jumped(&mut self, now: Moment) {
         let most =
-            self.before.iter().map(|(_, stock)| *stock).max().unwrap_or_default().max(self.grant.stock);
+            self.before.iter().map(|(_, burst)| *burst).max().unwrap_or_default().max(self.grant.burst);
         self.before.clear();
         self.before.push_back((now, most));
-        (self.grant, self.until, self.tokens, self.at) = (Share::NONE, None, 0.0, now);
+        (self.grant, self.until, self.tokens, self.at) = (Quota::NONE, None, 0.0, now);
         self.anew();
         (self.demand, self.used) = (Demand::default(), now);
     }
 
     /// Takes a share in place of the one before.
-    pub fn grant(&mut self, now: Moment, share: Share, until: Moment) {
+    pub fn grant(&mut self, now: Moment, quota: Quota, until: Moment) {
         self.settle(now);
-        if share.stock < self.grant.stock && self.until.is_some() {
-            self.before.push_back((now, self.grant.stock));
+        if quota.burst < self.grant.burst && self.until.is_some() {
+            self.before.push_back((now, self.grant.burst));
         }
-        let (more, same) = (share.stock.saturating_sub(self.grant.stock), share == self.grant);
-        (self.grant, self.until) = (share, Some(until));
+        let (more, same) = (quota.burst.saturating_sub(self.grant.burst), quota == self.grant);
+        (self.grant, self.until) = (quota, Some(until));
         if self.comes_full {
             self.tokens += more as f64 / UNIT as f64;
         }
@@ -160,8 +160,8 @@
     }
 
     /// The share that may be spent now, the floor in it.
-    pub fn share(&self, now: Moment) -> Share {
-        let grant = if self.until.is_some_and(|until| now < until) { self.grant } else { Share::NONE };
+    pub fn quota(&self, now: Moment) -> Quota {
+        let grant = if self.until.is_some_and(|until| now < until) { self.grant } else { Quota::NONE };
         self.whole.floor.plus(grant)
     }
 
@@ -177,10 +177,10 @@
         if let Some(until) = self.until.filter(|until| now >= *until) {
             self.tokens = self.after((self.tokens, self.at), until);
             self.at = self.at.max(until);
-            if self.grant.stock > 0 {
-                self.before.push_back((until, self.grant.stock));
+            if self.grant.burst > 0 {
+                self.before.push_back((until, self.grant.burst));
             }
-            (self.grant, self.until) = (Share::NONE, None);
+            (self.grant, self.until) = (Quota::NONE, None);
             self.anew();
         }
         self.tokens = self.after((self.tokens, self.at), now);
@@ -189,9 +189,9 @@
 
     /// What there is some time after so much was, by the share that holds.
     fn after(&self, (tokens, at): (f64, Moment), now: Moment) -> f64 {
-        let share = self.whole.floor.plus(self.grant);
-        let came = share.flow as f64 / UNIT as f64 * now.since(at).as_secs();
-        (tokens + came).min(share.stock as f64 / UNIT as f64)
+        let quota = self.whole.floor.plus(self.grant);
+        let came = quota.rate as f64 / UNIT as f64 * now.since(at).as_secs();
+        (tokens + came).min(quota.burst as f64 / UNIT as f64)
     }
 
     /// Another share holds from now on: what is at hand is cut to it, and what was charged before stays so.
@@ -206,7 +206,7 @@
         self.settle(now);
         match self.whole.kind {
             Kind::Rate => self.tokens >= 1.0,
-            Kind::Level => (self.in_hand + 1) * UNIT <= self.share(now).stock,
+            Kind::Level => (self.in_hand + 1) * UNIT <= self.quota(now).burst,
             Kind::Part => true,
         }
     }
@@ -269,53 +269,53 @@
     /// The part of the whole that is this router's: a router alone has all of it.
     pub fn part(&mut self, now: Moment) -> f64 {
         self.settle(now);
-        self.share(now).stock as f64 / self.whole.share.stock.max(1) as f64
+        self.quota(now).burst as f64 / self.whole.quota.burst.max(1) as f64
     }
 
     /// What it may still spend beyond its floor if it is told nothing more.
-    pub fn holds(&mut self, now: Moment) -> Share {
+    pub fn holds(&mut self, now: Moment) -> Quota {
         self.settle(now);
-        let stock = match self.whole.kind {
-            Kind::Rate => self.grant.stock,
+        let burst = match self.whole.kind {
+            Kind::Rate => self.grant.burst,
             // What is in hand stays so, whatever was lowered meanwhile.
-            Kind::Level => self.grant.stock.max((self.in_hand * UNIT).saturating_sub(self.whole.floor.stock)),
+            Kind::Level => self.grant.burst.max((self.in_hand * UNIT).saturating_sub(self.whole.floor.burst)),
             Kind::Part => {
-                self.before.iter().map(|(_, stock)| *stock).max().unwrap_or_default().max(self.grant.stock)
+                self.before.iter().map(|(_, burst)| *burst).max().unwrap_or_default().max(self.grant.burst)
             }
         };
-        Share { flow: self.grant.flow, stock }
+        Quota { rate: self.grant.rate, burst }
     }
 
     /// What it asks beyond its floor, from what was wanted lately; and by how much it counts where all want all.
     /// It moves only where what is wanted has moved by a tenth.
-    pub fn wants(&mut self, now: Moment) -> (Share, u64) {
+    pub fn wants(&mut self, now: Moment) -> (Quota, u64) {
         if self.demand.slices.is_empty() {
-            return (Share::NONE, 0);
+            return (Quota::NONE, 0);
         }
         self.demand.roll(now);
         let rate = self.demand.rate();
         if rate == 0.0 && self.demand.most_in_hand() == 0 {
-            self.demand.asked = Share::NONE;
-            return (Share::NONE, 0);
+            self.demand.asked = Quota::NONE;
+            return (Quota::NONE, 0);
         }
         let units = |units: f64| (units * UNIT as f64) as u64;
         let wants = match self.whole.kind {
             Kind::Rate => {
-                let flow = rate * HEADROOM + 0.5;
-                Share { flow: units(flow), stock: units((flow * BURST).ceil() + 1.0) }
+                let rate = rate * HEADROOM + 0.5;
+                Quota { rate: units(rate), burst: units((rate * BURST).ceil() + 1.0) }
             }
             Kind::Level => {
                 let most = self.demand.most_in_hand() as f64 * HEADROOM + 1.0;
-                Share { flow: 0, stock: units(most.ceil()) }
+                Quota { rate: 0, burst: units(most.ceil()) }
             }
-            Kind::Part => self.whole.share,
+            Kind::Part => self.whole.quota,
         };
         let near = |new: u64, old: u64| new.abs_diff(old) <= old / 10;
-        if !near(wants.flow, self.demand.asked.flow) || !near(wants.stock, self.demand.asked.stock) {
+        if !near(wants.rate, self.demand.asked.rate) || !near(wants.burst, self.demand.asked.burst) {
             self.demand.asked = wants;
         }
         let mut asked = self.demand.asked.less(self.whole.floor);
-        asked.stock = asked.stock.next_multiple_of(self.whole.grain());
+        asked.burst = asked.burst.next_multiple_of(self.whole.grain());
         let asked = asked.least(self.whole.divided());
         (asked, if self.whole.kind == Kind::Part { units(rate).max(1) } else { 0 })
     }
@@ -331,7 +331,7 @@
 /// How many of something one router's own successes allow: each adds a little, each use takes one. So a trouble that
 /// leaves nothing done is not made worse by what is tried again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct RetryBudget {
     each: f64,
     has: f64,
 }
@@ -339,7 +339,7 @@
 /// What is kept at most, and there at the start.
 const KEPT: f64 = 10.0;
 
-impl Allowance {
+impl RetryBudget {
     pub fn new(each: f64) -> Self {
         Self { each, has: KEPT }
     }
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -5,15 +5,17 @@
 
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 use tindoor::time::{Moment, Span};
-use tindoor_membership::{Start, Terms};
-use tindoor_quota::{Guards, Kind, Lend, Line, Party, Plan, Share, UNIT, Want, Whole};
+use tindoor_membership::{Incarnation, Timings};
+use tindoor_quota::{
+    BudgetKey, BudgetLimit, Guards, Kind, Participant, Plan, Quota, QuotaGrant, QuotaRequest, UNIT,
+};
 
-const LINE: Line = Line { budget: 1, of: 0 };
+const LINE: BudgetKey = BudgetKey { budget: 1, of: 0 };
 const TICK_MS: u64 = 250;
 
-fn whole() -> Whole {
-    let floor = Share { flow: UNIT, stock: UNIT };
-    Whole { kind: Kind::Rate, share: Share::rate(100.0, 20.0), floor, routers: 2, lag: Span::ZERO }
+fn whole() -> BudgetLimit {
+    let floor = Quota { rate: UNIT, burst: UNIT };
+    BudgetLimit { kind: Kind::Rate, quota: Quota::rate(100.0, 20.0), floor, routers: 2, lag: Span::ZERO }
 }
 
 fn at(tick: u64) -> Moment {
@@ -22,7 +24,7 @@
 
 /// A router, compared by all that it holds.
 #[derive(Clone, Debug)]
-struct Router(Party);
+struct Router(Participant);
 
 impl Router {
     fn all(&self) -> String {
@@ -44,8 +46,8 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Message {
-    Want(Want),
-    Lend(Lend),
+    QuotaRequest(QuotaRequest),
+    QuotaGrant(QuotaGrant),
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -93,17 +95,17 @@
 
     fn init_states(&self) -> Vec<Fleet> {
         let router = |no: u64| {
-            let terms = Terms {
+            let terms = Timings {
                 lease: Span::millis(1000),
                 hold_out: Span::secs(6.0),
                 bound: Span::millis(1),
                 beat: Span::millis(250),
                 drift_ppm: 0,
             };
-            let mut party = Party::new(Start(no), terms, self.0, 1);
-            party.plan(at(0), Plan { any: [(LINE.budget, whole())].into(), ..Plan::default() }, None);
-            party.floors(at(0), true);
-            Router(party)
+            let mut participant = Participant::new(Incarnation(no), terms, self.0, 1);
+            participant.plan(at(0), Plan { any: [(LINE.budget, whole())].into(), ..Plan::default() }, None);
+            participant.floors(at(0), true);
+            Router(participant)
         };
         let routers = [router(1), router(2)];
         vec![Fleet { now: 0, routers, wants: [true; 2], leader: 0, term: 1, unaware: false, net: Vec::new() }]
@@ -134,16 +136,16 @@
                 fleet.routers[1 - fleet.leader].0.follows();
             }
             Act::Beat(no) => {
-                let Router(party) = &mut fleet.routers[no];
-                (0..if fleet.wants[no] { 60 } else { 0 }).for_each(|_| party.refused(now, &[LINE]));
+                let Router(participant) = &mut fleet.routers[no];
+                (0..if fleet.wants[no] { 60 } else { 0 }).for_each(|_| participant.refused(now, &[LINE]));
                 match no == fleet.leader {
                     // A majority has just confirmed it.
-                    true => party.leads(now, fleet.term, Some(now)),
+                    true => participant.leads(now, fleet.term, Some(now)),
                     // None confirms one that was deposed.
-                    false if fleet.unaware => party.leads(now, fleet.term - 1, None),
+                    false if fleet.unaware => participant.leads(now, fleet.term - 1, None),
                     false => {
-                        let want = party.ask(now)?;
-                        fleet.net.push((fleet.leader, Message::Want(want)));
+                        let want = participant.ask(now)?;
+                        fleet.net.push((fleet.leader, Message::QuotaRequest(want)));
                     }
                 }
             }
@@ -152,14 +154,14 @@
                 if !matches!(act, Act::Double(_)) {
                     fleet.net.remove(nth);
                 }
-                let Router(party) = &mut fleet.routers[to];
+                let Router(participant) = &mut fleet.routers[to];
                 match message {
                     _ if matches!(act, Act::Lose(_)) => {}
-                    Message::Want(want) => {
-                        let lend = party.asked(now, Start(2 - to as u64), want);
-                        fleet.net.extend(lend.map(|lend| (1 - to, Message::Lend(lend))));
+                    Message::QuotaRequest(want) => {
+                        let lend = participant.asked(now, Incarnation(2 - to as u64), want);
+                        fleet.net.extend(lend.map(|lend| (1 - to, Message::QuotaGrant(lend))));
                     }
-                    Message::Lend(lend) => party.lent(now, lend),
+                    Message::QuotaGrant(lend) => participant.lent(now, lend),
                 }
             }
         }
@@ -167,19 +169,19 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(OVER, |_, fleet: &Fleet| might(fleet).within(whole().share))]
+        vec![Property::always(OVER, |_, fleet: &Fleet| might(fleet).within(whole().quota))]
     }
 }
 
 const OVER: &str = "no more might be spent than the whole";
 
 /// All that both might spend now.
-fn might(fleet: &Fleet) -> Share {
-    let of = |Router(party): &Router| {
-        let shares = party.clone().might_spend(at(fleet.now));
-        shares.iter().fold(Share::NONE, |sum, (_, share)| sum.plus(*share))
+fn might(fleet: &Fleet) -> Quota {
+    let of = |Router(participant): &Router| {
+        let shares = participant.clone().might_spend(at(fleet.now));
+        shares.iter().fold(Quota::NONE, |sum, (_, quota)| sum.plus(*quota))
     };
-    fleet.routers.iter().map(of).fold(Share::NONE, Share::plus)
+    fleet.routers.iter().map(of).fold(Quota::NONE, Quota::plus)
 }
 
 fn walks(guards: Guards, seed: u64, states: usize) -> impl Checker<Play> {
@@ -206,9 +208,9 @@
     use Act::*;
     let round = [Beat(0), Beat(1), Deliver(0), Deliver(0), Tick];
     let fleet = after(&[&round[..]; 12].concat());
-    let Router(party) = &fleet.routers[1];
-    let share = party.clone().might_spend(at(fleet.now))[0].1;
-    assert!(share.flow > 40 * UNIT && might(&fleet).flow > 90 * UNIT, "{share:?}");
+    let Router(participant) = &fleet.routers[1];
+    let quota = participant.clone().might_spend(at(fleet.now))[0].1;
+    assert!(quota.rate > 40 * UNIT && might(&fleet).rate > 90 * UNIT, "{quota:?}");
 }
 
 /// What comes back before it is lent again is too rare for walks by chance: a story and simulated days have it.
--- a/crates/request-runtime/src/desk.rs
+++ b/crates/request-runtime/src/desk.rs
@@ -1,4 +1,4 @@
-//! The module's [`Host`]: puts each order into the slot of its view and wakes the view's task.
+//! The routing engine's [`Host`]: puts each order into the slot of its request and wakes the request's task.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashSet, VecDeque};
@@ -7,45 +7,47 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use futures_lite::future;
-use tindoor::control::Control;
-use tindoor::host::{Asked, CacheNo, Draw, Facts, Host, Note, Terms, Verdict, ViewNo};
+use tindoor::control::RoutingEngine;
+use tindoor::host::{
+    EndpointId, Facts, FillDirectives, Host, Outcome, QuotaCharge, RequestMeta, RequestSlot,
+};
 use tindoor::time::{Moment, Span};
 
-/// What a view's task is told to do.
+/// What a request's task is told to do.
 #[derive(Clone, Copy, Debug)]
-pub enum Order {
-    Dispatch(Dispatch),
-    CallOff(u16),
-    TurnBack(Option<Span>),
-    WriteOff,
-    /// Nobody waits for the view any more, or the router ends; not from the module.
-    Left,
+pub enum Action {
+    Send(Attempt),
+    Cancel(u16),
+    Reject(Option<Span>),
+    Fail,
+    /// Nobody waits for the request any more, or the router ends; not from the routing engine.
+    Abandon,
 }
 
-/// One dispatch that the module ordered.
+/// One attempt that the routing engine ordered.
 #[derive(Clone, Copy, Debug)]
-pub struct Dispatch {
+pub struct Attempt {
     pub nth: u16,
-    pub cache: CacheNo,
+    pub cache: EndpointId,
     pub wait: Duration,
     /// None for a plain look.
-    pub terms: Option<Terms>,
+    pub directives: Option<FillDirectives>,
     pub ordered: Instant,
 }
 
-/// Where what is for one task waits for it: the orders of a view, by default.
-pub struct Slot<T = Order> {
+/// Where what is for one task waits for it: the orders of a request, by default.
+pub struct Mailbox<T = Action> {
     orders: RefCell<VecDeque<T>>,
     task: Cell<Option<Waker>>,
 }
 
-impl<T> Default for Slot<T> {
+impl<T> Default for Mailbox<T> {
     fn default() -> Self {
         Self { orders: RefCell::default(), task: Cell::default() }
     }
 }
 
-impl<T> Slot<T> {
+impl<T> Mailbox<T> {
     /// The same in place of all that waits.
     pub fn put_alone(&self, order: T) {
         self.orders.borrow_mut().clear();
@@ -80,26 +82,26 @@
     }
 }
 
-/// The ids of the views in hand, of all fronts.
+/// The ids of the requests in hand, of all fronts.
 #[derive(Clone, Default)]
-pub struct Ids(Rc<RefCell<HashSet<u64>>>);
+pub struct InFlightIds(Rc<RefCell<HashSet<u64>>>);
 
-/// One of them, given back with its view.
-pub struct Id(Rc<RefCell<HashSet<u64>>>, u64);
+/// One of them, given back with its request.
+pub struct InFlightId(Rc<RefCell<HashSet<u64>>>, u64);
 
-impl Ids {
-    /// Whether a view of that id is in hand.
+impl InFlightIds {
+    /// Whether a request of that id is in hand.
     pub fn has(&self, id: u64) -> bool {
         self.0.borrow().contains(&id)
     }
 
-    /// None where a view of that id is in hand.
-    pub fn take(&self, id: u64) -> Option<Id> {
-        self.0.borrow_mut().insert(id).then(|| Id(Rc::clone(&self.0), id))
+    /// None where a request of that id is in hand.
+    pub fn take(&self, id: u64) -> Option<InFlightId> {
+        self.0.borrow_mut().insert(id).then(|| InFlightId(Rc::clone(&self.0), id))
     }
 }
 
-impl Drop for Id {
+impl Drop for InFlightId {
     fn drop(&mut self) {
         self.0.borrow_mut().remove(&self.1);
     }
@@ -122,42 +124,42 @@
         Moment::at_micros((self.unix + self.start.elapsed()).as_micros() as u64)
     }
 
-    /// A Unix millisecond as a point on the module's clock.
+    /// A Unix millisecond as a point on the routing engine's clock.
     pub fn unix_ms(ms: u64) -> Moment {
         Moment::at_micros(ms.saturating_mul(1000))
     }
 }
 
-/// A view in hand.
+/// A request in hand.
 struct Open {
-    slot: Rc<Slot>,
+    mailbox: Rc<Mailbox>,
     sent: u16,
-    /// The caches and sources of its dispatches: their numbers stay theirs for as long.
-    names: Vec<CacheNo>,
-    /// What each dispatch drew on that routers share and may come back, where they do.
-    drawn: Vec<Option<Drawn>>,
+    /// The caches and sources of its attempts: their numbers stay theirs for as long.
+    names: Vec<EndpointId>,
+    /// What each attempt drew on that routers share and may come back, where they do.
+    drawn: Vec<Option<FillCharge>>,
 }
 
-/// Views by their numbers, and when the module is to be woken.
+/// Requests by their numbers, and when the routing engine is to be woken.
 #[derive(Default)]
-pub struct Desk {
-    slots: Vec<Option<Open>>,
+pub struct EngineHost {
+    mailboxes: Vec<Option<Open>>,
     free: Vec<u32>,
-    /// By cache, how often it is named by views in hand.
+    /// By cache, how often it is named by requests in hand.
     named: Vec<u32>,
-    alarm: Rc<Alarm>,
-    gate: Option<Rc<dyn Gate>>,
+    alarm: Rc<WakeTimer>,
+    gate: Option<Rc<dyn AdmissionGate>>,
 }
 
 /// The earliest time at which a task is to be woken; it may be set earlier while the task sleeps.
 #[derive(Default)]
-pub struct Alarm {
+pub struct WakeTimer {
     at: Cell<Option<Instant>>,
     earlier: Cell<bool>,
     task: Cell<Option<Waker>>,
 }
 
-impl Alarm {
+impl WakeTimer {
     /// Rings then, or earlier.
     pub fn set(&self, at: Instant) {
         if self.at.get().is_none_or(|planned| at < planned) {
@@ -202,276 +204,297 @@
     }
 }
 
-impl Desk {
-    fn put(&self, view: ViewNo, order: Order) {
-        match self.slots.get(view.0 as usize).and_then(Option::as_ref) {
-            Some(open) => open.slot.put(order),
-            None => tracing::error!(?view, ?order, "an order for a view that is not there"),
+impl EngineHost {
+    fn put(&self, request: RequestSlot, order: Action) {
+        match self.mailboxes.get(request.0 as usize).and_then(Option::as_ref) {
+            Some(open) => open.mailbox.put(order),
+            None => tracing::error!(?request, ?order, "an order for a view that is not there"),
         }
     }
 
-    fn dispatch(&mut self, view: ViewNo, cache: CacheNo, wait: Span, terms: Option<Terms>) {
-        let Some(Some(open)) = self.slots.get_mut(view.0 as usize) else { return };
+    fn attempt(
+        &mut self,
+        request: RequestSlot,
+        cache: EndpointId,
+        wait: Span,
+        directives: Option<FillDirectives>,
+    ) {
+        let Some(Some(open)) = self.mailboxes.get_mut(request.0 as usize) else { return };
         let nth = open.sent;
         open.sent += 1;
-        for no in [Some(cache), terms.map(|terms| terms.source)].into_iter().flatten() {
+        for no in [Some(cache), directives.map(|directives| directives.source)].into_iter().flatten() {
             open.names.push(no);
             self.named.resize(self.named.len().max(no.0 as usize + 1), 0);
             self.named[no.0 as usize] += 1;
         }
-        tracing::debug!(view = view.0, nth, cache = cache.0, "ordered");
+        tracing::debug!(request = request.0, nth, cache = cache.0, "ordered");
         let wait = Duration::from_micros(wait.as_micros());
-        self.put(view, Order::Dispatch(Dispatch { nth, cache, wait, terms, ordered: Instant::now() }));
+        self.put(request, Action::Send(Attempt { nth, cache, wait, directives, ordered: Instant::now() }));
     }
 }
 
-impl Host for Desk {
-    fn look(&mut self, view: ViewNo, cache: CacheNo, wait: Span) {
-        self.dispatch(view, cache, wait, None);
+impl Host for EngineHost {
+    fn send_cache_only(&mut self, request: RequestSlot, cache: EndpointId, wait: Span) {
+        self.attempt(request, cache, wait, None);
     }
 
-    fn read(&mut self, view: ViewNo, cache: CacheNo, wait: Span, terms: Terms) {
-        self.dispatch(view, cache, wait, Some(terms));
+    fn send_with_fill(
+        &mut self,
+        request: RequestSlot,
+        cache: EndpointId,
+        wait: Span,
+        directives: FillDirectives,
+    ) {
+        self.attempt(request, cache, wait, Some(directives));
     }
 
-    fn call_off(&mut self, view: ViewNo, nth: u16) {
-        self.put(view, Order::CallOff(nth));
+    fn cancel(&mut self, request: RequestSlot, nth: u16) {
+        self.put(request, Action::Cancel(nth));
     }
 
-    fn turn_back(&mut self, view: ViewNo, come_back: Option<Span>) {
-        self.put(view, Order::TurnBack(come_back));
+    fn reject(&mut self, request: RequestSlot, retry_after: Option<Span>) {
+        self.put(request, Action::Reject(retry_after));
     }
 
-    fn write_off(&mut self, view: ViewNo) {
-        self.put(view, Order::WriteOff);
+    fn fail(&mut self, request: RequestSlot) {
+        self.put(request, Action::Fail);
     }
 
-    fn wake_in(&mut self, wait: Span) {
+    fn set_timer(&mut self, wait: Span) {
         self.alarm.set(Instant::now() + Duration::from_micros(wait.as_micros()));
     }
 
-    /// The change log is followed from the start, whether it is asked for or not.
-    fn subscribe(&mut self) {}
+    /// The change stream is followed from the start, whether it is asked for or not.
+    fn watch_endpoints(&mut self) {}
 
-    fn affords_fill(&self, offering: u16) -> bool {
-        self.gate.as_ref().is_none_or(|gate| gate.affords_fill(offering))
+    fn can_afford_fill(&self, class: u16) -> bool {
+        self.gate.as_ref().is_none_or(|gate| gate.can_afford_fill(class))
     }
 
-    fn draw(&mut self, view: ViewNo, draw: Draw) -> bool {
+    fn charge_quota(&mut self, request: RequestSlot, draw: QuotaCharge) -> bool {
         let Some(gate) = &self.gate else { return true };
-        let Some(drawn) = gate.draw(&draw) else { return false };
-        // The dispatch that is sent next has this place.
-        if let Some(Some(open)) = self.slots.get_mut(view.0 as usize) {
+        let Some(drawn) = gate.charge_quota(&draw) else { return false };
+        // The attempt that is sent next has this place.
+        if let Some(Some(open)) = self.mailboxes.get_mut(request.0 as usize) {
             open.drawn.push(Some(drawn).filter(|drawn| drawn.fills));
         }
         true
     }
 
-    fn part(&self, stable: u64, parent: bool) -> Option<f64> {
-        self.gate.as_ref()?.part(stable, parent)
+    fn slow_start_share(&self, stable: u64, parent: bool) -> Option<f64> {
+        self.gate.as_ref()?.slow_start_share(stable, parent)
     }
 }
 
-/// Whether views may be taken, by what they are decided and what they may draw on, where routers of a fleet agree on
+/// Whether requests may be taken, by what they are decided and what they may draw on, where routers of a fleet agree on
 /// that.
-pub trait Gate {
-    /// The facts to go by now, where they have changed; else, where no view may be taken, when clients may come
+pub trait AdmissionGate {
+    /// The facts to go by now, where they have changed; else, where no request may be taken, when clients may come
     /// again.
     fn renews(&self) -> Result<Option<Facts>, Span>;
-    /// How many views may be in hand, by what is gone by.
+    /// How many requests may be in hand, by what is gone by.
     fn most_in_hand(&self) -> usize;
-    /// Asked in the moment in which a view of that account is taken, right after [`renews`](Self::renews): the
+    /// Asked in the moment in which a request of that account is taken, right after [`renews`](Self::renews): the
     /// generation of what it is decided by; else when its client may come again.
     fn admits(&self, account: u64) -> Result<u64, Span>;
-    /// A view ended that was taken under that generation.
-    fn ended(&self, generation: u64, offering: u16, done: bool, took: Duration);
+    /// A request ended that was taken under that generation.
+    fn ended(&self, generation: u64, class: u16, done: bool, took: Duration);
     /// Whether a fill by the origin is to be had of what all share.
-    fn affords_fill(&self, offering: u16) -> bool;
-    /// Draws on what all share for one dispatch; none where it is not to be had.
-    fn draw(&self, draw: &Draw) -> Option<Drawn>;
-    /// A dispatch ended that drew on fills, and how.
-    fn settle(&self, drawn: Drawn, end: (Verdict, Note));
+    fn can_afford_fill(&self, class: u16) -> bool;
+    /// Draws on what all share for one attempt; none where it is not to be had.
+    fn charge_quota(&self, draw: &QuotaCharge) -> Option<FillCharge>;
+    /// A attempt ended that drew on fills, and how.
+    fn settle(&self, drawn: FillCharge, end: Outcome);
     /// This router's part of what a cold cache, or parent, bears; none where that is not divided.
-    fn part(&self, stable: u64, parent: bool) -> Option<f64>;
+    fn slow_start_share(&self, stable: u64, parent: bool) -> Option<f64>;
 }
 
-/// What one dispatch drew on, as whoever keeps the account knows it again.
+/// What one attempt drew on, as whoever keeps the account knows it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Drawn {
+pub struct FillCharge {
     pub at: Moment,
-    pub offering: u16,
+    pub class: u16,
     pub fills: bool,
 }
 
-/// A view that was taken, for the account of its end.
+/// A request that was taken, for the account of its end.
 #[derive(Clone, Copy, Debug)]
-pub struct Taken {
+pub struct AdmittedRequest {
     generation: u64,
-    offering: u16,
+    class: u16,
     at: Instant,
 }
 
-/// The module with its clock: the one way to it.
-pub struct Decisions {
-    control: RefCell<Control<Desk>>,
+/// The routing engine with its clock: the one way to it.
+pub struct EngineHandle {
+    control: RefCell<RoutingEngine<EngineHost>>,
     pub clock: Clock,
-    alarm: Rc<Alarm>,
+    alarm: Rc<WakeTimer>,
     open: Cell<usize>,
-    gate: RefCell<Option<Rc<dyn Gate>>>,
+    gate: RefCell<Option<Rc<dyn AdmissionGate>>>,
 }
 
-impl Decisions {
+impl EngineHandle {
     pub fn start(facts: Facts, seed: u64) -> Result<Self, String> {
-        let (clock, desk) = (Clock::new(), Desk::default());
+        let (clock, desk) = (Clock::new(), EngineHost::default());
         let alarm = Rc::clone(&desk.alarm);
-        let control = RefCell::new(Control::start(desk, facts, seed, clock.now())?);
+        let control = RefCell::new(RoutingEngine::start(desk, facts, seed, clock.now())?);
         Ok(Self { control, clock, alarm, open: Cell::new(0), gate: RefCell::default() })
     }
 
-    /// Tells the module what happened, at the time that it is now. Nothing is awaited inside.
-    pub fn tell<T>(&self, what: impl FnOnce(&mut Control<Desk>) -> T) -> T {
+    /// Tells the routing engine what happened, at the time that it is now. Nothing is awaited inside.
+    pub fn with<T>(&self, what: impl FnOnce(&mut RoutingEngine<EngineHost>) -> T) -> T {
         let mut control = self.control.borrow_mut();
-        control.clock(self.clock.now());
+        control.set_time(self.clock.now());
         what(&mut control)
     }
 
-    /// Has this one be asked before each view.
-    pub fn set_gate(&self, gate: Rc<dyn Gate>) {
+    /// Has this one be asked before each request.
+    pub fn set_gate(&self, gate: Rc<dyn AdmissionGate>) {
         self.control.borrow_mut().host().gate = Some(Rc::clone(&gate));
         *self.gate.borrow_mut() = Some(gate);
     }
 
-    /// Has the module go by what is in force now; else, where no view may be taken, when clients may come again. A
-    /// view in hand stays with what it was taken by.
+    /// Has the routing engine go by what is in force now; else, where no request may be taken, when clients may come again. A
+    /// request in hand stays with what it was taken by.
     fn keep_up(&self) -> Result<(), Span> {
         let gate = self.gate.borrow().clone();
         if let Some(facts) = gate.map_or(Ok(None), |gate| gate.renews())?
-            && let Err(what) = self.tell(|control| control.adopt(facts))
+            && let Err(what) = self.with(|control| control.apply_settings(facts))
         {
             tracing::error!(what, "a policy that was checked can't be gone by");
         }
         Ok(())
     }
 
-    /// Whether one more view may come to be in hand, of so many at most. What is decided at the door is decided by
+    /// Whether one more request may come to be in hand, of so many at most. What is decided at the door is decided by
     /// what is in force as well: else a router whose places are all taken would go by the old for as long.
-    pub fn has_room(&self, most: usize) -> bool {
+    pub fn has_capacity(&self, most: usize) -> bool {
         let _ = self.keep_up();
         let gate = self.gate.borrow();
         self.open.get() < gate.as_ref().map_or(most, |gate| most.min(gate.most_in_hand()))
     }
 
-    /// When the client of a view that is refused at the door may come again, where that is told.
-    pub fn come_back(&self) -> Option<Span> {
+    /// When the client of a request that is refused at the door may come again, where that is told.
+    pub fn retry_after(&self) -> Option<Span> {
         match self.keep_up() {
-            Ok(()) => self.tell(Control::come_back),
+            Ok(()) => self.with(RoutingEngine::retry_after),
             Err(pause) => Some(pause),
         }
     }
 
-    /// A view is taken: it comes to the module, unless none may be taken now.
-    pub fn take(&self, no: ViewNo, asked: Asked, left: Span) -> Option<Taken> {
+    /// A request is taken: it comes to the routing engine, unless none may be taken now.
+    pub fn admit(&self, no: RequestSlot, asked: RequestMeta, left: Span) -> Option<AdmittedRequest> {
         let gate = self.gate.borrow().clone();
         let account = u64::from(asked.group);
-        let admits = |gate: Rc<dyn Gate>| self.keep_up().and_then(|()| gate.admits(account));
+        let admits = |gate: Rc<dyn AdmissionGate>| self.keep_up().and_then(|()| gate.admits(account));
         match gate.map(admits) {
             Some(Err(pause)) => {
-                self.control.borrow_mut().host().put(no, Order::TurnBack(Some(pause)));
+                self.control.borrow_mut().host().put(no, Action::Reject(Some(pause)));
                 None
             }
             admitted => {
-                self.tell(|control| control.view(no, asked, left));
+                self.with(|control| control.request_received(no, asked, left));
                 let generation = admitted?.ok()?;
-                Some(Taken { generation, offering: asked.offering, at: Instant::now() })
+                Some(AdmittedRequest { generation, class: asked.class, at: Instant::now() })
             }
         }
     }
 
-    /// The account of a view that was taken: whether it was done.
-    pub fn account(&self, taken: Option<Taken>, done: bool) {
-        if let (Some(Taken { generation, offering, at }), Some(gate)) = (taken, self.gate.borrow().as_ref()) {
-            gate.ended(generation, offering, done, at.elapsed());
+    /// The account of a request that was taken: whether it was done.
+    pub fn record_outcome(&self, taken: Option<AdmittedRequest>, done: bool) {
+        if let (Some(AdmittedRequest { generation, class, at }), Some(gate)) =
+            (taken, self.gate.borrow().as_ref())
+        {
+            gate.ended(generation, class, done, at.elapsed());
         }
     }
 
-    /// Tells the module how a dispatch ended; `last` says that the view is finished.
-    pub fn ended(&self, no: ViewNo, dispatch: &Dispatch, end: (Verdict, Note), last: bool) {
-        let took = Span::micros(dispatch.ordered.elapsed().as_micros() as u64);
+    /// Tells the routing engine how a attempt ended; `last` says that the request is finished.
+    pub fn attempt_ended(&self, no: RequestSlot, attempt: &Attempt, end: Outcome, last: bool) {
+        let took = Span::micros(attempt.ordered.elapsed().as_micros() as u64);
         tracing::debug!(
-            view = no.0,
-            nth = dispatch.nth,
-            cache = dispatch.cache.0,
+            request = no.0,
+            nth = attempt.nth,
+            cache = attempt.cache.0,
             ?end,
             ?took,
             last,
             "ended"
         );
-        self.settle(no, dispatch.nth, end);
-        self.tell(|control| control.answered(no, dispatch.nth, end, took, last));
+        self.settle(no, attempt.nth, end);
+        self.with(|control| control.attempt_ended(no, attempt.nth, end, took, last));
     }
 
-    /// What a dispatch drew on that routers share is settled before anything else is decided.
-    fn settle(&self, no: ViewNo, nth: u16, end: (Verdict, Note)) {
+    /// What a attempt drew on that routers share is settled before anything else is decided.
+    fn settle(&self, no: RequestSlot, nth: u16, end: Outcome) {
         let gate = self.gate.borrow();
         let Some(gate) = gate.as_ref() else { return };
         let mut control = self.control.borrow_mut();
-        let open = control.host().slots.get_mut(no.0 as usize).and_then(Option::as_mut);
+        let open = control.host().mailboxes.get_mut(no.0 as usize).and_then(Option::as_mut);
         let drawn = open.and_then(|open| open.drawn.get_mut(usize::from(nth))?.take());
         if let Some(drawn) = drawn {
             gate.settle(drawn, end);
         }
     }
 
-    /// How many views are in hand.
-    pub fn open_views(&self) -> usize {
+    /// How many requests are in hand.
+    pub fn open_requests(&self) -> usize {
         self.open.get()
     }
 
-    /// A number and a slot for a new view.
-    pub fn open_view(&self) -> (ViewNo, Rc<Slot>) {
+    /// A number and a slot for a new request.
+    pub fn open_request(&self) -> (RequestSlot, Rc<Mailbox>) {
         self.open.set(self.open.get() + 1);
-        let slot = Rc::new(Slot::default());
+        let mailbox = Rc::new(Mailbox::default());
         let mut control = self.control.borrow_mut();
         let desk = control.host();
-        let fresh = Some(Open { slot: Rc::clone(&slot), sent: 0, names: Vec::new(), drawn: Vec::new() });
+        let fresh =
+            Some(Open { mailbox: Rc::clone(&mailbox), sent: 0, names: Vec::new(), drawn: Vec::new() });
         let no = match desk.free.pop() {
             Some(no) => {
-                desk.slots[no as usize] = fresh;
+                desk.mailboxes[no as usize] = fresh;
                 no
             }
             None => {
-                desk.slots.push(fresh);
-                desk.slots.len() as u32 - 1
+                desk.mailboxes.push(fresh);
+                desk.mailboxes.len() as u32 - 1
             }
         };
-        (ViewNo(no), slot)
+        (RequestSlot(no), mailbox)
     }
 
-    /// The router ends: nothing more is done for any view.
-    pub fn leave_all(&self) {
-        self.control.borrow_mut().host().slots.iter().flatten().for_each(|open| open.slot.put(Order::Left));
+    /// The router ends: nothing more is done for any request.
+    pub fn abandon_all(&self) {
+        self.control
+            .borrow_mut()
+            .host()
+            .mailboxes
+            .iter()
+            .flatten()
+            .for_each(|open| open.mailbox.put(Action::Abandon));
     }
 
-    /// The view has its final answer and every dispatch of it was reported.
-    pub fn close_view(&self, no: ViewNo) {
+    /// The request has its final answer and every attempt of it was reported.
+    pub fn close_request(&self, no: RequestSlot) {
         self.open.set(self.open.get() - 1);
         let mut control = self.control.borrow_mut();
         let desk = control.host();
-        let open = desk.slots[no.0 as usize].take();
+        let open = desk.mailboxes[no.0 as usize].take();
         open.iter().flat_map(|open| &open.names).for_each(|name| desk.named[name.0 as usize] -= 1);
         desk.free.push(no.0);
     }
 
-    /// Whether a view in hand was sent to that cache, or with it as source.
-    pub fn names(&self, no: CacheNo) -> bool {
+    /// Whether a request in hand was sent to that cache, or with it as source.
+    pub fn is_referenced(&self, no: EndpointId) -> bool {
         self.control.borrow_mut().host().named.get(no.0 as usize).is_some_and(|count| *count > 0)
     }
 
-    /// Wakes the module whenever it asked for it; never ends.
-    pub async fn keep_time(&self) {
+    /// Wakes the routing engine whenever it asked for it; never ends.
+    pub async fn run_timers(&self) {
         loop {
             self.alarm.rings().await;
-            self.tell(Control::wake);
+            self.with(RoutingEngine::timer_fired);
         }
     }
 }
--- a/crates/request-runtime/src/lib.rs
+++ b/crates/request-runtime/src/lib.rs
@@ -1,8 +1,11 @@
-//! What every front shares and what knows no protocol: the views in hand with their numbers and ids, the
-//! decision module with its clock and its orders, and the life of one view.
+//! What every front shares and what knows no protocol: the requests in hand with their numbers and ids, the
+//! decision module with its clock and its orders, and the life of one request.
 
 mod desk;
 mod life;
 
-pub use desk::{Alarm, Clock, Decisions, Desk, Dispatch, Drawn, Gate, Id, Ids, Order, Slot, Taken};
-pub use life::{Answer, Ended, Hand, live};
+pub use desk::{
+    Action, AdmissionGate, AdmittedRequest, Attempt, Clock, EngineHandle, EngineHost, FillCharge, InFlightId,
+    InFlightIds, Mailbox, WakeTimer,
+};
+pub use life::{AttemptEnd, FinalAnswer, RequestTransport, run_request};
--- a/crates/request-runtime/src/life.rs
+++ b/crates/request-runtime/src/life.rs
@@ -1,22 +1,22 @@
-//! The life of one view, from when it is checked to when every dispatch of it is reported.
+//! The life of one request, from when it is checked to when every attempt of it is reported.
 
 use std::pin::Pin;
 
 use futures_lite::future;
-use tindoor::host::{Asked, Note, Verdict, ViewNo};
+use tindoor::host::{AttemptStatus, Outcome, OutcomeDetail, RequestMeta, RequestSlot};
 use tindoor::time::Span;
 
-use crate::desk::{Decisions, Dispatch, Order, Slot};
+use crate::desk::{Action, Attempt, EngineHandle, Mailbox};
 
-/// How a dispatch ended, with what it brought for the client.
-pub struct Ended<G> {
-    pub verdict: Verdict,
-    pub note: Note,
-    pub goods: G,
+/// How a attempt ended, with what it brought for the client.
+pub struct AttemptEnd<G> {
+    pub verdict: AttemptStatus,
+    pub note: OutcomeDetail,
+    pub payload: G,
 }
 
-/// The one final answer of a view.
-pub enum Answer<G> {
+/// The one final answer of a request.
+pub enum FinalAnswer<G> {
     Done(G),
     /// Trying again is harmless, best after this long.
     TurnedBack(Option<Span>),
@@ -25,88 +25,103 @@
     Left,
 }
 
-/// What a front does for one view.
-pub trait Hand {
-    /// What a dispatch brings.
-    type Goods;
-    /// Carries out one dispatch. Dropped, it gives the dispatch up at once.
-    fn carry(&self, dispatch: Dispatch) -> impl Future<Output = Ended<Self::Goods>>;
+/// What a front does for one request.
+pub trait RequestTransport {
+    /// What a attempt brings.
+    type Payload;
+    /// Carries out one attempt. Dropped, it gives the attempt up at once.
+    fn carry(&self, attempt: Attempt) -> impl Future<Output = AttemptEnd<Self::Payload>>;
     /// Gives the final answer; called once.
-    fn answer(&self, answer: Answer<Self::Goods>);
+    fn answer(&self, answer: FinalAnswer<Self::Payload>);
 }
 
 enum Happened<G> {
-    Order(Order),
-    Ended(Ended<G>),
+    Action(Action),
+    AttemptEnd(AttemptEnd<G>),
 }
 
-type Carried<'a, G> = Pin<Box<dyn Future<Output = Ended<G>> + 'a>>;
+type Carried<'a, G> = Pin<Box<dyn Future<Output = AttemptEnd<G>> + 'a>>;
 
-/// Lives one view through: asks the module at each point of choice and does what it says, until the client
-/// has its one final answer and every dispatch has been reported.
-pub async fn live<H: Hand>(
-    decisions: &Decisions,
-    no: ViewNo,
-    slot: &Slot,
-    (asked, left): (Asked, Span),
+/// Lives one request through: asks the routing engine at each point of choice and does what it says, until the client
+/// has its one final answer and every attempt has been reported.
+pub async fn run_request<H: RequestTransport>(
+    engine: &EngineHandle,
+    no: RequestSlot,
+    mailbox: &Mailbox,
+    (asked, left): (RequestMeta, Span),
     hand: &H,
 ) {
-    let taken = decisions.take(no, asked, left);
-    // One dispatch is out at a time; its end is told even where the answer is long given.
-    let mut out: Option<(Dispatch, Carried<H::Goods>)> = None;
+    let taken = engine.admit(no, asked, left);
+    // One attempt is out at a time; its end is told even where the answer is long given.
+    let mut out: Option<(Attempt, Carried<H::Payload>)> = None;
     let mut answered = false;
-    while !answered || out.is_some() || slot.has_orders() {
-        let order = async { Happened::Order(slot.next().await) };
+    while !answered || out.is_some() || mailbox.has_orders() {
+        let order = async { Happened::Action(mailbox.next().await) };
         let end = async {
             match &mut out {
-                Some((_, carried)) => Happened::Ended(carried.await),
+                Some((_, carried)) => Happened::AttemptEnd(carried.await),
                 None => future::pending().await,
             }
         };
         let happened = future::or(order, end).await;
         match happened {
-            Happened::Order(Order::Dispatch(dispatch)) if out.is_none() && !answered => {
-                out = Some((dispatch, Box::pin(hand.carry(dispatch))));
+            Happened::Action(Action::Send(attempt)) if out.is_none() && !answered => {
+                out = Some((attempt, Box::pin(hand.carry(attempt))));
             }
-            // Each that was ordered is told of, also where the client left before it began: else the module
+            // Each that was ordered is told of, also where the client left before it began: else the routing engine
             // counts it as out for ever, and takes its cache and the way of its fills for full.
-            Happened::Order(Order::Dispatch(vain)) => {
-                decisions.ended(no, &vain, (Verdict::Moot, Note::Untold), answered);
+            Happened::Action(Action::Send(vain)) => {
+                engine.attempt_ended(
+                    no,
+                    &vain,
+                    Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown),
+                    answered,
+                );
             }
-            Happened::Order(Order::CallOff(nth)) => {
+            Happened::Action(Action::Cancel(nth)) => {
                 // Dropping what carries it gives the request up.
-                if let Some((dispatch, _)) = out.take_if(|(dispatch, _)| dispatch.nth == nth) {
-                    decisions.ended(no, &dispatch, (Verdict::CalledOff, Note::Untold), answered);
+                if let Some((attempt, _)) = out.take_if(|(attempt, _)| attempt.nth == nth) {
+                    engine.attempt_ended(
+                        no,
+                        &attempt,
+                        Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
+                        answered,
+                    );
                 }
             }
-            Happened::Order(Order::TurnBack(come_back)) => {
-                hand.answer(Answer::TurnedBack(come_back));
-                decisions.account(taken, false);
+            Happened::Action(Action::Reject(retry_after)) => {
+                hand.answer(FinalAnswer::TurnedBack(retry_after));
+                engine.record_outcome(taken, false);
                 answered = true;
             }
-            Happened::Order(Order::WriteOff) => {
-                hand.answer(Answer::WrittenOff);
-                decisions.account(taken, false);
+            Happened::Action(Action::Fail) => {
+                hand.answer(FinalAnswer::WrittenOff);
+                engine.record_outcome(taken, false);
                 answered = true;
             }
-            Happened::Order(Order::Left) => {
+            Happened::Action(Action::Abandon) => {
                 // Only where the router or its connection ends is there somebody to tell.
                 if !answered {
-                    hand.answer(Answer::Left);
+                    hand.answer(FinalAnswer::Left);
                 }
-                decisions.tell(|control| control.left(no));
-                if let Some((dispatch, _)) = out.take() {
-                    decisions.ended(no, &dispatch, (Verdict::CalledOff, Note::Untold), true);
+                engine.with(|control| control.request_abandoned(no));
+                if let Some((attempt, _)) = out.take() {
+                    engine.attempt_ended(
+                        no,
+                        &attempt,
+                        Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
+                        true,
+                    );
                 }
                 answered = true;
             }
-            Happened::Ended(Ended { verdict, note, goods }) => {
-                let Some((dispatch, _)) = out.take() else { continue };
-                let done = verdict == Verdict::Done;
-                decisions.ended(no, &dispatch, (verdict, note), answered || done);
+            Happened::AttemptEnd(AttemptEnd { verdict, note, payload }) => {
+                let Some((attempt, _)) = out.take() else { continue };
+                let done = verdict == AttemptStatus::Served;
+                engine.attempt_ended(no, &attempt, Outcome::new(verdict, note), answered || done);
                 if done && !answered {
-                    hand.answer(Answer::Done(goods));
-                    decisions.account(taken, true);
+                    hand.answer(FinalAnswer::Done(payload));
+                    engine.record_outcome(taken, true);
                     answered = true;
                 }
             }
--- a/crates/router/src/caches.rs
+++ b/crates/router/src/caches.rs
@@ -10,7 +10,7 @@
 use async_io::Async;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use tindoor::host::{CacheNo, Note, Standing, Verdict};
+use tindoor::host::{AttemptStatus, EndpointId, EndpointState, OutcomeDetail};
 
 use crate::limits::{Limits, Seldom, within};
 
@@ -41,7 +41,7 @@
 struct Cache {
     id: String,
     address: Option<SocketAddr>,
-    standing: Standing,
+    standing: EndpointState,
     /// When its line last changed.
     since: Instant,
     /// Changes with every change of the cache's line: what was ordered before is no longer sure.
@@ -50,7 +50,7 @@
 }
 
 impl Cache {
-    fn change(&mut self, standing: Standing) {
+    fn change(&mut self, standing: EndpointState) {
         (self.standing, self.life, self.since) = (standing, self.life + 1, Instant::now());
         // Whoever answers there next, it is not the one that these were made to.
         self.idle = Vec::new();
@@ -62,7 +62,7 @@
     limits: Limits,
     known: RefCell<Known>,
     open: Rc<Cell<usize>>,
-    /// Dispatches for which connections or memory did not suffice, and answers that nobody knows.
+    /// Attempts for which connections or memory did not suffice, and answers that nobody knows.
     short: Seldom,
     strange: Seldom,
     /// Counts purges: what was ordered before one may ask for too old a copy.
@@ -79,7 +79,7 @@
     numbers: HashMap<String, u32>,
 }
 
-/// What was known when a dispatch was ordered.
+/// What was known when a attempt was ordered.
 #[derive(Clone, Copy, PartialEq)]
 pub struct Outlook {
     cache: u64,
@@ -87,18 +87,18 @@
     purges: u64,
 }
 
-/// How a dispatch ended, with what it brought.
+/// How a attempt ended, with what it brought.
 pub struct End {
-    pub verdict: Verdict,
-    pub note: Note,
+    pub verdict: AttemptStatus,
+    pub note: OutcomeDetail,
     /// The client's copy is the one.
     pub valid: bool,
     pub body: Bytes,
 }
 
 impl End {
-    pub fn without(verdict: Verdict) -> Self {
-        Self { verdict, note: Note::Untold, valid: false, body: Bytes::new() }
+    pub fn without(verdict: AttemptStatus) -> Self {
+        Self { verdict, note: OutcomeDetail::Unknown, valid: false, body: Bytes::new() }
     }
 }
 
@@ -151,23 +151,23 @@
 
     /// A line of the list: gives the cache's number, the same until it is gone and forgotten; none for one
     /// that was not there and is gone. A long day brings ever new ids: the number of one that has been gone
-    /// for a while, and that no view names any more, is the next one's.
+    /// for a while, and that no request names any more, is the next one's.
     pub fn listed(
         &self,
         id: &str,
         address: Option<SocketAddr>,
-        standing: Standing,
-        named: impl Fn(CacheNo) -> bool,
-    ) -> Option<CacheNo> {
+        standing: EndpointState,
+        named: impl Fn(EndpointId) -> bool,
+    ) -> Option<EndpointId> {
         let known = &mut *self.known.borrow_mut();
         let (kept, now) = (self.limits.gone_kept, Instant::now());
         let no = match known.numbers.get(id) {
             Some(no) => *no,
-            None if standing == Standing::Gone => return None,
+            None if standing == EndpointState::Removed => return None,
             None => {
                 let forgotten = |(no, cache): (usize, &Cache)| {
-                    let gone = cache.standing == Standing::Gone && now - cache.since >= kept;
-                    gone && !named(CacheNo(no as u32))
+                    let gone = cache.standing == EndpointState::Removed && now - cache.since >= kept;
+                    gone && !named(EndpointId(no as u32))
                 };
                 let no = known.caches.iter().enumerate().position(forgotten).unwrap_or(known.caches.len());
                 match known.caches.get_mut(no) {
@@ -191,14 +191,14 @@
             cache.change(standing);
         }
         cache.address = address;
-        Some(CacheNo(no))
+        Some(EndpointId(no))
     }
 
     /// The whole list came: what it does not name is gone.
-    pub fn gone_but(&self, named: &[CacheNo]) {
+    pub fn gone_but(&self, named: &[EndpointId]) {
         for (no, cache) in self.known.borrow_mut().caches.iter_mut().enumerate() {
-            if !named.contains(&CacheNo(no as u32)) && cache.standing != Standing::Gone {
-                cache.change(Standing::Gone);
+            if !named.contains(&EndpointId(no as u32)) && cache.standing != EndpointState::Removed {
+                cache.change(EndpointState::Removed);
             }
         }
     }
@@ -207,22 +207,22 @@
         self.purges.set(self.purges.get() + 1);
     }
 
-    pub fn id(&self, no: CacheNo) -> String {
+    pub fn id(&self, no: EndpointId) -> String {
         self.known.borrow().caches[no.0 as usize].id.clone()
     }
 
     /// Where it listens; none where its line gave no address.
-    pub fn address(&self, no: CacheNo) -> Option<SocketAddr> {
+    pub fn address(&self, no: EndpointId) -> Option<SocketAddr> {
         self.known.borrow().caches[no.0 as usize].address
     }
 
-    pub fn is_ready(&self, no: CacheNo) -> bool {
-        self.known.borrow().caches[no.0 as usize].standing == Standing::Ready
+    pub fn is_ready(&self, no: EndpointId) -> bool {
+        self.known.borrow().caches[no.0 as usize].standing == EndpointState::Ready
     }
 
-    pub fn outlook(&self, cache: CacheNo, source: Option<CacheNo>) -> Outlook {
+    pub fn outlook(&self, cache: EndpointId, source: Option<EndpointId>) -> Outlook {
         let known = self.known.borrow();
-        let life = |no: CacheNo| known.caches[no.0 as usize].life;
+        let life = |no: EndpointId| known.caches[no.0 as usize].life;
         Outlook { cache: life(cache), source: source.map_or(0, life), purges: self.purges.get() }
     }
 
@@ -233,7 +233,7 @@
         }
     }
 
-    fn take_idle(&self, no: CacheNo) -> Option<Link> {
+    fn take_idle(&self, no: EndpointId) -> Option<Link> {
         let mut known = self.known.borrow_mut();
         let idle = &mut known.caches[no.0 as usize].idle;
         // The latest that has settled: what an answer brought with it that is no part of it would else pass
@@ -248,22 +248,22 @@
         None
     }
 
-    /// A new connection; the end of the dispatch where there can be none.
-    async fn connect(&self, no: CacheNo) -> Result<Link, Verdict> {
+    /// A new connection; the end of the attempt where there can be none.
+    async fn connect(&self, no: EndpointId) -> Result<Link, AttemptStatus> {
         let (address, life) = {
             let cache = &self.known.borrow().caches[no.0 as usize];
             (cache.address, cache.life)
         };
-        let Some(address) = address else { return Err(Verdict::Unreachable) };
+        let Some(address) = address else { return Err(AttemptStatus::Unreachable) };
         if self.open.get() >= self.limits.cache_connections && !self.close_oldest_idle() {
             if let Some(times) = self.short.told() {
                 tracing::warn!(times, "all connections to caches are in use; not sent");
             }
-            return Err(Verdict::Moot);
+            return Err(AttemptStatus::Superseded);
         }
         let refused = |may: &MayConnect| !may(&self.known.borrow().caches[no.0 as usize].id);
         if self.may_connect.borrow().as_ref().is_some_and(refused) {
-            return Err(Verdict::Moot);
+            return Err(AttemptStatus::Superseded);
         }
         // Taken before the connect, so that those under way stay within the limit, too.
         let place = Place::take(&self.open);
@@ -277,10 +277,10 @@
                 use io::ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, TimedOut};
                 match error.kind() {
                     ConnectionRefused | ConnectionReset | HostUnreachable | TimedOut => {
-                        Err(Verdict::Unreachable)
+                        Err(AttemptStatus::Unreachable)
                     }
                     // No word of the cache: this machine is short of something.
-                    _ => Err(Verdict::Moot),
+                    _ => Err(AttemptStatus::Superseded),
                 }
             }
         }
@@ -297,7 +297,7 @@
     /// and gives nothing where too much has changed or too little time is left to send it at all.
     pub async fn exchange(
         &self,
-        no: CacheNo,
+        no: EndpointId,
         head: impl AsyncFn() -> Option<String>,
         body: &Bytes,
         budget: &Rc<Budget>,
@@ -308,7 +308,7 @@
             if let Some(times) = self.short.told() {
                 tracing::warn!(times, "no memory for a further answer; not sent");
             }
-            return (End::without(Verdict::Moot), None);
+            return (End::without(AttemptStatus::Superseded), None);
         }
         loop {
             let (mut link, reused) = match self.take_idle(no) {
@@ -319,11 +319,11 @@
                 },
             };
             // A connection that came up late must not carry a send past a drain, a purge or its own time.
-            let Some(head) = head().await else { return (End::without(Verdict::Moot), None) };
+            let Some(head) = head().await else { return (End::without(AttemptStatus::Superseded), None) };
             match link.stream.write(head.as_bytes()).await {
                 // Nothing left here: the cache closed an idle connection at the moment of its use.
                 Err(_) | Ok(0) if reused => continue,
-                Err(_) | Ok(0) => return (End::without(Verdict::Unreachable), None),
+                Err(_) | Ok(0) => return (End::without(AttemptStatus::Unreachable), None),
                 Ok(written) => {
                     let rest = async {
                         link.stream.write_all(&head.as_bytes()[written..]).await?;
@@ -331,7 +331,7 @@
                     };
                     // A request of which a part never left cannot have run, however the connection ended.
                     if rest.await.is_err() {
-                        return (End::without(Verdict::Unreachable), None);
+                        return (End::without(AttemptStatus::Unreachable), None);
                     }
                     sent.set(true);
                 }
@@ -345,13 +345,13 @@
                 }
                 Err(what) => {
                     tracing::debug!(cache = no.0, %what, "a broken answer");
-                    (End::without(Verdict::Broken), None)
+                    (End::without(AttemptStatus::Incomplete), None)
                 }
             };
         }
     }
 
-    fn put_back(&self, no: CacheNo, link: Link) {
+    fn put_back(&self, no: EndpointId, link: Link) {
         let cache = &mut self.known.borrow_mut().caches[no.0 as usize];
         if link.life == cache.life {
             cache.idle.push((link, Instant::now()));
@@ -390,23 +390,23 @@
         filled = filled.min(whole);
         // No fault of the cache: the router itself stops waiting.
         let Some(held) = budget.take(whole) else {
-            return Ok((End::without(Verdict::CalledOff), None, false));
+            return Ok((End::without(AttemptStatus::Cancelled), None, false));
         };
         read.resize(whole, 0);
         link.stream.read_exact(&mut read[filled..]).await?;
         let _ = read.split_to(head.size);
-        let verdict = tindoor_http::verdict(head.status, head.shed).unwrap_or_else(|| {
+        let verdict = tindoor_http::attempt_status(head.status, head.shed).unwrap_or_else(|| {
             if let Some(times) = self.strange.told() {
                 tracing::warn!(head.status, head.shed, times, "an answer with an unknown status");
             }
-            Verdict::Error
+            AttemptStatus::Error
         });
         let remark = head.remark.as_deref().unwrap_or_default();
-        let note = tindoor_http::note(remark).unwrap_or_else(|| {
+        let note = tindoor_http::outcome_detail(remark).unwrap_or_else(|| {
             if let Some(times) = self.strange.told() {
                 tracing::warn!(remark, times, "an unknown remark");
             }
-            Note::Untold
+            OutcomeDetail::Unknown
         });
         let body = if head.status == 200 { read.freeze() } else { Bytes::new() };
         let end = End { verdict, note, valid: head.status == 304, body };
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -11,7 +11,7 @@
 use async_io::Async;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, Stream, future, stream};
-use tindoor_request_runtime::{Order, Slot};
+use tindoor_request_runtime::{Action, Mailbox};
 use tindoor_thrift::{Fault, Reply};
 
 use crate::caches::Held;
@@ -43,8 +43,8 @@
 /// One connection of a client.
 pub struct Client {
     pub stream: Async<TcpStream>,
-    /// The views whose answers are owed, by sequence number.
-    pub open: RefCell<HashMap<i32, Rc<Slot>>>,
+    /// The requests whose answers are owed, by sequence number.
+    pub open: RefCell<HashMap<i32, Rc<Mailbox>>>,
     pub replies: RefCell<VecDeque<Given>>,
     writer: Cell<Option<Waker>>,
     phase: Cell<Phase>,
@@ -91,8 +91,8 @@
 
     /// The final answer of a call, unless nobody waits for it any more. A client may use the number of a call
     /// that it has cancelled again: the slot tells the two apart.
-    pub fn answer(&self, seq: i32, slot: &Rc<Slot>, reply: Reply, held: Option<Held>) {
-        let waits = self.open.borrow().get(&seq).is_some_and(|open| Rc::ptr_eq(open, slot));
+    pub fn answer(&self, seq: i32, mailbox: &Rc<Mailbox>, reply: Reply, held: Option<Held>) {
+        let waits = self.open.borrow().get(&seq).is_some_and(|open| Rc::ptr_eq(open, mailbox));
         if waits {
             self.open.borrow_mut().remove(&seq);
             self.send(reply, held);
@@ -155,7 +155,7 @@
         if self.phase.get() == Phase::Open {
             self.phase.set(Phase::Closing);
         }
-        self.open.borrow().values().for_each(|slot| slot.put(Order::Left));
+        self.open.borrow().values().for_each(|mailbox| mailbox.put(Action::Abandon));
         self.wake_writer();
     }
 
@@ -174,8 +174,8 @@
         self.phase.set(Phase::Ended);
         let unwritten = self.replies.borrow_mut().drain(..).count();
         self.unwritten.set(self.unwritten.get() - unwritten);
-        for (_, slot) in self.open.borrow_mut().drain() {
-            slot.put(Order::Left);
+        for (_, mailbox) in self.open.borrow_mut().drain() {
+            mailbox.put(Action::Abandon);
         }
     }
 
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -11,9 +11,9 @@
 
 use crate::client::{Client, Phase, frames, unreadable, write};
 use crate::limits::{Limits, within};
+use crate::request::{self, Call};
 use crate::router::Router;
-use crate::view::{self, Call};
-use tindoor_request_runtime::Order;
+use tindoor_request_runtime::Action;
 
 /// Which side of a connection ended first, and how.
 enum Ended {
@@ -85,8 +85,8 @@
             client.send(tindoor_thrift::answer("health", seq, Bytes::new(), &[], good), None);
         }
         Ok(Message::Cancel { seq }) => {
-            if let Some(slot) = client.open.borrow_mut().remove(&seq) {
-                slot.put(Order::Left);
+            if let Some(mailbox) = client.open.borrow_mut().remove(&seq) {
+                mailbox.put(Action::Abandon);
             }
         }
         Ok(Message::Call { seq, fields, body }) => {
@@ -96,21 +96,21 @@
                 return Ok(());
             }
             // What can't be taken at all never ran.
-            let room = router.decisions.has_room(router.limits.open_views)
+            let room = router.engine.has_capacity(router.limits.open_requests)
                 && client.open.borrow().len() < router.limits.open_calls;
             let Some(held) = router.budget.take(size).filter(|_| room) else {
                 if let Some(times) = router.no_room.told() {
-                    let views = router.decisions.open_views();
-                    tracing::warn!(views, times, "no room for a view");
+                    let requests = router.engine.open_requests();
+                    tracing::warn!(requests, times, "no room for a view");
                 }
-                let come_back = router.decisions.come_back();
-                client.send(view::turned_back(seq, come_back), None);
+                let retry_after = router.engine.retry_after();
+                client.send(request::rejected(seq, retry_after), None);
                 return Ok(());
             };
-            let (no, slot) = router.decisions.open_view();
-            client.open.borrow_mut().insert(seq, Rc::clone(&slot));
+            let (no, mailbox) = router.engine.open_request();
+            client.open.borrow_mut().insert(seq, Rc::clone(&mailbox));
             let call = Call { seq, fields, body, arrived, _held: held };
-            let task = view::serve(Rc::clone(router), Rc::clone(client), call, no, slot);
+            let task = request::serve(Rc::clone(router), Rc::clone(client), call, no, mailbox);
             router.executor.spawn(task).detach();
         }
         Err(Fault::UnknownMethod { seq }) => {
--- a/crates/router/src/command.rs
+++ b/crates/router/src/command.rs
@@ -56,7 +56,7 @@
     /// Signed links, for operators and scripts.
     #[command(subcommand)]
     Link(Link),
-    /// The policy of a fleet, asked of any of its routers; ends with 1 where a change was refused or called off.
+    /// The policy of a fleet, asked of any of its routers; ends with 1 where a change was refused or cancelled.
     #[command(subcommand)]
     Policy(Fleet),
 }
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -16,19 +16,19 @@
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
-    pub changelog: SocketAddr,
-    /// The change log up to the start.
+    pub discovery: SocketAddr,
+    /// The change stream up to the start.
     pub known: Vec<Event>,
     pub known_seq: u64,
     pub facts: Facts,
-    /// Offerings, locations and kinds of caches by their names, in the order of the facts.
-    pub offerings: Vec<Offering>,
+    /// Request classes, locations and kinds of caches by their names, in the order of the facts.
+    pub classes: Vec<RequestClass>,
     pub locations: Vec<String>,
     pub kinds: Vec<String>,
     pub limits: Limits,
     /// The shorter of the drain grace and the purge grace.
     pub grace: Duration,
-    /// The longest window of an offering whose repeats are told by marks.
+    /// The longest window of an request class whose repeats are told by marks.
     pub window: Duration,
     pub fixed: Fixed,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-pub struct Offering {
+pub struct RequestClass {
     pub name: String,
     /// A repeat is told by its nonce.
     pub tagged: bool,
@@ -112,17 +112,21 @@
     let settings = top.at("settings")?;
     let facts = tindoor_settings::from_json(settings.0).context("settings")?;
     let (classes, path) = settings.list("request_classes")?;
-    let offering = |(i, class): (usize, &Value)| {
+    let class = |(i, class): (usize, &Value)| {
         let class = Place(class, format!("{path}[{i}]"));
         class.number("objective", [1, u64::MAX], None)?;
         let cut_off = Duration::from_micros(class.number("deadline", [1, u64::MAX], None)?);
         let effect = class.word("effect")?;
         let known = ["read_like", "idempotency_key", "non_idempotent"].contains(&effect);
         ensure!(known, "{}.effect: {effect:?} is not known", class.1);
-        Ok(Offering { name: class.word("name")?.to_string(), tagged: effect == "idempotency_key", cut_off })
+        Ok(RequestClass {
+            name: class.word("name")?.to_string(),
+            tagged: effect == "idempotency_key",
+            cut_off,
+        })
     };
-    let offerings: Vec<Offering> = classes.iter().enumerate().map(offering).collect::<Result<_>>()?;
-    ensure!(!offerings.is_empty(), "{path}: empty");
+    let request_classes: Vec<RequestClass> = classes.iter().enumerate().map(class).collect::<Result<_>>()?;
+    ensure!(!request_classes.is_empty(), "{path}: empty");
     let rules = settings.at("rules")?;
     let drain_grace = rules.number("drain_grace", [0, u64::MAX], None)?;
     let purge_grace = match settings.find("family_info").0 {
@@ -148,27 +152,27 @@
         descriptors: descriptors_allowed.min(bounds.number("sockets", [64, 1 << 20], Some(1024))? as usize),
         connect: micros("connect_timeout", 400_000)?,
         cache_idle: micros("conn_idle", 30_000_000)?,
-        cut_off: offerings.iter().map(|offering| offering.cut_off).max().unwrap_or_default(),
+        cut_off: request_classes.iter().map(|class| class.cut_off).max().unwrap_or_default(),
         warm_within: Duration::from_micros(warm_within),
-        open_views: allowed.number("open_cap", [1, 1 << 20], Some(1 << 12))?.min(1 << 12) as usize,
+        open_requests: allowed.number("open_cap", [1, 1 << 20], Some(1 << 12))?.min(1 << 12) as usize,
     };
     let known = top.at("known")?;
     let (results, path) = known.list("results")?;
     let event = |(i, value): (usize, &Value)| {
         serde_json::from_value(value.clone()).with_context(|| format!("{path}[{i}]"))
     };
-    // The change log moves; where it stood at some start is of no more use than that start's seed.
+    // The change stream moves; where it stood at some start is of no more use than that start's seed.
     let moves = ["changelog", "known", "seed"];
     let fixed = value.as_object().into_iter().flatten().filter(|(key, _)| !moves.contains(&key.as_str()));
     Ok(Deployment {
         name: top.word("name")?.to_string(),
         listen: top.address("listen")?,
         seed: u64::from_str_radix(seed, 16).map_err(|_| anyhow!("seed: {seed:?} is not hex digits"))?,
-        changelog: top.address("changelog")?,
+        discovery: top.address("changelog")?,
         known: results.iter().enumerate().map(event).collect::<Result<_>>()?,
         known_seq: known.number("seq", [0, u64::MAX], None)?,
         facts,
-        offerings,
+        classes: request_classes,
         locations,
         kinds: settings.words("flavors")?,
         limits: Limits::of(machine),
--- a/crates/router/src/council.rs
+++ b/crates/router/src/council.rs
@@ -16,8 +16,8 @@
 use serde_json::{Value, json};
 use tindoor_consensus::Command;
 use tindoor_policy::budgets::Budget;
-use tindoor_policy::{End, Past, Policy, Proposal, keys};
-use tindoor_quota::{Line, Share, UNIT};
+use tindoor_policy::{PastProposal, Policy, Proposal, ProposalOutcome, keys};
+use tindoor_quota::{BudgetKey, Quota, UNIT};
 
 use crate::command::{Fleet as Deed, Proposing};
 use crate::fleet::Fleet;
@@ -57,7 +57,7 @@
         name: String,
     },
     /// How a proposal ended.
-    End {
+    ProposalOutcome {
         token: u64,
     },
 }
@@ -127,18 +127,18 @@
             Ok(json!({"generation": version.generation, "hash": version.hash, "policy": version.policy.0}))
         }),
         Ask::History => {
-            let past: Vec<Past> = fleet.tell(|node, _| node.agreed().past.iter().cloned().collect());
+            let past: Vec<PastProposal> = fleet.tell(|node, _| node.agreed().past.iter().cloned().collect());
             Ok(json!(past))
         }
         Ask::Shares => {
-            let units = |share: Share| json!({"per_s": share.flow as f64 / UNIT as f64, "stock": share.stock as f64 / UNIT as f64});
-            let line = |(line, own, whole): (Line, Share, Share)| json!({"budget": Budget::name(line), "of": format!("{:x}", line.of), "own": units(own), "whole": units(whole)});
+            let units = |share: Quota| json!({"per_s": share.rate as f64 / UNIT as f64, "stock": share.burst as f64 / UNIT as f64});
+            let line = |(line, own, whole): (BudgetKey, Quota, Quota)| json!({"budget": Budget::name(line), "of": format!("{:x}", line.of), "own": units(own), "whole": units(whole)});
             Ok(Value::Array(fleet.lines().into_iter().map(line).collect()))
         }
         Ask::Found { like } => {
             let own = fleet.first_policy();
             let policy = own.changed(like);
-            keys::check_change(&own, &policy, fleet.offerings())?;
+            keys::check_change(&own, &policy, fleet.classes())?;
             fleet
                 .tell(|node, now| node.found(now, policy))
                 .map(|number| json!({"fleet": format!("{number:016x}")}))
@@ -148,7 +148,7 @@
             let in_force = in_force.ok_or("no fleet is founded yet")?;
             let policy = in_force.policy.changed(changes);
             // What can't be right anywhere is said at once; the rest is for all routers to say.
-            keys::check_change(&in_force.policy, &policy, fleet.offerings())?;
+            keys::check_change(&in_force.policy, &policy, fleet.classes())?;
             let made_from = from.unwrap_or(in_force.generation);
             propose(Proposal { token, made_from, policy, undoes: None, by, note })
         }
@@ -167,7 +167,7 @@
             fleet.tell(|node, now| node.command(now, Command::Forget { name }))?;
             Ok(json!({}))
         }
-        Ask::End { token } => Ok(fleet.tell(|node, _| match node.agreed().end_of(token) {
+        Ask::ProposalOutcome { token } => Ok(fleet.tell(|node, _| match node.agreed().end_of(token) {
             Some(past) => json!(past),
             None => Value::Null,
         })),
@@ -188,7 +188,7 @@
     Ok(answer)
 }
 
-/// Carries out a command of the line: 0 where it took hold or was done, 1 where it was refused or called off, 3 where
+/// Carries out a command of the line: 0 where it took hold or was done, 1 where it was refused or cancelled, 3 where
 /// it is still under way once the wait is over. What can't be asked at all is an error.
 pub fn run(deed: Deed) -> Result<ExitCode> {
     let show = |value: &Value| println!("{}", serde_json::to_string_pretty(value).expect("plain values"));
@@ -251,14 +251,14 @@
 fn wait(socket: &Path, token: u64, proposing: &Proposing) -> Result<ExitCode> {
     let begun = Instant::now();
     loop {
-        let end = ask(socket, &Ask::End { token })?;
-        if let Ok(Past { generation, end, .. }) = serde_json::from_value(end) {
+        let end = ask(socket, &Ask::ProposalOutcome { token })?;
+        if let Ok(PastProposal { generation, end, .. }) = serde_json::from_value(end) {
             return Ok(match end {
-                End::TookHold => {
+                ProposalOutcome::TookHold => {
                     println!("generation {} is in force", generation.unwrap_or_default());
                     ExitCode::SUCCESS
                 }
-                End::Refused(why) | End::CalledOff(why) => {
+                ProposalOutcome::Refused(why) | ProposalOutcome::CalledOff(why) => {
                     println!("not done: {why}");
                     ExitCode::from(1)
                 }
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -1,4 +1,4 @@
-//! The change log: what it tells of caches and purges goes to the connections and to the module.
+//! The change stream: what it tells of caches and purges goes to the connections and to the routing engine.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpStream};
@@ -9,7 +9,7 @@
 use anyhow::{Result, bail};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, Stream, StreamExt, stream};
-use tindoor::host::{ListForm, Listed, Standing};
+use tindoor::host::{EndpointState, EndpointUpdate, ListUpdateKind};
 use tindoor::time::Moment;
 use tindoor_discovery::{Event, Fleet, Line, Phase, Place, Purge};
 use tindoor_request_runtime::Clock;
@@ -17,7 +17,7 @@
 use crate::limits::{Limits, Seldom, within};
 use crate::router::Router;
 
-/// Follows the change log on from what is known, over one connection after another; never ends. May be
+/// Follows the change stream on from what is known, over one connection after another; never ends. May be
 /// dropped at any time, and another follow in its place.
 pub async fn follow(router: Rc<Router>, address: SocketAddr) -> Infallible {
     let ended = Seldom::default();
@@ -33,7 +33,7 @@
     }
 }
 
-/// One connection to the change log, until it ends.
+/// One connection to the change stream, until it ends.
 async fn listen(router: &Router, address: SocketAddr) -> Result<Infallible> {
     let limits = &router.limits;
     let mut stream = within(limits.feed_connect, Async::<TcpStream>::connect(address)).await?;
@@ -47,7 +47,7 @@
     bail!("closed by the other side")
 }
 
-/// The lines that the change log says.
+/// The lines that the change stream says.
 fn lines(stream: Async<TcpStream>, limits: Limits) -> impl Stream<Item = Result<Vec<u8>>> {
     stream::try_unfold((stream, Vec::new()), move |(mut stream, mut read)| async move {
         // Bytes that trickle in without ever making a line are no news: else a list could stay old for ever.
@@ -120,21 +120,21 @@
     let mut lines = Vec::with_capacity(fleet.members.len());
     for member in &fleet.members {
         let standing = match member.phase {
-            Phase::Active => Standing::Ready,
-            Phase::Leaving => Standing::Draining,
-            Phase::Left => Standing::Gone,
+            Phase::Active => EndpointState::Ready,
+            Phase::Leaving => EndpointState::Draining,
+            Phase::Left => EndpointState::Removed,
             Phase::Unknown => {
                 tracing::warn!(id = member.id, "an unknown state; taken for draining");
-                Standing::Draining
+                EndpointState::Draining
             }
         };
         let address = member.host_port.parse().ok();
         if address.is_none() {
             tracing::warn!(id = member.id, address = member.host_port, "no address with a port");
         }
-        let named = |no| router.decisions.names(no);
+        let named = |no| router.engine.is_referenced(no);
         let Some(cache) = router.caches.listed(&member.id, address, standing, named) else { continue };
-        lines.push(Listed {
+        lines.push(EndpointUpdate {
             cache,
             stable: stable(&member.id),
             standing,
@@ -149,12 +149,12 @@
         let named: Vec<_> = lines.iter().map(|line| line.cache).collect();
         router.caches.gone_but(&named);
     }
-    let form = if fleet.complete { ListForm::Whole } else { ListForm::Changes };
-    router.decisions.tell(|control| control.listed(form, &lines));
+    let form = if fleet.complete { ListUpdateKind::Full } else { ListUpdateKind::Delta };
+    router.engine.with(|control| control.endpoints_changed(form, &lines));
     let ready = |no| router.caches.is_ready(no);
-    router
-        .choices
-        .told(|_, choice| !ready(choice.cache) || choice.terms.is_some_and(|terms| !ready(terms.source)));
+    router.external.told(|_, decision| {
+        !ready(decision.cache) || decision.directives.is_some_and(|directives| !ready(directives.source))
+    });
 }
 
 fn purged(router: &Router, purge: &Purge) {
@@ -166,13 +166,13 @@
         return tracing::warn!("a purge of neither object nor group");
     };
     router.caches.purged();
-    let now: Moment = router.decisions.clock.now();
+    let now: Moment = router.engine.clock.now();
     let ago = now.since(Clock::unix_ms(purge.time));
     if let Some(links) = &router.links {
         links.heard(0, purge.time, now.since(Moment::default()).as_micros() / 1000);
     }
-    router.decisions.tell(|control| control.purged(object, group, ago));
-    router.choices.told(|call, _| match object {
+    router.engine.with(|control| control.purged(object, group, ago));
+    router.external.told(|call, _| match object {
         Some(object) => call.object == object,
         None => call.group == group,
     });
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -13,14 +13,16 @@
 use async_io::{Async, Timer};
 use rustix::time::{ClockId, clock_gettime};
 use serde::Deserialize;
-use tindoor::host::{Draw, Fact, Facts, Note, Verdict};
+use tindoor::host::{Fact, Facts, Outcome, QuotaCharge};
 use tindoor::time::{Moment, Span};
-use tindoor_consensus::{Guards, Limits as Much, Node, Objection, Out, Own, Status, Write};
-use tindoor_request_runtime::{Drawn, Gate};
-use tindoor_membership::{Start, Terms};
+use tindoor_consensus::{
+    Action, Guards, Limits as Much, LocalIdentity, Node, Objection, Status, StorageWrite,
+};
+use tindoor_membership::{Incarnation, Timings};
 use tindoor_policy::budgets::{self, Budget};
-use tindoor_policy::{Count, Policy, Step, Version, keys};
-use tindoor_quota::{Allowance, Line, Share};
+use tindoor_policy::{Count, Policy, Transition, Version, keys};
+use tindoor_quota::{BudgetKey, Quota, RetryBudget};
+use tindoor_request_runtime::{AdmissionGate, FillCharge};
 
 use crate::folder::Folder;
 use crate::limits::PeerLimits;
@@ -77,8 +79,8 @@
 }
 
 impl Told {
-    pub fn terms(&self) -> Result<Terms> {
-        let terms = Terms {
+    pub fn terms(&self) -> Result<Timings> {
+        let terms = Timings {
             lease: Span::millis(self.lease_ms),
             hold_out: Span::millis(self.hold_out_ms),
             bound: Span::millis(self.clock_bound_ms),
@@ -164,23 +166,23 @@
     node: RefCell<Node>,
     clock: Clock,
     peers: Rc<Peers>,
-    writes: async_channel::Sender<Write>,
-    /// What this router was started with, and its offerings by name.
+    writes: async_channel::Sender<StorageWrite>,
+    /// What this router was started with, and its request classes by name.
     facts: Facts,
-    offerings: Vec<String>,
-    /// The generation that the module goes by.
+    classes: Vec<String>,
+    /// The generation that the routing engine goes by.
     adopted: Cell<u64>,
-    /// In-time goals of that generation and the one before it, by offering.
+    /// In-time goals of that generation and the one before it, by request class.
     goals: RefCell<Vec<(u64, Vec<Duration>)>>,
     pause: Span,
-    /// Views in hand, how many there may be as the policy says, and as this router was started with.
+    /// Requests in hand, how many there may be as the policy says, and as this router was started with.
     in_hand: Box<dyn Fn() -> usize>,
     most_in_hand: Cell<usize>,
-    open_views: usize,
+    open_requests: usize,
     pinned: bool,
-    place: budgets::Place,
-    /// How many further dispatches the views allow that were done.
-    further: Cell<Option<Allowance>>,
+    place: budgets::BudgetScope,
+    /// How many further attempts the requests allow that were done.
+    further: Cell<Option<RetryBudget>>,
 }
 
 /// What a fleet is started with beside what it is told.
@@ -188,9 +190,9 @@
     pub name: String,
     pub location: u16,
     pub facts: Facts,
-    pub offerings: Vec<String>,
+    pub classes: Vec<String>,
     pub limits: PeerLimits,
-    pub open_views: usize,
+    pub open_requests: usize,
     pub in_hand: Box<dyn Fn() -> usize>,
     pub pause: Span,
 }
@@ -201,31 +203,31 @@
         let (guards, by_name, unsynced, pinned) = guards()?;
         // Every start is a router of its own: drawn from the system, as a seed may come again.
         let mut start = getrandom::u64().context("a number for this start")?;
-        let mut seat = start;
+        let mut replica_id = start;
         if by_name {
             // Without its guard, a start is taken for the one before it.
-            (start, seat) = (named(&place.name), named(&place.name));
+            (start, replica_id) = (named(&place.name), named(&place.name));
         }
         let mut after = None;
         let mut kept = None;
         let mut folder = None;
         if let Some(path) = told.folder.as_ref().filter(|_| told.votes) {
-            let (open, found) = Folder::open(path, seat, start).context("fleet.folder")?;
-            (seat, after, kept) = (found.seat, found.before.map(Start), found.kept);
+            let (open, found) = Folder::open(path, replica_id, start).context("fleet.folder")?;
+            (replica_id, after, kept) = (found.replica_id, found.before.map(Incarnation), found.kept);
             folder = Some(Arc::new(open));
         }
         let listener = Async::<TcpListener>::bind(told.listen)
             .with_context(|| format!("fleet.listen: {}", told.listen))?;
         let bound = listener.get_ref().local_addr().context("fleet.listen")?;
-        let own = Own {
-            start: Start(start),
+        let own = LocalIdentity {
+            start: Incarnation(start),
             name: place.name.clone(),
             address: told.address.unwrap_or(bound).to_string(),
             location: place.location,
-            seat: told.votes.then_some(seat),
+            replica_id: told.votes.then_some(replica_id),
             after: after.filter(|_| !by_name),
         };
-        tracing::info!(front = "fleet", at = %bound, start = %own.start, seat = own.seat, "listening");
+        tracing::info!(front = "fleet", at = %bound, start = %own.start, replica_id = own.replica_id, "listening");
         let clock = Clock::new();
         let mut limits = Much { voters: told.voters, weight: told.weight, ..Much::default() };
         limits.probation.lasts = Span::millis(told.probation_ms);
@@ -242,20 +244,20 @@
             clock,
             peers: Rc::clone(&peers),
             writes,
-            place: budgets::Place::new(
+            place: budgets::BudgetScope::new(
                 u64::from(place.location),
-                &place.offerings,
+                &place.classes,
                 place.facts.get("notes").is_some_and(|notes| notes.word() == "all"),
             ),
             further: Cell::new(None),
             facts: place.facts,
-            offerings: place.offerings,
+            classes: place.classes,
             adopted: Cell::new(0),
             goals: RefCell::default(),
             pause: place.pause,
             in_hand: place.in_hand,
-            most_in_hand: Cell::new(place.open_views),
-            open_views: place.open_views,
+            most_in_hand: Cell::new(place.open_requests),
+            open_requests: place.open_requests,
             pinned,
         });
         fleet.tell(|_, _| ());
@@ -292,9 +294,9 @@
         while !wants.is_empty() {
             for out in std::mem::take(&mut wants) {
                 match out {
-                    Out::Send { to, frame } => self.peers.send(&to, &frame),
-                    Out::Write(write) => drop(self.writes.try_send(write)),
-                    Out::Check(version) => {
+                    Action::Send { to, frame } => self.peers.send(&to, &frame),
+                    Action::StorageWrite(write) => drop(self.writes.try_send(write)),
+                    Action::Check(version) => {
                         let objection = self.objection(&version);
                         match &objection {
                             Some(Objection { why, lasts: true }) => {
@@ -317,9 +319,9 @@
                         node.answer(self.clock.now().0, version.generation, objection);
                         wants.extend(node.take_out());
                     }
-                    Out::Step(step) => log(&step),
-                    Out::Leads(Some(term)) => tracing::info!(term, "fleet: leads the voters"),
-                    Out::Leads(None) => tracing::info!("fleet: no longer leads the voters"),
+                    Action::Transition(step) => log(&step),
+                    Action::Leads(Some(term)) => tracing::info!(term, "fleet: leads the voters"),
+                    Action::Leads(None) => tracing::info!("fleet: no longer leads the voters"),
                 }
             }
         }
@@ -328,8 +330,8 @@
 
     /// Why this router could not go by that policy.
     fn objection(&self, version: &Version) -> Option<Objection> {
-        let own = keys::of_facts(&self.facts, &self.offerings);
-        if let Err(why) = keys::check_change(&own, &version.policy, &self.offerings) {
+        let own = keys::of_facts(&self.facts, &self.classes);
+        if let Err(why) = keys::check_change(&own, &version.policy, &self.classes) {
             return Some(Objection { why, lasts: true });
         }
         let too_few = {
@@ -346,18 +348,18 @@
 
     /// The policy that a fleet founded here begins with: what this router was started with.
     pub fn first_policy(&self) -> Policy {
-        keys::of_facts(&self.facts, &self.offerings)
+        keys::of_facts(&self.facts, &self.classes)
     }
 
-    pub fn offerings(&self) -> &[String] {
-        &self.offerings
+    pub fn classes(&self) -> &[String] {
+        &self.classes
     }
 
     pub fn status(&self) -> (Status, [u64; 2]) {
         (self.tell(|node, now| node.status(now)), self.peers.sent.get())
     }
 
-    /// Whether views are taken now.
+    /// Whether requests are taken now.
     pub fn is_good(&self) -> bool {
         self.tell(|node, now| node.version(now).is_ok())
     }
@@ -365,7 +367,7 @@
     /// Writes what the voter wants written, one after the other, on a thread that may wait for the disk.
     async fn write_all(
         &self,
-        waiting: async_channel::Receiver<Write>,
+        waiting: async_channel::Receiver<StorageWrite>,
         folder: Option<Arc<Folder>>,
         unsynced: bool,
     ) {
@@ -383,9 +385,9 @@
         }
     }
 
-    /// The facts that the module is to go by under that version.
+    /// The facts that the routing engine is to go by under that version.
     fn adopt(&self, version: &Version) -> Option<Facts> {
-        let mut facts = keys::onto_facts(&version.policy, &self.facts, &self.offerings).ok()?;
+        let mut facts = keys::onto_facts(&version.policy, &self.facts, &self.classes).ok()?;
         if !self.pinned {
             facts.insert("pinned".into(), Fact::Number(0.0));
         }
@@ -394,23 +396,23 @@
             Duration::from_micros((ms.copied().unwrap_or_default() * 1000.0) as u64)
         };
         let mut goals = self.goals.borrow_mut();
-        goals.push((version.generation, self.offerings.iter().map(goal).collect()));
-        // Views in hand may be of a few generations back; what is older is not counted.
+        goals.push((version.generation, self.classes.iter().map(goal).collect()));
+        // Requests in hand may be of a few generations back; what is older is not counted.
         if goals.len() > 8 {
             goals.remove(0);
         }
         // Where it says nothing of it any more, as after an undo, the own bound is all there is.
-        let most = version.policy.0.get("limit.open_views").map_or(self.open_views, |most| *most as usize);
+        let most = version.policy.0.get("limit.open_views").map_or(self.open_requests, |most| *most as usize);
         self.most_in_hand.set(most);
         let known = self.further.get();
         let further = budgets::per_success(&version.policy);
-        self.further.set(further.map(|each| known.map_or(Allowance::new(each), |known| known.by(each))));
+        self.further.set(further.map(|each| known.map_or(RetryBudget::new(each), |known| known.by(each))));
         self.adopted.set(version.generation);
         Some(facts)
     }
 
     /// Looks at what this router may spend, at the time that it is now.
-    fn shares<T>(&self, what: impl FnOnce(&mut tindoor_quota::Party, Moment) -> T) -> T {
+    fn shares<T>(&self, what: impl FnOnce(&mut tindoor_quota::Participant, Moment) -> T) -> T {
         let _whole = Whole;
         let mut node = self.node.borrow_mut();
         let (now, jumped) = self.clock.now();
@@ -422,16 +424,16 @@
 
     /// Whether a new connection to that cache may be made.
     pub fn may_connect(&self, id: &str) -> bool {
-        self.shares(|party, now| party.spend(now, &[Budget::Connections.of(budgets::number(id))]))
+        self.shares(|participant, now| participant.spend(now, &[Budget::Connections.of(budgets::number(id))]))
     }
 
     /// Each line that is known here: what this router may spend of it, and the fleet.
-    pub fn lines(&self) -> Vec<(Line, Share, Share)> {
-        self.shares(|party, now| party.shares(now))
+    pub fn lines(&self) -> Vec<(BudgetKey, Quota, Quota)> {
+        self.shares(|participant, now| participant.shares(now))
     }
 }
 
-impl Gate for Fleet {
+impl AdmissionGate for Fleet {
     fn renews(&self) -> std::result::Result<Option<Facts>, Span> {
         let _whole = Whole;
         let mut node = self.node.borrow_mut();
@@ -451,59 +453,59 @@
     }
 
     fn admits(&self, account: u64) -> std::result::Result<u64, Span> {
-        // One account's flood is turned back before it costs others anything.
-        match self.shares(|party, now| party.spend(now, &[Budget::Accounts.of(account)])) {
+        // One account's flood is rejected before it costs others anything.
+        match self.shares(|participant, now| participant.spend(now, &[Budget::Accounts.of(account)])) {
             true => Ok(self.adopted.get()),
             false => Err(self.pause),
         }
     }
 
-    fn ended(&self, generation: u64, offering: u16, done: bool, took: Duration) {
+    fn ended(&self, generation: u64, class: u16, done: bool, took: Duration) {
         if done {
-            self.further.set(self.further.get().map(Allowance::filled));
+            self.further.set(self.further.get().map(RetryBudget::filled));
         }
         let goals = self.goals.borrow();
         let goal = goals.iter().find(|(of, _)| *of == generation);
-        let Some(goal) = goal.and_then(|(_, goals)| goals.get(offering as usize)) else { return };
-        let count = Count { views: 1, good: u64::from(done && took <= *goal) };
-        self.node.borrow_mut().count(generation, offering, count);
+        let Some(goal) = goal.and_then(|(_, goals)| goals.get(class as usize)) else { return };
+        let count = Count { requests: 1, good: u64::from(done && took <= *goal) };
+        self.node.borrow_mut().count(generation, class, count);
     }
 
-    fn affords_fill(&self, offering: u16) -> bool {
-        self.shares(|party, now| party.affords(now, &self.place.fills(offering)))
+    fn can_afford_fill(&self, class: u16) -> bool {
+        self.shares(|participant, now| participant.affords(now, &self.place.fills(class)))
     }
 
-    fn draw(&self, draw: &Draw) -> Option<Drawn> {
+    fn charge_quota(&self, draw: &QuotaCharge) -> Option<FillCharge> {
         let further = self.further.get();
         if draw.further && further.is_some_and(|further| !further.affords()) {
             return None;
         }
         let (lines, count) = self.place.draws(draw);
-        let at = self.shares(|party, now| {
+        let at = self.shares(|participant, now| {
             // One that is sent without a fill, as none is to be had, would have wanted it.
-            let fills = self.place.fills(draw.offering);
-            if !draw.fills && !draw.further && !party.affords(now, &fills) {
-                party.refused(now, &fills);
+            let fills = self.place.fills(draw.class);
+            if !draw.fills && !draw.further && !participant.affords(now, &fills) {
+                participant.refused(now, &fills);
             }
-            party.spend(now, &lines[..count]).then_some(now)
+            participant.spend(now, &lines[..count]).then_some(now)
         })?;
         if draw.further {
-            self.further.set(further.map(Allowance::spent));
+            self.further.set(further.map(RetryBudget::spent));
         }
-        Some(Drawn { at, offering: draw.offering, fills: draw.fills })
+        Some(FillCharge { at, class: draw.class, fills: draw.fills })
     }
 
-    fn settle(&self, drawn: Drawn, end: (Verdict, Note)) {
-        let lines = self.place.fills(drawn.offering);
-        self.shares(|party, now| {
-            party.settled(now, drawn.at, &lines, self.place.by_origin(end));
-            party.ended(drawn.at, &lines[3..]);
+    fn settle(&self, drawn: FillCharge, end: Outcome) {
+        let lines = self.place.fills(drawn.class);
+        self.shares(|participant, now| {
+            participant.settled(now, drawn.at, &lines, self.place.by_origin(end));
+            participant.ended(drawn.at, &lines[3..]);
         });
     }
 
-    fn part(&self, stable: u64, parent: bool) -> Option<f64> {
+    fn slow_start_share(&self, stable: u64, parent: bool) -> Option<f64> {
         let budget = if parent { Budget::ColdParents } else { Budget::ColdCaches };
-        self.shares(|party, now| party.part(now, budget.of(stable)))
+        self.shares(|participant, now| participant.part(now, budget.of(stable)))
     }
 }
 
@@ -521,16 +523,16 @@
 }
 
 /// One line for each step.
-fn log(step: &Step) {
+fn log(step: &Transition) {
     match step {
-        Step::Listed(start) => tracing::info!(%start, "fleet: listed"),
-        Step::Unlisted(start) => tracing::info!(%start, "fleet: no longer listed"),
-        Step::Proposed(generation) => tracing::info!(generation, "policy: proposed"),
-        Step::Refused(token, why) => tracing::warn!(token, why, "policy: refused"),
-        Step::Decided(generation, at) => tracing::info!(generation, at = at.0, "policy: decided"),
-        Step::CalledOff(generation, why) => tracing::warn!(generation, why, "policy: called off"),
-        Step::Held(generation) => tracing::info!(generation, "policy: in force"),
-        Step::Kept(generation, finding) => tracing::info!(generation, finding, "policy: off probation"),
+        Transition::Joined(start) => tracing::info!(%start, "fleet: listed"),
+        Transition::Removed(start) => tracing::info!(%start, "fleet: no longer listed"),
+        Transition::Proposed(generation) => tracing::info!(generation, "policy: proposed"),
+        Transition::Refused(token, why) => tracing::warn!(token, why, "policy: refused"),
+        Transition::Decided(generation, at) => tracing::info!(generation, at = at.0, "policy: decided"),
+        Transition::CalledOff(generation, why) => tracing::warn!(generation, why, "policy: called off"),
+        Transition::Held(generation) => tracing::info!(generation, "policy: in force"),
+        Transition::Kept(generation, finding) => tracing::info!(generation, finding, "policy: off probation"),
     }
 }
 
--- a/crates/router/src/folder.rs
+++ b/crates/router/src/folder.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, Result, anyhow, ensure};
 use redb::{Database, ReadableTable, TableDefinition};
-use tindoor_consensus::{Kept, Write};
+use tindoor_consensus::{StorageWrite, StoredState};
 
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
@@ -16,20 +16,20 @@
 /// What a folder held at its opening.
 pub struct Found {
     /// The seat that it stands for.
-    pub seat: u64,
+    pub replica_id: u64,
     /// The start of the process that had it open before: as it is open here, that one has ended.
     pub before: Option<u64>,
     /// None before the first write.
-    pub kept: Option<Kept>,
+    pub kept: Option<StoredState>,
 }
 
 impl Folder {
     /// Opens it, or begins it with a new seat. A damaged one is put aside, and one begun in its place.
-    pub fn open(path: &Path, seat: u64, start: u64) -> Result<(Self, Found)> {
+    pub fn open(path: &Path, replica_id: u64, start: u64) -> Result<(Self, Found)> {
         std::fs::create_dir_all(path).with_context(|| format!("{}", path.display()))?;
         let file = path.join("seat.redb");
         // The library panics at some damage that it did not foresee.
-        let read = std::panic::catch_unwind(|| Self::read(&file, seat, start));
+        let read = std::panic::catch_unwind(|| Self::read(&file, replica_id, start));
         match read.unwrap_or_else(|_| Err(anyhow!("it can't be read"))) {
             Ok(read) => Ok(read),
             // One that another process has open is not damaged.
@@ -40,17 +40,17 @@
                 let aside = aside(path);
                 tracing::error!(%what, aside = %aside.display(), "the folder is damaged: it counts as lost");
                 std::fs::rename(&file, &aside).with_context(|| format!("{}", file.display()))?;
-                Self::read(&file, seat, start)
+                Self::read(&file, replica_id, start)
             }
         }
     }
 
-    fn read(file: &Path, seat: u64, start: u64) -> Result<(Self, Found)> {
-        Self::found(Database::create(file)?, seat, start)
+    fn read(file: &Path, replica_id: u64, start: u64) -> Result<(Self, Found)> {
+        Self::found(Database::create(file)?, replica_id, start)
     }
 
     /// Takes up what a database holds.
-    fn found(database: Database, seat: u64, start: u64) -> Result<(Self, Found)> {
+    fn found(database: Database, replica_id: u64, start: u64) -> Result<(Self, Found)> {
         let writing = database.begin_write()?;
         let found = {
             let mut facts = writing.open_table(FACTS)?;
@@ -62,10 +62,10 @@
             let get = |facts: &redb::Table<&str, &[u8]>, key: &str| -> Result<Option<Vec<u8>>> {
                 Ok(facts.get(key)?.map(|value| value.value().to_vec()))
             };
-            let seat = number(get(&facts, "seat")?)?.unwrap_or(seat);
+            let replica_id = number(get(&facts, "seat")?)?.unwrap_or(replica_id);
             let before = number(get(&facts, "start")?)?;
             let (hard, snapshot) = (get(&facts, "hard")?, get(&facts, "snapshot")?);
-            facts.insert("seat", &seat.to_be_bytes()[..])?;
+            facts.insert("seat", &replica_id.to_be_bytes()[..])?;
             facts.insert("start", &start.to_be_bytes()[..])?;
             let log = writing.open_table(LOG)?;
             let mut entries = Vec::new();
@@ -74,15 +74,15 @@
                 entries.push((index.value(), bytes.value().to_vec()));
             }
             ensure!(hard.is_some() || entries.is_empty() && snapshot.is_none(), "a log without its vote");
-            let kept = hard.map(|hard| Kept { hard, snapshot: snapshot.unwrap_or_default(), entries });
-            Found { seat, before, kept }
+            let kept = hard.map(|hard| StoredState { hard, snapshot: snapshot.unwrap_or_default(), entries });
+            Found { replica_id, before, kept }
         };
         writing.commit()?;
         Ok((Self(database), found))
     }
 
     /// Writes all of it, synced, or nothing. It is for a thread of its own: it waits for the disk.
-    pub fn write(&self, write: &Write) -> Result<()> {
+    pub fn write(&self, write: &StorageWrite) -> Result<()> {
         let writing = self.0.begin_write()?;
         {
             let mut facts = writing.open_table(FACTS)?;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -21,8 +21,8 @@
     pub descriptors: usize,
     pub connect: Duration,
     pub cache_idle: Duration,
-    pub open_views: usize,
-    /// The longest cut-off of any offering.
+    pub open_requests: usize,
+    /// The longest deadline of any request class.
     pub cut_off: Duration,
     /// How long a cache that starts takes to be warm.
     pub warm_within: Duration,
@@ -36,8 +36,8 @@
     pub clients_closing: usize,
     /// Connections to caches at once, idle ones included.
     pub cache_connections: usize,
-    /// Views in hand at once.
-    pub open_views: usize,
+    /// Requests in hand at once.
+    pub open_requests: usize,
     /// Open calls on one connection.
     pub open_calls: usize,
     /// Answers that may wait on one connection before no more is read from it.
@@ -46,7 +46,7 @@
     pub buffered: usize,
     /// The longest frame of a client, without its length.
     pub frame: usize,
-    /// Frames up to this size are copied out of what was read: a view outlives it, and would pin all of it.
+    /// Frames up to this size are copied out of what was read: a request outlives it, and would pin all of it.
     pub small_frame: usize,
     /// The longest text of a field.
     pub text: usize,
@@ -58,7 +58,7 @@
     pub head: usize,
     /// How much of an answer is read at first, before its length is known.
     pub first_read: usize,
-    /// The longest line of the change log.
+    /// The longest line of the change stream.
     pub line: usize,
     /// What the system may buffer of a client's answers: about one of the longest.
     pub send_buffer: usize,
@@ -78,12 +78,12 @@
     /// How long a connection to a cache lies idle before its next use: a second answer, which would pass for that of the
     /// next request, may come some milliseconds after the first.
     pub settle: Duration,
-    /// How long the number of a cache that has gone stays its own: the module counts it by what it did for
+    /// How long the number of a cache that has gone stays its own: the routing engine counts it by what it did for
     /// two warm-ups.
     pub gone_kept: Duration,
     /// How long an answer may wait for its client to take it, from when it was given.
     pub untaken: Duration,
-    /// How long the change log may say nothing: it beats each second, and a new connection, though the first
+    /// How long the change stream may say nothing: it beats each second, and a new connection, though the first
     /// connect hangs, must be there within 4 s.
     pub feed_silence: Duration,
     /// How long its connection may take to come up.
@@ -92,10 +92,10 @@
     pub feed_pause: Duration,
     /// How long one line of it may take to come whole, however its bytes trickle.
     pub feed_line: Duration,
-    /// How long views may still come after SIGTERM.
+    /// How long requests may still come after SIGTERM.
     pub last_calls: Duration,
     /// How long after SIGTERM what is open is answered at the latest: it may be killed from the longest
-    /// cut-off on, but 3 s at most, and 0.7 s more.
+    /// deadline on, but 3 s at most, and 0.7 s more.
     pub stop: Duration,
     /// How long the last answers may take to be written, at the end and on a connection that can't be read.
     pub farewell: Duration,
@@ -127,7 +127,7 @@
     pub small_frames: usize,
     /// What may wait on one call for its proxy to open a window.
     pub unsent: usize,
-    /// When a client may come again whose view could not be taken for want of a lease: once the router has had a
+    /// When a client may come again whose request could not be taken for want of a lease: once the router has had a
     /// beat or two to find out.
     pub no_lease: Duration,
     /// How long a connection of a proxy may rest.
@@ -136,10 +136,10 @@
     pub use_within: Duration,
     /// How long after its time a choice may be reported.
     pub report_within: Duration,
-    /// How long a view is kept for the next call of it.
+    /// How long a request is kept for the next call of it.
     pub again_within: Duration,
-    /// Marks of writes, and tickets of views that are over, known at once.
-    pub marks: usize,
+    /// Marks of writes, and tickets of requests that are over, known at once.
+    pub idempotency_keys: usize,
     pub over: usize,
     /// Calls that wait for the end of one mark.
     pub waiters: usize,
@@ -147,7 +147,7 @@
 
 impl Limits {
     pub fn of(machine: Machine) -> Self {
-        // Clients get a third; a few are kept for listener, change log, signals, timers and logs: fewer where the
+        // Clients get a third; a few are kept for listener, change stream, signals, timers and logs: fewer where the
         // system allows few, as caches must be reached still.
         let kept = (machine.descriptors / 4).clamp(KEPT_AT_LEAST, KEPT_AT_MOST);
         let client_connections = machine.descriptors / 3;
@@ -156,7 +156,7 @@
             client_connections,
             clients_closing: client_connections / 8,
             cache_connections: machine.descriptors.saturating_sub(client_connections + kept).max(1),
-            open_views: machine.open_views,
+            open_requests: machine.open_requests,
             open_calls: 32,
             replies: 128,
             buffered: memory / 2,
@@ -203,7 +203,7 @@
             use_within: Duration::from_millis(200),
             report_within: Duration::from_millis(250),
             again_within: Duration::from_millis(250),
-            marks: 1 << 17,
+            idempotency_keys: 1 << 17,
             over: 1 << 17,
             waiters: 8,
         }
@@ -215,8 +215,8 @@
     pub fn calls(&self, grace: Duration, window: Duration) -> Bounds {
         let span = |time: Duration| Span::micros(time.as_micros() as u64);
         Bounds {
-            views: self.open_views,
-            marks: self.marks,
+            requests: self.open_requests,
+            idempotency_keys: self.idempotency_keys,
             over: self.over,
             waiters: self.waiters,
             use_within: span(self.use_within.min(grace / 2)),
--- a/crates/router/src/links.rs
+++ b/crates/router/src/links.rs
@@ -1,4 +1,4 @@
-//! Signed links on the fronts: where a request carries its token, the key file, and what the module is told
+//! Signed links on the fronts: where a request carries its token, the key file, and what the routing engine is told
 //! of it.
 
 use std::cell::RefCell;
@@ -8,9 +8,9 @@
 
 use anyhow::{Context, Result, bail};
 use serde::Deserialize;
-use tindoor::host::Pass;
+use tindoor::host::Authorization;
 use tindoor::time::Span;
-use tindoor_extproc::ask::{Headers, Offering};
+use tindoor_extproc::ask::{Headers, RequestClass};
 use tindoor_signed_urls::Format;
 use tindoor_signed_urls::claims::{Asked, Now, Refusal};
 use tindoor_signed_urls::clock::Clock;
@@ -20,7 +20,7 @@
 use tindoor_signed_urls::playback::{Bounds as PlaybackBounds, Playback};
 use tindoor_signed_urls::prefix::PrefixSignature;
 use tindoor_signed_urls::uri_signing::UriSigning;
-use tindoor_signed_urls::verdicts::{Bounds, Refused, Verdicts};
+use tindoor_signed_urls::verification_cache::{Bounds, Refused, VerificationCache};
 
 use crate::limits::Seldom;
 
@@ -34,8 +34,9 @@
     pub base: String,
     /// How far the signers' clocks and ours may be apart.
     pub skew_ms: u64,
-    /// Offerings that need a link; all others pass without.
-    pub offerings: Vec<String>,
+    /// Request classes that need a link; all others pass without.
+    #[serde(rename = "request_classes", alias = "offerings")]
+    pub classes: Vec<String>,
     pub forms: Vec<Form>,
     /// The header with the client's address.
     #[serde(default = "external")]
@@ -87,14 +88,14 @@
     file: PathBuf,
     base: String,
     skew_ms: u64,
-    /// Which offerings need a link, by their numbers.
+    /// Which request classes need a link, by their numbers.
     needed: Vec<bool>,
     forms: Vec<(Box<dyn Format>, Source)>,
     client: String,
     /// The cookie of renewals, where there are any.
     playback: Option<String>,
     keys: RefCell<KeySet>,
-    verdicts: RefCell<Verdicts>,
+    verdicts: RefCell<VerificationCache>,
     clock: RefCell<Clock>,
     /// How often our clock was found to be off by more than the skew.
     off: Seldom,
@@ -104,7 +105,7 @@
 pub struct Judged {
     /// The path as it was checked, without the token: this goes on.
     pub path: String,
-    pub pass: Pass,
+    pub authorization: Authorization,
     /// Why it does not pass, for its client and for the log.
     pub why: Option<String>,
     /// What is to be signed for the next part, once this one is served.
@@ -123,12 +124,11 @@
 }
 
 impl Links {
-    pub fn start(told: Told, offerings: &[Offering], seed: u64) -> Result<Self> {
+    pub fn start(told: Told, classes: &[RequestClass], seed: u64) -> Result<Self> {
         if told.skew_ms > LONGEST_SKEW {
             bail!("links.skew_ms: {} is over {LONGEST_SKEW}", told.skew_ms);
         }
-        if let Some(unknown) = told.offerings.iter().find(|name| !offerings.iter().any(|o| o.name == **name))
-        {
+        if let Some(unknown) = told.classes.iter().find(|name| !classes.iter().any(|o| o.name == **name)) {
             bail!("links.offerings: {unknown:?} is not known");
         }
         let keys = read_keys(&told.keys).context("links.keys")?;
@@ -149,7 +149,7 @@
         let mut secret = [0; 8];
         getrandom::fill(&mut secret).context("random numbers")?;
         Ok(Self {
-            needed: offerings.iter().map(|offering| told.offerings.contains(&offering.name)).collect(),
+            needed: classes.iter().map(|class| told.classes.contains(&class.name)).collect(),
             file: told.keys,
             base: told.base,
             skew_ms: told.skew_ms,
@@ -159,7 +159,10 @@
             keys: RefCell::new(keys),
             clock: RefCell::new(Clock::new(LONGEST_OFFSET)),
             off: Seldom::default(),
-            verdicts: RefCell::new(Verdicts::new(Bounds::default(), (seed, u64::from_ne_bytes(secret)))),
+            verdicts: RefCell::new(VerificationCache::new(
+                Bounds::default(),
+                (seed, u64::from_ne_bytes(secret)),
+            )),
         })
     }
 
@@ -197,13 +200,13 @@
         let (keys, mut verdicts) = (self.keys.borrow(), self.verdicts.borrow_mut());
         let now = self.now(unix_ms);
         if without("links") {
-            return Ok(Judged { path, pass: Pass::Free, why: None, playback: None });
+            return Ok(Judged { path, authorization: Authorization::Granted, why: None, playback: None });
         }
         // The renewal of an earlier part, if there is one and it holds.
         let renewal = self.playback.as_ref().and_then(|name| cookie(headers, name));
         let asked = Asked { base: &self.base, target: &target, client };
         let held = renewal.and_then(|token| Playback::check(&token, &keys, &asked, now).ok());
-        let mut worst = (Pass::Refused, Refusal::Missing.to_string());
+        let mut worst = (Authorization::Denied, Refusal::Missing.to_string());
         for (format, token) in tokens {
             match verdicts.check(&**format, &keys, &token, &asked, now) {
                 Ok(checked) => {
@@ -211,42 +214,50 @@
                     // way.
                     let begin = || Playback::begin(&checked.claims, &asked, now, &PLAYBACK);
                     let playback = self.playback.as_ref().and_then(|_| begin());
-                    return Ok(Judged { path, pass: Pass::Free, why: None, playback });
+                    return Ok(Judged { path, authorization: Authorization::Granted, why: None, playback });
                 }
                 Err(Refused::Costs(wait)) => {
-                    worst = (Pass::Early(Span::millis(wait)), "too many tokens to check".to_string());
+                    worst = (
+                        Authorization::NotYetValid(Span::millis(wait)),
+                        "too many tokens to check".to_string(),
+                    );
                 }
                 Err(Refused::Token(refusal)) => {
-                    let pass = match refusal {
-                        Refusal::Early(wait) => Pass::Early(Span::millis(wait)),
-                        Refusal::Lapsed(_) => Pass::Lapsed,
-                        _ => Pass::Refused,
+                    let authorization = match refusal {
+                        Refusal::Early(wait) => Authorization::NotYetValid(Span::millis(wait)),
+                        Refusal::Lapsed(_) => Authorization::Expired,
+                        _ => Authorization::Denied,
                     };
-                    worst = (pass, refusal.to_string());
+                    worst = (authorization, refusal.to_string());
                 }
             }
         }
         // It began in time: it goes on, whatever its link says by now. One that was bent, or is for another,
         // does not get better by a renewal.
-        let goes_on = worst.0 == Pass::Lapsed || worst.1 == Refusal::Missing.to_string();
+        let goes_on = worst.0 == Authorization::Expired || worst.1 == Refusal::Missing.to_string();
         if let Some(held) = held.filter(|_| goes_on) {
-            return Ok(Judged { path, pass: Pass::Free, why: None, playback: held.next(now, &PLAYBACK) });
+            return Ok(Judged {
+                path,
+                authorization: Authorization::Granted,
+                why: None,
+                playback: held.next(now, &PLAYBACK),
+            });
         }
-        Ok(Judged { path, pass: worst.0, why: Some(worst.1), playback: None })
+        Ok(Judged { path, authorization: worst.0, why: Some(worst.1), playback: None })
     }
 
     /// A party said a time; ours when its word came. Both in Unix milliseconds.
-    pub fn heard(&self, party: u64, theirs: u64, ours: u64) {
-        self.clock.borrow_mut().said(party, theirs, ours);
+    pub fn heard(&self, participant: u64, theirs: u64, ours: u64) {
+        self.clock.borrow_mut().said(participant, theirs, ours);
     }
 
     /// The same by an answer's `date` (RFC 9110), which is cut to whole seconds: no party is so put ahead of
     /// its time.
-    pub fn heard_date(&self, party: u64, headers: &Headers, ours: u64) {
+    pub fn heard_date(&self, participant: u64, headers: &Headers, ours: u64) {
         let date = headers.one("date").and_then(|date| httpdate::parse_http_date(date).ok());
         let unix = date.and_then(|date| date.duration_since(UNIX_EPOCH).ok());
         if let Some(unix) = unix {
-            self.heard(party, unix.as_millis() as u64, ours);
+            self.heard(participant, unix.as_millis() as u64, ours);
         }
     }
 
@@ -274,9 +285,9 @@
         Some(format!("{name}={token}; Path={path}; Max-Age={holds}; Secure; HttpOnly; SameSite=Lax"))
     }
 
-    /// Whether an offering needs a link at all.
-    pub fn needs(&self, offering: u16) -> bool {
-        self.needed.get(usize::from(offering)).copied().unwrap_or(true)
+    /// Whether an request class needs a link at all.
+    pub fn needs(&self, class: u16) -> bool {
+        self.needed.get(usize::from(class)).copied().unwrap_or(true)
     }
 }
 
