--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,8 @@
-//! All decisions of the router: where a view goes, where its fill comes from, when it is given up.
+//! All decisions of the router: where a request goes, where its fill comes from, when it is given up.
 //!
-//! A caller builds one [`Control`] with a [`Host`], the facts of its deployment, a seed and the time. When
-//! something happens it sets the [`clock`](Control::clock) and calls the method named for it, like
-//! [`view`](Control::view). The control acts by calling the host: trait and types are in [`crate::host`].
+//! A caller builds one [`RoutingEngine`] with a [`Host`], the facts of its deployment, a seed and the time. When
+//! something happens it sets the [`clock`](RoutingEngine::clock) and calls the method named for it, like
+//! [`request`](RoutingEngine::request). The control acts by calling the host: trait and types are in [`crate::host`].
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -12,7 +12,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::host::{
-    Asked, CacheNo, Draw, Fact, Facts, Host, ListForm, Listed, Note, Pass, Standing, Terms, Verdict, ViewNo,
+    AttemptStatus, Authorization, EndpointId, EndpointState, EndpointUpdate, Fact, Facts, FillDirectives,
+    Host, ListUpdateKind, Outcome, OutcomeDetail, QuotaCharge, RequestMeta, RequestSlot,
 };
 use crate::time::{Moment, Span};
 
@@ -47,7 +48,7 @@
 #[derive(Clone, Copy, Default)]
 struct Load {
     at: Moment,
-    /// How many more like it were in hand here at the dispatch, with this one.
+    /// How many more like it were in hand here at the attempt, with this one.
     held: f64,
     work: f64,
     goal: f64,
@@ -55,40 +56,40 @@
 }
 
 /// An error of which nothing is told: of the cache, or of what was asked.
-const ERROR: (Verdict, Note) = (Verdict::Error, Note::Untold);
+const ERROR: Outcome = Outcome::new(AttemptStatus::Error, OutcomeDetail::Unknown);
 
-type Drawn = (Moment, f64, Option<(u64, u16)>);
+type FillCharge = (Moment, f64, Option<(u64, u16)>);
 
 /// A cache, a parent or the origin, as this router knows it.
 struct Member {
-    listed: Listed,
+    listed: EndpointUpdate,
     tier: Tier,
-    /// How its last dispatches ended: whether well.
+    /// How its last attempts ended: whether well.
     signs: Samples<bool, 16>,
     loads: Samples<Load, 40>,
     out: u32,
-    /// When it last answered, or last got a view with none in hand.
+    /// When it last answered, or last got a request with none in hand.
     heard: Moment,
     gaps: Samples<Span, 16>,
-    /// Set while it is left out for what it did; a few trial views go to it after that moment.
+    /// Set while it is left out for what it did; a few trial requests go to it after that moment.
     out_until: Option<Moment>,
     outages: i32,
-    /// Work wanted of it while it was cold, by time; with view and dispatch where it was sent.
-    drawn: VecDeque<Drawn>,
+    /// Work wanted of it while it was cold, by time; with request and attempt where it was sent.
+    drawn: VecDeque<FillCharge>,
 }
 
 impl Member {
-    fn new(listed: Listed, tier: Tier, out: u32, heard: Moment) -> Self {
+    fn new(listed: EndpointUpdate, tier: Tier, out: u32, heard: Moment) -> Self {
         let (signs, gaps, loads, drawn, out_until) = Default::default();
         Self { listed, tier, signs, loads, out, heard, gaps, out_until, outages: 0, drawn }
     }
 
     fn is_ready(&self) -> bool {
-        self.listed.standing == Standing::Ready
+        self.listed.standing == EndpointState::Ready
     }
 }
 
-/// Whether a dispatch fills a miss: as it comes, not, only from what its source holds, or surely after these.
+/// Whether a attempt fills a miss: as it comes, not, only from what its source holds, or surely after these.
 #[derive(Clone, Copy, PartialEq)]
 enum Filling {
     AsItComes,
@@ -97,97 +98,99 @@
     Surely,
 }
 
-/// One dispatch made for a view.
+/// One attempt made for a request.
 #[derive(Clone, Copy)]
-struct Dispatch {
-    cache: CacheNo,
-    source: Option<CacheNo>,
+struct Attempt {
+    cache: EndpointId,
+    source: Option<EndpointId>,
     sent: Moment,
     /// What the cache had in hand from here then, this one counted.
     load: f64,
     filling: Filling,
     /// Fills in hand here then, by estimate: from what a source held, and by the origin.
     fills: [f64; 2],
-    called_off: bool,
-    end: Option<(Verdict, Note)>,
+    cancelled: bool,
+    end: Option<Outcome>,
 }
 
-impl Dispatch {
+impl Attempt {
     fn fills_misses(&self) -> bool {
         matches!(self.filling, Filling::AsItComes | Filling::Surely)
     }
 }
 
-/// What is decided by: the facts of the deployment, and of each offering by their names within it.
+/// What is decided by: the facts of the deployment, and of each request class by their names within it.
 struct Policy {
     facts: Facts,
-    offerings: Vec<Facts>,
+    classes: Vec<Facts>,
 }
 
-/// A view in hand.
+/// A request in hand.
 struct Held {
     policy: Arc<Policy>,
     serial: u64,
     /// Its lot where something is let through in part.
     lot: u64,
-    asked: Asked,
+    asked: RequestMeta,
     end: Moment,
-    dispatches: Vec<Dispatch>,
+    attempts: Vec<Attempt>,
     /// Has its final answer, or its stream: nothing is sent for it any more.
     finished: bool,
 }
 
 impl Held {
-    /// When, and where, it first may have run; a dispatch that is out may.
-    fn ran(&self) -> Option<(Moment, CacheNo)> {
-        use Verdict::{Full, Miss, Moot, Unreachable};
-        let void = |d: &Dispatch| matches!(d.end, Some((Full | Unreachable | Moot | Miss, _)));
-        self.asked.ran.or_else(|| self.dispatches.iter().find(|d| !void(d)).map(|d| (d.sent, d.cache)))
+    /// When, and where, it first may have run; a attempt that is out may.
+    fn first_ran(&self) -> Option<(Moment, EndpointId)> {
+        use AttemptStatus::{Miss, Overloaded, Superseded, Unreachable};
+        let void = |d: &Attempt| {
+            matches!(d.end, Some(Outcome { status: Overloaded | Unreachable | Superseded | Miss, .. }))
+        };
+        self.asked.first_ran.or_else(|| self.attempts.iter().find(|d| !void(d)).map(|d| (d.sent, d.cache)))
     }
 
-    fn open(&self) -> impl Iterator<Item = (usize, &Dispatch)> {
-        self.dispatches.iter().enumerate().filter(|(_, d)| d.end.is_none())
+    fn open(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+        self.attempts.iter().enumerate().filter(|(_, d)| d.end.is_none())
     }
-    fn errors(&self) -> impl Iterator<Item = &Dispatch> {
-        self.dispatches.iter().filter(|d| d.end == Some(ERROR))
+    fn errors(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|d| d.end == Some(ERROR))
     }
 
     /// Whether it was sent to that cache in vain, and not by fault of a source.
-    fn failed_in(&self, cache: CacheNo) -> bool {
-        let by_source = |d: &Dispatch| d.source.is_some_and(|source| self.failed_at(source));
-        self.dispatches.iter().any(|d| d.cache == cache && d.fills_misses() && !by_source(d))
+    fn failed_in(&self, cache: EndpointId) -> bool {
+        let by_source = |d: &Attempt| d.source.is_some_and(|source| self.failed_at(source));
+        self.attempts.iter().any(|d| d.cache == cache && d.fills_misses() && !by_source(d))
     }
 
-    /// Whether a fill of this view failed at that source.
-    fn failed_at(&self, source: CacheNo) -> bool {
-        use Note::{OriginFailed, SourceLacks, SourceLost, SourceRefused};
-        let blamed = |note| matches!(note, SourceRefused | SourceLost | SourceLacks | OriginFailed);
-        self.dispatches.iter().any(|d| d.source == Some(source) && d.end.is_some_and(|end| blamed(end.1)))
+    /// Whether a fill of this request failed at that source.
+    fn failed_at(&self, source: EndpointId) -> bool {
+        use OutcomeDetail::{OriginFailed, SourceMiss, SourceOverloaded, SourceUnreachable};
+        let blamed = |note| matches!(note, SourceOverloaded | SourceUnreachable | SourceMiss | OriginFailed);
+        self.attempts.iter().any(|d| d.source == Some(source) && d.end.is_some_and(|end| blamed(end.detail)))
     }
 }
 
 /// The decisions of one router.
-pub struct Control<H: Host> {
+pub struct RoutingEngine<H: Host> {
     host: H,
     policy: Arc<Policy>,
     now: Moment,
     /// How long samples of lateness count, ever less: the longest that a client waits, and again.
     memory: Span,
     chance: Pcg64Mcg,
-    /// By offering, hits of caches that had little else in hand: what sending takes by itself.
+    /// By request class, hits of caches that had little else in hand: what sending takes by itself.
     easy: Vec<Samples<Span, 64>>,
     members: Vec<Member>,
     /// Which of them are of each tier.
-    tiers: [Vec<CacheNo>; 4],
-    views: Vec<Option<Held>>,
+    tiers: [Vec<EndpointId>; 4],
+    requests: Vec<Option<Held>>,
     serial: u64,
     purges: HashMap<(bool, u64), Moment>,
     /// When purges were last forgotten.
     swept: Moment,
-    /// When, for which view's serial and number; serial 0 asks for the list again.
-    alarms: BinaryHeap<Reverse<(Moment, u64, ViewNo)>>,
+    /// When, for which request's serial and number; serial 0 asks for the list again.
+    alarms: BinaryHeap<Reverse<(Moment, u64, RequestSlot)>>,
     next_wake: Option<Moment>,
-    /// When warm caches of the location served which offering, and when warm parents gave a fill.
+    /// When warm caches of the location served which request class, and when warm parents gave a fill.
     served: Samples<(Moment, u16), 256>,
     fills: Samples<(Moment, u16), 128>,
     /// First tries that came in.
@@ -199,7 +202,7 @@
     fill_loads: [Samples<Load, 40>; 2],
     /// Answers of what fills as it comes: by hit (0), source (1) or origin (2), and their time.
     filled: Samples<(usize, Span), 64>,
-    /// How many dispatches are out, by their filling.
+    /// How many attempts are out, by their filling.
     filling: [f64; 4],
 }
 
@@ -217,19 +220,19 @@
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-impl<H: Host> Control<H> {
+impl<H: Host> RoutingEngine<H> {
     /// Takes up work with nothing known but the facts; says which one is missing.
     pub fn start(host: H, facts: Facts, seed: u64, now: Moment) -> Result<Self, String> {
         let mut control = Self {
             host,
-            policy: Arc::new(Policy { facts: Facts::new(), offerings: Vec::new() }),
+            policy: Arc::new(Policy { facts: Facts::new(), classes: Vec::new() }),
             now,
             memory: Span::ZERO,
             chance: Pcg64Mcg::seed_from_u64(seed),
             easy: Vec::new(),
             members: Vec::new(),
             tiers: Default::default(),
-            views: Vec::new(),
+            requests: Vec::new(),
             serial: 0,
             purges: HashMap::new(),
             swept: now,
@@ -244,33 +247,33 @@
             filled: Default::default(),
             filling: [0.0; 4],
         };
-        control.adopt(facts)?;
+        control.apply_settings(facts)?;
         if control.fact("list_on_request", 0.0) > 0.0 {
-            control.host.subscribe();
+            control.host.watch_endpoints();
         }
         Ok(control)
     }
 
-    /// New views are decided by these facts from now on; nothing changes where one is missing, which it says.
-    pub fn adopt(&mut self, facts: Facts) -> Result<(), String> {
+    /// New requests are decided by these facts from now on; nothing changes where one is missing, which it says.
+    pub fn apply_settings(&mut self, facts: Facts) -> Result<(), String> {
         let need = |name: &str| facts.get(name).and_then(Fact::number).ok_or(format!("{name} is not set"));
         ["location", "drain_grace"].into_iter().try_for_each(|name| need(name).map(drop))?;
-        let (mut offerings, mut memory) = (Vec::new(), Span::ZERO);
+        let (mut classes, mut memory) = (Vec::new(), Span::ZERO);
         for i in 0..need("offerings")? as usize {
             let prefix = format!("offering.{i}.");
             need(&format!("{prefix}latency_goal"))?;
             memory = memory.max(Span::micros(need(&format!("{prefix}cut_off"))? as u64) * 2.0);
             let own = |(name, it): (&String, &Fact)| Some((name.strip_prefix(&prefix)?.into(), it.clone()));
-            offerings.push(facts.iter().filter_map(own).collect());
+            classes.push(facts.iter().filter_map(own).collect());
         }
         self.memory = memory;
-        self.easy.resize_with(offerings.len(), Default::default);
-        self.policy = Arc::new(Policy { facts, offerings });
+        self.easy.resize_with(classes.len(), Default::default);
+        self.policy = Arc::new(Policy { facts, classes });
         Ok(())
     }
 
-    /// Does so by the policy under which that view was taken.
-    fn as_taken(&mut self, no: ViewNo, what: impl FnOnce(&mut Self)) {
+    /// Does so by the policy under which that request was taken.
+    fn as_taken(&mut self, no: RequestSlot, what: impl FnOnce(&mut Self)) {
         let newest = Arc::clone(&self.policy);
         let pinned = self.held(no).filter(|_| self.fact("pinned", 1.0) > 0.0);
         self.policy = Arc::clone(pinned.map_or(&newest, |held| &held.policy));
@@ -285,15 +288,15 @@
         Span::micros(self.fact(name, default.as_micros() as f64) as u64)
     }
 
-    /// A fact of an offering; nothing where it is not set.
-    fn of(&self, offering: u16, what: &str) -> f64 {
-        self.policy.offerings[offering as usize].get(what).and_then(Fact::number).unwrap_or_default()
+    /// A fact of an request class; nothing where it is not set.
+    fn of(&self, class: u16, what: &str) -> f64 {
+        self.policy.classes[class as usize].get(what).and_then(Fact::number).unwrap_or_default()
     }
-    fn span_of(&self, offering: u16, what: &str) -> Span {
-        Span::micros(self.of(offering, what) as u64)
+    fn span_of(&self, class: u16, what: &str) -> Span {
+        Span::micros(self.of(class, what) as u64)
     }
-    fn word_of(&self, offering: u16, what: &str) -> &str {
-        self.policy.offerings[offering as usize].get(what).map_or("", Fact::word)
+    fn word_of(&self, class: u16, what: &str) -> &str {
+        self.policy.classes[class as usize].get(what).map_or("", Fact::word)
     }
 
     /// What the control acts through.
@@ -301,24 +304,24 @@
         &mut self.host
     }
     /// The time of all that is called next.
-    pub fn clock(&mut self, now: Moment) {
+    pub fn set_time(&mut self, now: Moment) {
         self.now = now;
     }
 
-    /// The time asked for by `wake_in` has passed.
-    pub fn wake(&mut self) {
+    /// The time asked for by `set_timer` has passed.
+    pub fn timer_fired(&mut self) {
         self.next_wake = None;
         while let Some(&Reverse((_, serial, no))) = self.alarms.peek().filter(|next| next.0.0 <= self.now) {
             self.alarms.pop();
             match self.held(no).is_some_and(|held| held.serial == serial && !held.finished) {
-                _ if serial == 0 => self.host.subscribe(),
+                _ if serial == 0 => self.host.watch_endpoints(),
                 true => self.as_taken(no, |control| control.due(no)),
                 false => {}
             }
         }
         self.plan_wake();
     }
-    fn alarm(&mut self, at: Moment, no: ViewNo) {
+    fn alarm(&mut self, at: Moment, no: RequestSlot) {
         let serial = self.held(no).map_or(0, |held| held.serial);
         self.alarms.push(Reverse((at, serial, no)));
         self.plan_wake();
@@ -327,20 +330,20 @@
         let Some(&Reverse((due, _, _))) = self.alarms.peek() else { return };
         if self.next_wake.is_none_or(|planned| due < planned) {
             self.next_wake = Some(due);
-            self.host.wake_in(due.since(self.now));
+            self.host.set_timer(due.since(self.now));
         }
     }
 
-    fn held(&self, no: ViewNo) -> Option<&Held> {
-        self.views.get(no.0 as usize)?.as_ref()
+    fn held(&self, no: RequestSlot) -> Option<&Held> {
+        self.requests.get(no.0 as usize)?.as_ref()
     }
-    fn held_mut(&mut self, no: ViewNo) -> Option<&mut Held> {
-        self.views.get_mut(no.0 as usize)?.as_mut()
+    fn held_mut(&mut self, no: RequestSlot) -> Option<&mut Held> {
+        self.requests.get_mut(no.0 as usize)?.as_mut()
     }
-    fn member(&self, cache: CacheNo) -> &Member {
+    fn member(&self, cache: EndpointId) -> &Member {
         &self.members[cache.0 as usize]
     }
-    fn member_mut(&mut self, cache: CacheNo) -> &mut Member {
+    fn member_mut(&mut self, cache: EndpointId) -> &mut Member {
         &mut self.members[cache.0 as usize]
     }
     fn tier(&self, tier: Tier) -> impl Iterator<Item = &Member> {
@@ -354,14 +357,14 @@
     }
 
     /// News of the list of caches.
-    pub fn listed(&mut self, form: ListForm, lines: &[Listed]) {
-        if form == ListForm::Failed {
+    pub fn endpoints_changed(&mut self, form: ListUpdateKind, lines: &[EndpointUpdate]) {
+        if form == ListUpdateKind::Failed {
             let pause = Span::secs(self.chance.random_range(0.5..1.5));
-            self.alarm(self.now + pause, ViewNo(u32::MAX));
+            self.alarm(self.now + pause, RequestSlot(u32::MAX));
         }
-        if form == ListForm::Whole {
+        if form == ListUpdateKind::Full {
             // What the list does not name is gone; what it names is set below.
-            self.members.iter_mut().for_each(|member| member.listed.standing = Standing::Gone);
+            self.members.iter_mut().for_each(|member| member.listed.standing = EndpointState::Removed);
         }
         for line in lines {
             let tier = match f64::from(line.kind) {
@@ -372,11 +375,13 @@
             };
             let known = self.members.get(line.cache.0 as usize);
             let fresh = Member::new(*line, tier, known.map_or(0, |member| member.out), self.now);
-            let Listed { cache, stable, started, standing, .. } = *line;
+            let EndpointUpdate { cache, stable, started, standing, .. } = *line;
             match known.map(|known| (known.listed.started, known.listed.stable, known.tier)) {
                 None => self.members.push(fresh),
                 // Gone; its size and place still tell how the load was shared.
-                Some(_) if standing == Standing::Gone => self.member_mut(cache).listed.standing = standing,
+                Some(_) if standing == EndpointState::Removed => {
+                    self.member_mut(cache).listed.standing = standing
+                }
                 // The same life goes on: what was learned of its health stays.
                 Some(same) if same == (started, stable, tier) => self.member_mut(cache).listed = *line,
                 Some(_) => *self.member_mut(cache) = fresh,
@@ -399,51 +404,50 @@
         }
     }
 
-    /// A view was taken; its client waits for so long.
-    pub fn view(&mut self, no: ViewNo, asked: Asked, left: Span) {
-        if usize::from(asked.offering) >= self.easy.len() {
-            return self.host.write_off(no);
+    /// A request was taken; its client waits for so long.
+    pub fn request_received(&mut self, no: RequestSlot, asked: RequestMeta, left: Span) {
+        if usize::from(asked.class) >= self.easy.len() {
+            return self.host.fail(no);
         }
         self.serial += 1;
         // The answer must be out before the client leaves: a few milliseconds are kept for it.
         let end = self.now + (left - Span::millis(6));
-        let (serial, lot, dispatches) = (self.serial, self.chance.random(), Vec::new());
+        let (serial, lot, attempts) = (self.serial, self.chance.random(), Vec::new());
         let policy = Arc::clone(&self.policy);
-        let held = Held { policy, serial, lot, asked, end, dispatches, finished: false };
-        self.views.resize_with(self.views.len().max(no.0 as usize + 1), || None);
-        self.views[no.0 as usize] = Some(held);
-        if !asked.repeat && asked.pass == Pass::Free {
-            self.asked.add((self.now, asked.offering));
+        let held = Held { policy, serial, lot, asked, end, attempts, finished: false };
+        self.requests.resize_with(self.requests.len().max(no.0 as usize + 1), || None);
+        self.requests[no.0 as usize] = Some(held);
+        if !asked.client_retry && asked.authorization == Authorization::Granted {
+            self.asked.add((self.now, asked.class));
         }
         self.alarm(end, no);
         // Whose link is refused never reaches a cache; who came early is told when it holds.
-        match asked.pass {
-            Pass::Free => return self.route(no),
-            Pass::Early(wait) => {
-                let rest = self.come_back().map(|_| wait.min(self.span("longest_come_back", Span::ZERO)));
-                self.host.turn_back(no, rest);
+        match asked.authorization {
+            Authorization::Granted => return self.route(no),
+            Authorization::NotYetValid(wait) => {
+                let rest = self.retry_after().map(|_| wait.min(self.span("longest_come_back", Span::ZERO)));
+                self.host.reject(no, rest);
             }
-            Pass::Lapsed | Pass::Refused => self.host.write_off(no),
+            Authorization::Expired | Authorization::Denied => self.host.fail(no),
         }
-        self.left(no);
+        self.request_abandoned(no);
     }
 
-    /// A streamed answer began: the dispatch belongs to the client now.
-    pub fn started(&mut self, no: ViewNo) {
+    /// A streamed answer began: the attempt belongs to the client now.
+    pub fn streaming_started(&mut self, no: RequestSlot) {
         self.held_mut(no).into_iter().for_each(|held| held.finished = true);
     }
 
-    /// What a view will cost in sending time: by its size where that is told, else by its offering's hits.
-    fn work(&self, asked: &Asked) -> f64 {
-        let told = asked.kb.map(|kb| f64::from(kb) / self.fact("client_kb_per_s", 0.0));
-        told.filter(|work| work.is_finite()).unwrap_or_else(|| self.mean_work(asked.offering))
+    /// What a request will cost in sending time: by its size where that is told, else by its request class's hits.
+    fn work(&self, asked: &RequestMeta) -> f64 {
+        let told = asked.size_kb.map(|size_kb| f64::from(size_kb) / self.fact("client_kb_per_s", 0.0));
+        told.filter(|work| work.is_finite()).unwrap_or_else(|| self.mean_work(asked.class))
     }
 
-    /// The mean sending time of an offering, as its easy hits show it; before there are any, its goal, and no
+    /// The mean sending time of an request class, as its easy hits show it; before there are any, its goal, and no
     /// more than that, as a day that begins crowded has none. Could harm where goals are short.
-    fn mean_work(&self, offering: u16) -> f64 {
-        let (easy, goal) =
-            (&self.easy[offering as usize].0, self.span_of(offering, "latency_goal").as_secs());
+    fn mean_work(&self, class: u16) -> f64 {
+        let (easy, goal) = (&self.easy[class as usize].0, self.span_of(class, "latency_goal").as_secs());
         let mean = easy.iter().map(|took| took.as_secs()).sum::<f64>() / easy.len() as f64;
         if easy.len() < 4 { goal } else { mean.min(goal) }
     }
@@ -466,35 +470,36 @@
         [held / work, (count * took / due + 2.0 * usual) / (count + 2.0), goal / work]
     }
 
-    /// How full a cache, or the way in for fills, is: at 1 or more a view would come late, as the last show.
+    /// How full a cache, or the way in for fills, is: at 1 or more a request would come late, as the last show.
     /// Once a link is full, sending slows down in proportion to what is in hand: the number at which it gets
     /// too slow follows from the mean slowness and number. The more routers share it, the more the slowness
     /// alone decides, by lot, so that all together let in what comes in time. Answers overload, slow members,
     /// full links and hot objects. Could harm where lateness does not grow with what is in hand.
-    fn crowd(&self, [held, late, room]: [f64; 3], view: &Held, hand: f64, [calm, least]: [f64; 2]) -> f64 {
+    fn crowd(&self, [held, late, room]: [f64; 3], request: &Held, hand: f64, [calm, least]: [f64; 2]) -> f64 {
         if late < calm {
             return 0.0;
         }
         // What asks little work for its goal is let in longer, and what asks much less long.
-        let own = self.work(&view.asked).max(0.001);
-        let room = (self.goal(view.asked.offering, own) / own / room).max(0.5);
+        let own = self.work(&request.asked).max(0.001);
+        let room = (self.goal(request.asked.class, own) / own / room).max(0.5);
         let alone = 1.0 / self.fact("routers_here", 1.0).max(1.0);
         let hand = hand + 1.0 - alone;
-        let full = (hand / held).powf(alone) * late / (0.5 * room) * unit(view.lot).powf(0.5 - 0.5 * alone);
+        let full =
+            (hand / held).powf(alone) * late / (0.5 * room) * unit(request.lot).powf(0.5 - 0.5 * alone);
         full.min(hand / (least * (4.0 * alone * alone).min(1.0)))
     }
 
     /// The time in which an answer of so much work is in time.
-    fn goal(&self, offering: u16, work: f64) -> f64 {
-        self.span_of(offering, "latency_goal").as_secs() + self.of(offering, "goal_stretch") * work
+    fn goal(&self, class: u16, work: f64) -> f64 {
+        self.span_of(class, "latency_goal").as_secs() + self.of(class, "goal_stretch") * work
     }
 
     /// The fills in hand over those that still come in time: from what a source holds (0), by the origin (1).
-    fn fill_crowd(&self, view: &Held, far: usize) -> f64 {
+    fn fill_crowd(&self, request: &Held, far: usize) -> f64 {
         // None is to be had of the fleet's budget: as where the origin is full.
-        let least = f64::from(far == 1 && !self.host.affords_fill(view.asked.offering));
+        let least = f64::from(far == 1 && !self.host.can_afford_fill(request.asked.class));
         let strain = self.strain(&self.fill_loads[far], 40, 0.3);
-        self.crowd(strain, view, self.fills_in_hand(far), [[0.45, 6.0], [0.6, 4.0]][far]).max(least)
+        self.crowd(strain, request, self.fills_in_hand(far), [[0.45, 6.0], [0.6, 4.0]][far]).max(least)
     }
 
     /// Fills in hand by estimate: of what fills as it comes, the part of the time that went to fills.
@@ -506,7 +511,7 @@
     }
 
     /// Members of one tier in the order of the weighted rendezvous hash, best first.
-    fn order(&self, hash: u64, tier: Tier) -> Vec<CacheNo> {
+    fn order(&self, hash: u64, tier: Tier) -> Vec<EndpointId> {
         let ready = self.tier(tier).filter(|m| m.is_ready());
         let score = |m: &Member| -unit(mix(m.listed.stable, hash)).ln() / f64::from(m.listed.size.max(1e-3));
         let mut scored: Vec<_> = ready.map(|m| (score(m), m.listed.cache)).collect();
@@ -533,7 +538,7 @@
         let work: f64 = samples.0.iter().map(|sample| self.mean_work(sample.1)).sum();
         work / last.0.since(first.0).as_secs().max(0.5)
     }
-    fn is_warm(&self, no: CacheNo) -> bool {
+    fn is_warm(&self, no: EndpointId) -> bool {
         self.warmth(self.member(no)) >= 1.0
     }
 
@@ -556,7 +561,7 @@
         };
         let size = f64::from(member.listed.size);
         let part = size / self.size(member.tier, self.now - self.span("warm_within", Span::secs(15.0)) * 2.0);
-        let own = || self.host.part(member.listed.stable, member.tier == Tier::Parent);
+        let own = || self.host.slow_start_share(member.listed.stable, member.tier == Tier::Parent);
         let bears = match self.fact("size_told", 0.0) > 0.0 {
             true => own().map_or_else(|| size / self.fact(routers, 1.0).max(1.0), |own| size * own),
             false => done.max(least) * part,
@@ -568,7 +573,7 @@
         if budget >= work {
             return spent + work <= budget;
         }
-        // What is wanted of it in a window: at first its part of all views, as those to whom the others are
+        // What is wanted of it in a window: at first its part of all requests, as those to whom the others are
         // ill send it more than its warm objects; then as it was seen.
         let first = if asked > 0.0 { asked * part } else { 4.0 * work / window.as_secs() };
         let seen = self.now.since(member.listed.started.unwrap_or_default()).min(window * 4.0);
@@ -596,7 +601,7 @@
         if own > 2.0 * best { (best / own).max(0.1) } else { 1.0 }
     }
 
-    /// Left out, and not yet due for a trial view.
+    /// Left out, and not yet due for a trial request.
     fn ill(&self, member: &Member) -> bool {
         member.out_until.is_some_and(|until| until > self.now || member.out > 0)
     }
@@ -604,26 +609,26 @@
         self.strain(&self.hits, 40, 0.3)[1]
     }
 
-    /// Whether a view would come late from a cache with that much in hand, where hits are `usual` so late.
-    fn too_late(&self, member: &Member, view: &Held, usual: f64) -> bool {
+    /// Whether a request would come late from a cache with that much in hand, where hits are `usual` so late.
+    fn too_late(&self, member: &Member, request: &Held, usual: f64) -> bool {
         let strain = self.strain(&member.loads, 40, usual);
-        self.crowd(strain, view, f64::from(member.out), [0.45, 2.0]) >= 1.0
+        self.crowd(strain, request, f64::from(member.out), [0.45, 2.0]) >= 1.0
     }
 
-    /// The member of a tier that suits a view best, and how little: 0 is an ordinary one, and among equals
+    /// The member of a tier that suits a request best, and how little: 0 is an ordinary one, and among equals
     /// the hash order decides; then the better ones that rule 4 spares.
-    fn pick(&self, held: &Held, tier: Tier, hash: u64) -> (Option<(u32, CacheNo)>, Vec<CacheNo>) {
-        let work = self.mean_work(held.asked.offering);
+    fn pick(&self, held: &Held, tier: Tier, hash: u64) -> (Option<(u32, EndpointId)>, Vec<EndpointId>) {
+        let work = self.mean_work(held.asked.class);
         let out: u32 = self.tier(tier).map(|m| m.out).sum();
         let fair = 1.5 * f64::from(out) / self.size(tier, self.now + Span::millis(1));
         let usual = self.usual_lateness();
-        let misfit = |no: CacheNo| {
+        let misfit = |no: EndpointId| {
             let member = self.member(no);
             // Objects come back to a restarted member one by one, at every router the same ones.
             let away = unit(mix(hash, member.listed.stable.rotate_left(32)))
                 >= self.warmth(member) * self.fitness(member);
             let failed = if tier == Tier::Parent { held.failed_at(no) } else { held.failed_in(no) };
-            // A hot object can outgrow its cache: views beyond a fair bound go to the next in its order.
+            // A hot object can outgrow its cache: requests beyond a fair bound go to the next in its order.
             let crowded = f64::from(member.out) > 4.0 + fair * f64::from(member.listed.size);
             let full = tier == Tier::Cache && (crowded || self.too_late(member, held, usual));
             let ill = u32::from(self.ill(member));
@@ -636,20 +641,20 @@
         (first.map(|first| ranked[first]), spared)
     }
 
-    /// Counts what is wanted of a member while it is cold, and for which view and dispatch it was sent.
-    fn draw(&mut self, no: CacheNo, offering: u16, sent: Option<(u64, u16)>) {
-        let (now, work, cold) = (self.now, self.mean_work(offering), !self.is_warm(no));
+    /// Counts what is wanted of a member while it is cold, and for which request and attempt it was sent.
+    fn draw(&mut self, no: EndpointId, class: u16, sent: Option<(u64, u16)>) {
+        let (now, work, cold) = (self.now, self.mean_work(class), !self.is_warm(no));
         let kept = self.span("cold_window", Span::secs(1.0)) * 4.0;
         let drawn = &mut self.member_mut(no).drawn;
         drawn.retain(|drawn| now.since(drawn.0) <= kept);
         drawn.extend(Some((now, work, sent)).filter(|_| cold));
     }
 
-    /// Picks the cache and the source of a view and dispatches it, or gives it up.
-    fn route(&mut self, no: ViewNo) {
+    /// Picks the cache and the source of a request and attempts it, or gives it up.
+    fn route(&mut self, no: RequestSlot) {
         let Some(held) = self.held(no) else { return };
         let asked = held.asked;
-        let through = self.of(asked.offering, "runs_at_origin") > 0.0;
+        let through = self.of(asked.class, "runs_at_origin") > 0.0;
         let direct = self.fact("direct", 0.0) > 0.0;
         let hash = mix(asked.object, u64::from(asked.part));
         let origin = self.order(hash, Tier::Origin).first().copied();
@@ -657,8 +662,8 @@
         if let Some(origin) = origin.filter(|_| through && direct) {
             return self.send(no, origin, None, Filling::AsItComes);
         }
-        let missed = held.dispatches.last().filter(|d| !d.fills_misses()).map(|d| d.filling);
-        // Where every parent is left out or failed this view, the origin is its source: for parents lost
+        let missed = held.attempts.last().filter(|d| !d.fills_misses()).map(|d| d.filling);
+        // Where every parent is left out or failed this request, the origin is its source: for parents lost
         // together; could harm an origin that made them fail, but that its fills stay limited.
         let (parent, mut spared) = self.pick(held, Tier::Parent, hash);
         let parent = parent.filter(|parent| parent.0 < 4 || origin.is_none());
@@ -671,21 +676,21 @@
         };
         // Where no cache can take it, the parent answers by itself; where one would just be late, a calm
         // parent. Could harm a parent that many locations turn to at once.
-        let calm = |no: &CacheNo| self.strain(&self.member(*no).loads, 12, 0.3)[1] < 0.45;
+        let calm = |no: &EndpointId| self.strain(&self.member(*no).loads, 12, 0.3)[1] < 0.45;
         let straight = source.filter(|_| direct && !through);
         let cache = match cache.map(|cache| cache.1) {
             Some(cache) if !self.too_late(self.member(cache), held, self.usual_lateness()) => Some(cache),
             late => straight.filter(|no| late.is_none() || calm(no)),
         };
-        // While fills come late, a view is first sent without one, or with only what the parent holds where
+        // While fills come late, a request is first sent without one, or with only what the parent holds where
         // just the origin's do: hits and joins are served as ever; what surely misses is filled within the
-        // limit or turned back. Guards the link, the parents and the origin, whatever made them late.
+        // limit or rejected. Guards the link, the parents and the origin, whatever made them late.
         let [near, far] = [0, 1].map(|far| self.fill_crowd(held, far));
         // Where notes do not tell the origin's fills apart, half being quick shows that just those are late.
         let told = self.policy.facts.get("notes").is_some_and(|notes| notes.word() == "all");
         let half = self.fill_loads[0].quantile(0.5, |load| load.took.as_secs() / load.goal);
         let just_origin = !told && half.is_some_and(|half| half < 0.45);
-        let shared = self.host.affords_fill(asked.offering);
+        let shared = self.host.can_afford_fill(asked.class);
         let filling = match (cache, missed) {
             _ if plain || through => Filling::AsItComes,
             _ if cache == source && near < 1.0 && shared => Filling::AsItComes,
@@ -697,7 +702,7 @@
             (_, None) => Filling::AsItComes,
             _ => Filling::Surely,
         };
-        spared.into_iter().for_each(|no| self.draw(no, asked.offering, None));
+        spared.into_iter().for_each(|no| self.draw(no, asked.class, None));
         match cache {
             Some(cache) if filling == Filling::Not => self.send(no, cache, Some(cache), filling),
             Some(cache) => self.send(no, cache, source, filling),
@@ -706,14 +711,14 @@
     }
 
     /// The one place that every send passes; here the rules are kept.
-    fn send(&mut self, no: ViewNo, cache: CacheNo, source: Option<CacheNo>, filling: Filling) {
+    fn send(&mut self, no: RequestSlot, cache: EndpointId, source: Option<EndpointId>, filling: Filling) {
         // Rule 1: nothing after the final answer, and time must be left for one.
         let Some(held) = self.held(no).filter(|held| !held.finished) else { return };
-        let (offering, left) = (held.asked.offering, held.end.since(self.now));
+        let (class, left) = (held.asked.class, held.end.since(self.now));
         // Rule 2: what may have run goes again only where a repeat does no harm.
-        let word = |what: &str| self.word_of(offering, what);
-        let place = |cache: CacheNo| (self.member(cache).listed.location, self.member(cache).listed.cell);
-        let harmless = match (word("effect"), held.ran()) {
+        let word = |what: &str| self.word_of(class, what);
+        let place = |cache: EndpointId| (self.member(cache).listed.location, self.member(cache).listed.cell);
+        let harmless = match (word("effect"), held.first_ran()) {
             ("repeatable", _) | (_, None) => true,
             ("tagged", Some((since, first))) => {
                 let same = match word("group") {
@@ -721,7 +726,7 @@
                     "cell" => place(first) == place(cache),
                     group => group == "all",
                 };
-                same && self.now.since(since) + Span::millis(20) < self.span_of(offering, "window")
+                same && self.now.since(since) + Span::millis(20) < self.span_of(class, "window")
             }
             _ => false,
         };
@@ -730,10 +735,10 @@
         // Rule 3: a cache that drains or is gone gets nothing, be it as cache or as source.
         let both_ready = [Some(cache), source].into_iter().flatten().all(|no| self.member(no).is_ready());
         // Rule 4: a cold cache or source is not pushed over.
-        let work = self.mean_work(held.asked.offering);
-        let bears = |no: CacheNo| self.bears(self.member(no), work, held.lot);
+        let work = self.mean_work(held.asked.class);
+        let bears = |no: EndpointId| self.bears(self.member(no), work, held.lot);
         let borne = bears(cache) && source.is_none_or(bears);
-        let more = (held.dispatches.len() as f64) < self.fact("most_dispatches", 1.0);
+        let more = (held.attempts.len() as f64) < self.fact("most_dispatches", 1.0);
         if !(left >= Span::millis(10) && more && harmless && (open == 0 || second) && both_ready && borne) {
             return self.give_up(no);
         }
@@ -741,34 +746,42 @@
         let purge = [(true, held.asked.object), (false, u64::from(held.asked.group))];
         let purged = purge.iter().filter_map(|key| self.purges.get(key)).max();
         let since_purge = purged.map(|at| self.now.since(*at).max(Span::micros(1)));
-        let retry = held.dispatches.iter().any(Dispatch::fills_misses);
-        // A copy past its fresh time earns less: for when a dispatch has failed or no more fills are let in.
-        let fresh = self.span_of(offering, "fresh");
+        let retry = held.attempts.iter().any(Attempt::fills_misses);
+        // A copy past its fresh time earns less: for when a attempt has failed or no more fills are let in.
+        let fresh = self.span_of(class, "fresh");
         let scarce = [0, 1].into_iter().any(|far| self.fill_crowd(held, far) >= 1.0);
-        let older = if retry || scarce { self.span_of(offering, "older_by") } else { Span::ZERO };
+        let older = if retry || scarce { self.span_of(class, "older_by") } else { Span::ZERO };
         let cap = Some(fresh + older).filter(|_| fresh > Span::ZERO && (retry || scarce || purged.is_some()));
-        let oldest = cap.into_iter().chain(since_purge).min();
-        let keep = self.of(offering, "runs_at_origin") == 0.0;
+        let max_age = cap.into_iter().chain(since_purge).min();
+        let keep = self.of(class, "runs_at_origin") == 0.0;
         let spare = filling == Filling::AsItComes && source.is_some_and(|s| self.is_warm(s));
-        let renew = keep && spare && fresh > Span::ZERO;
+        let refresh = keep && spare && fresh > Span::ZERO;
         let wait = self.patience(held, left);
         let check = self.hush(cache);
-        let sent = (held.serial, held.dispatches.len() as u16);
-        let further = held.dispatches.iter().any(|d| !matches!(d.end, Some((Verdict::Miss, _))));
+        let sent = (held.serial, held.attempts.len() as u16);
+        let further =
+            held.attempts.iter().any(|d| !matches!(d.end, Some(Outcome { status: AttemptStatus::Miss, .. })));
         let fills = keep && source.is_some() && matches!(filling, Filling::AsItComes | Filling::Surely);
-        let (look, only_held) = (filling == Filling::Not, filling == Filling::IfHeld);
+        let (look, only_if_cached) = (filling == Filling::Not, filling == Filling::IfHeld);
         let stable = self.member(cache).listed.stable;
-        if !self.host.draw(no, Draw { cache: stable, offering, look, fills, further }) {
+        if !self.host.charge_quota(no, QuotaCharge { cache: stable, class, look, fills, further }) {
             return self.give_up(no);
         }
-        let terms = |source| Terms { source, oldest, join: keep, only_held, renew, rank: u8::from(keep) };
+        let directives = |source| FillDirectives {
+            source,
+            max_age,
+            join_fill: keep,
+            only_if_cached,
+            refresh,
+            retention_rank: u8::from(keep),
+        };
         match source {
-            Some(source) => self.host.read(no, cache, wait, terms(source)),
-            None => self.host.look(no, cache, wait),
+            Some(source) => self.host.send_with_fill(no, cache, wait, directives(source)),
+            None => self.host.send_cache_only(no, cache, wait),
         }
         let now = self.now;
-        self.draw(cache, offering, Some(sent));
-        source.filter(|s| *s != cache).into_iter().for_each(|s| self.draw(s, offering, Some(sent)));
+        self.draw(cache, class, Some(sent));
+        source.filter(|s| *s != cache).into_iter().for_each(|s| self.draw(s, class, Some(sent)));
         let member = self.member_mut(cache);
         if member.out == 0 {
             member.heard = now;
@@ -778,27 +791,27 @@
         self.filling[filling as usize] += 1.0;
         let fills = [0, 1].map(|far| self.fills_in_hand(far));
         self.sends.add(retry);
-        let (sent, called_off, end) = (now, false, None);
-        let sent = Dispatch { cache, source, sent, load, filling, fills, called_off, end };
-        self.held_mut(no).into_iter().for_each(|held| held.dispatches.push(sent));
+        let (sent, cancelled, end) = (now, false, None);
+        let sent = Attempt { cache, source, sent, load, filling, fills, cancelled, end };
+        self.held_mut(no).into_iter().for_each(|held| held.attempts.push(sent));
         self.alarm(now + check, no);
     }
 
-    /// How long one dispatch may take: well beyond what its offering's answers took lately.
+    /// How long one attempt may take: well beyond what its request class's answers took lately.
     fn patience(&self, held: &Held, left: Span) -> Span {
         let usual = self.filled.quantile(0.95, |filled| filled.1).unwrap_or(left);
-        let goal = Span::secs(self.goal(held.asked.offering, self.work(&held.asked)));
-        (usual * 3.0).max(self.span_of(held.asked.offering, "cut_off") * 0.75).max(goal * 1.5).min(left)
+        let goal = Span::secs(self.goal(held.asked.class, self.work(&held.asked)));
+        (usual * 3.0).max(self.span_of(held.asked.class, "cut_off") * 0.75).max(goal * 1.5).min(left)
     }
 
-    /// How long a cache with views in hand may say nothing before it counts as hung.
-    fn hush(&self, cache: CacheNo) -> Span {
+    /// How long a cache with requests in hand may say nothing before it counts as hung.
+    fn hush(&self, cache: EndpointId) -> Span {
         let longest = self.member(cache).gaps.0.iter().max();
         (longest.copied().unwrap_or_default() * 2.0).max(Span::millis(400)).min(Span::millis(1500))
     }
 
-    /// An alarm of a view rang: its time is up, a retry is due, or its cache may be hung.
-    fn due(&mut self, no: ViewNo) {
+    /// An alarm of a request rang: its time is up, a retry is due, or its cache may be hung.
+    fn due(&mut self, no: RequestSlot) {
         let Some(held) = self.held(no) else { return };
         if self.now >= held.end {
             return self.give_up(no);
@@ -806,27 +819,27 @@
         if held.open().count() == 0 {
             return self.route(no);
         }
-        let Some((nth, _)) = held.open().find(|(_, d)| !d.called_off) else { return };
-        let cache = held.dispatches[nth].cache;
+        let Some((nth, _)) = held.open().find(|(_, d)| !d.cancelled) else { return };
+        let cache = held.attempts[nth].cache;
         let hush = self.hush(cache);
         let member = self.member(cache);
         let silent = self.now.since(member.heard);
-        let over = self.now.since(held.dispatches[nth].sent) >= hush;
-        // A cache that takes views and answers none: it is left before its views' time-outs. Guards
+        let over = self.now.since(held.attempts[nth].sent) >= hush;
+        // A cache that takes requests and answers none: it is left before its requests' time-outs. Guards
         // against hangs, long pauses and lost answers; harms where a few huge objects are all it holds.
         let alternative = self.order(0, Tier::Cache).len() > 1;
-        let repeatable = self.word_of(held.asked.offering, "effect") == "repeatable";
+        let repeatable = self.word_of(held.asked.class, "effect") == "repeatable";
         let hung = over && silent >= hush && member.out >= 3 && alternative && repeatable;
         if hung && self.fact("calling_off", 0.0) > 0.0 {
             self.leave_out(cache);
-            self.held_mut(no).into_iter().for_each(|held| held.dispatches[nth].called_off = true);
-            return self.host.call_off(no, nth as u16);
+            self.held_mut(no).into_iter().for_each(|held| held.attempts[nth].cancelled = true);
+            return self.host.cancel(no, nth as u16);
         }
         self.alarm(self.now + hush * 0.5, no);
     }
 
     /// Leaves a member out for a while that grows with each time, unless the rest would drown.
-    fn leave_out(&mut self, no: CacheNo) {
+    fn leave_out(&mut self, no: EndpointId) {
         let now = self.now;
         let member = self.member(no);
         let all = self.size(member.tier, now + Span::millis(1));
@@ -844,7 +857,7 @@
     }
 
     /// Takes in one sign of a member's health and judges it against its peers.
-    fn sign(&mut self, no: CacheNo, good: bool) {
+    fn sign(&mut self, no: EndpointId, good: bool) {
         let member = self.member_mut(no);
         member.signs.add(good);
         let on_trial = member.out_until.is_some();
@@ -869,39 +882,40 @@
         }
     }
 
-    /// A dispatch ended; `last` says that the view is finished.
-    pub fn answered(&mut self, no: ViewNo, nth: u16, end: (Verdict, Note), took: Span, last: bool) {
+    /// A attempt ended; `last` says that the request is finished.
+    pub fn attempt_ended(&mut self, no: RequestSlot, nth: u16, end: Outcome, took: Span, last: bool) {
         self.as_taken(no, |control| control.ended(no, nth, end, took, last));
     }
 
-    fn ended(&mut self, no: ViewNo, nth: u16, end: (Verdict, Note), took: Span, last: bool) {
+    fn ended(&mut self, no: RequestSlot, nth: u16, end: Outcome, took: Span, last: bool) {
         let now = self.now;
-        let (verdict, note) = end;
+        let Outcome { status: verdict, detail: note } = end;
         let Some(held) = self.held_mut(no) else { return };
         let (serial, asked) = (held.serial, held.asked);
-        let open = held.dispatches.get_mut(nth as usize).filter(|d| d.end.is_none());
-        let Some(dispatch) = open else { return };
-        dispatch.end = Some(end);
-        let Dispatch { cache, source, called_off, load, filling, fills, .. } = *dispatch;
+        let open = held.attempts.get_mut(nth as usize).filter(|d| d.end.is_none());
+        let Some(attempt) = open else { return };
+        attempt.end = Some(end);
+        let Attempt { cache, source, cancelled, load, filling, fills, .. } = *attempt;
         let member = self.member_mut(cache);
         member.out = member.out.saturating_sub(1);
-        if verdict != Verdict::CalledOff && verdict != Verdict::TimedOut {
+        if verdict != AttemptStatus::Cancelled && verdict != AttemptStatus::TimedOut {
             member.gaps.add(now.since(member.heard));
             member.heard = now;
         }
         self.filling[filling as usize] -= 1.0;
         let work = self.work(&asked);
-        let goal = self.goal(asked.offering, work);
+        let goal = self.goal(asked.class, work);
         // Where all is told, a late source is told of: a bare time-out may be just a lost answer.
         let told = self.policy.facts.get("notes").is_some_and(|notes| notes.word() == "all");
-        let late = verdict == Verdict::TimedOut && !called_off && !told || note == Note::SourceLost;
+        let late = verdict == AttemptStatus::TimedOut && !cancelled && !told
+            || note == OutcomeDetail::SourceUnreachable;
         let way = match note {
-            Note::Filled => 1,
-            Note::FilledByOrigin | Note::OriginFailed => 2,
+            OutcomeDetail::FilledFromSource => 1,
+            OutcomeDetail::FilledFromOrigin | OutcomeDetail::OriginFailed => 2,
             _ if late => 1 + usize::from(told),
             _ => 0,
         };
-        if verdict == Verdict::Done && filling == Filling::AsItComes {
+        if verdict == AttemptStatus::Served && filling == Filling::AsItComes {
             self.filled.add((way, took));
         }
         if let Some(source) = source.filter(|s| *s != cache && (way == 1 || late)) {
@@ -913,68 +927,71 @@
             self.fill_loads[way - 1].add(Load { at: now, held: fills[way - 1], work, goal, took });
         }
         // A hit drew nothing from its source's budget.
-        let hit = matches!(note, Note::Hit | Note::Joined | Note::OldCopy);
+        let hit = matches!(note, OutcomeDetail::Hit | OutcomeDetail::JoinedFill | OutcomeDetail::StaleHit);
         if let Some(source) = source.filter(|s| hit && *s != cache) {
             let drawn = self.member_mut(source).drawn.iter_mut();
             drawn.filter(|drawn| drawn.2 == Some((serial, nth))).for_each(|drawn| drawn.2 = None);
         }
-        if matches!(note, Note::Hit | Note::OldCopy) {
+        if matches!(note, OutcomeDetail::Hit | OutcomeDetail::StaleHit) {
             let load = Load { at: now, held: load, work, goal, took };
             self.member_mut(cache).loads.add(load);
             self.hits.add(load);
             let calm = self.strain(&self.hits, 40, 0.3)[1] < 0.6;
             // What slows all alike is no sending time; could harm where all objects grow at once.
             if load.held <= 3.0 && calm && self.member(cache).tier == Tier::Cache {
-                self.easy[asked.offering as usize].add(took);
+                self.easy[asked.class as usize].add(took);
             }
         }
         // What a bad client asks is an error at every cache, and says nothing of them: errors count once
-        // another dispatch of the view is done. Could harm where none ever is, as then none is left out.
-        let errors: Vec<Dispatch> = self.held(no).into_iter().flat_map(Held::errors).copied().collect();
-        for failed in errors.into_iter().filter(|_| verdict == Verdict::Done) {
+        // another attempt of the request is done. Could harm where none ever is, as then none is left out.
+        let errors: Vec<Attempt> = self.held(no).into_iter().flat_map(Held::errors).copied().collect();
+        for failed in errors.into_iter().filter(|_| verdict == AttemptStatus::Served) {
             self.learn(failed.cache, failed.source, &asked, ERROR);
         }
-        if !called_off && end != ERROR {
+        if !cancelled && end != ERROR {
             self.learn(cache, source, &asked, end);
         }
         if last || self.held(no).is_none_or(|held| held.finished) {
-            return self.left(no);
+            return self.request_abandoned(no);
         }
-        if matches!(filling, Filling::Not | Filling::IfHeld) && verdict == Verdict::Miss {
+        if matches!(filling, Filling::Not | Filling::IfHeld) && verdict == AttemptStatus::Miss {
             return self.route(no);
         }
         self.retry(no, verdict);
     }
 
-    /// Draws from the end of a dispatch what it says of cache, source and offering.
-    fn learn(&mut self, cache: CacheNo, source: Option<CacheNo>, asked: &Asked, end: (Verdict, Note)) {
-        let (verdict, note) = end;
+    /// Draws from the end of a attempt what it says of cache, source and request class.
+    fn learn(&mut self, cache: EndpointId, source: Option<EndpointId>, asked: &RequestMeta, end: Outcome) {
+        let Outcome { status: verdict, detail: note } = end;
         let source = source.filter(|s| *s != cache);
         match verdict {
-            Verdict::Done => {
-                let giver = source.filter(|_| matches!(note, Note::Filled | Note::FilledByOrigin));
+            AttemptStatus::Served => {
+                let giver = source.filter(|_| {
+                    matches!(note, OutcomeDetail::FilledFromSource | OutcomeDetail::FilledFromOrigin)
+                });
                 if giver.is_some_and(|giver| self.is_warm(giver)) {
-                    self.fills.add((self.now, asked.offering));
+                    self.fills.add((self.now, asked.class));
                 }
                 if self.is_warm(cache) && self.member(cache).tier == Tier::Cache {
-                    self.served.add((self.now, asked.offering));
+                    self.served.add((self.now, asked.class));
                 }
                 giver.into_iter().chain([cache]).for_each(|no| self.sign(no, true));
             }
-            Verdict::CalledOff | Verdict::Moot | Verdict::Miss => {}
-            Verdict::Full if note != Note::SourceLost => {}
+            AttemptStatus::Cancelled | AttemptStatus::Superseded | AttemptStatus::Miss => {}
+            AttemptStatus::Overloaded if note != OutcomeDetail::SourceUnreachable => {}
             _ => {
-                let by_source = matches!(note, Note::SourceRefused | Note::SourceLost);
-                if !by_source && note != Note::OriginFailed {
+                let by_source =
+                    matches!(note, OutcomeDetail::SourceOverloaded | OutcomeDetail::SourceUnreachable);
+                if !by_source && note != OutcomeDetail::OriginFailed {
                     self.sign(cache, false);
                 }
-                let unsure = note == Note::Untold && verdict != Verdict::Unreachable;
+                let unsure = note == OutcomeDetail::Unknown && verdict != AttemptStatus::Unreachable;
                 if let Some(source) = source.filter(|_| by_source || unsure) {
                     self.sign(source, false);
                     // A parent that is not there at all may be started again before the list tells, and is
                     // taken for cold since: else all flood it once it answers, and it falls over. Guards
                     // what restarts or is lost together; harms where connects fail for another reason.
-                    if verdict == Verdict::Full {
+                    if verdict == AttemptStatus::Overloaded {
                         self.member_mut(source).listed.started = Some(self.now);
                     }
                 }
@@ -982,18 +999,26 @@
         }
     }
 
-    /// A dispatch failed: plans the next one, or gives the view up.
-    fn retry(&mut self, no: ViewNo, verdict: Verdict) {
+    /// A attempt failed: plans the next one, or gives the request up.
+    fn retry(&mut self, no: RequestSlot, verdict: AttemptStatus) {
         let now = self.now;
         let retries = self.sends.0.iter().filter(|retry| **retry).count();
         let shaken = self.chance.random_range(0.0..1.0);
         let Some(held) = self.held(no) else { return };
-        let full = |d: &&Dispatch| matches!(d.end, Some((Verdict::Full, Note::Untold | Note::NoFillPlace)));
-        let vain = held.dispatches.iter().filter(full).count() > 1 || held.errors().count() > 3;
+        let full = |d: &&Attempt| {
+            matches!(
+                d.end,
+                Some(Outcome {
+                    status: AttemptStatus::Overloaded,
+                    detail: OutcomeDetail::Unknown | OutcomeDetail::NoFillSlot
+                })
+            )
+        };
+        let vain = held.attempts.iter().filter(full).count() > 1 || held.errors().count() > 3;
         // The waiters of a failed join come back spread out; what was only diverted goes at once.
         let pause = match verdict {
-            Verdict::Full | Verdict::Unreachable | Verdict::CalledOff => Span::ZERO,
-            _ => Span::millis(20) * (held.dispatches.len() as f64 * shaken),
+            AttemptStatus::Overloaded | AttemptStatus::Unreachable | AttemptStatus::Cancelled => Span::ZERO,
+            _ => Span::millis(20) * (held.attempts.len() as f64 * shaken),
         };
         // When most sends are retries, two caches are full or four fail, more only feed the trouble.
         match now + pause {
@@ -1003,40 +1028,40 @@
         }
     }
 
-    /// When one that is turned back, here or at the door, may come again, where that can be told.
-    pub fn come_back(&mut self) -> Option<Span> {
+    /// When one that is rejected, here or at the door, may come again, where that can be told.
+    pub fn retry_after(&mut self) -> Option<Span> {
         let rest = Span::secs(self.chance.random_range(0.05..0.3));
         let rest = rest.min(self.span("longest_come_back", Span::ZERO));
         Some(rest).filter(|_| self.fact("come_back_told", 0.0) > 0.0)
     }
 
-    /// Answers a view that will not be done, at once; rule 2 decides how.
-    fn give_up(&mut self, no: ViewNo) {
-        let come_back = self.come_back();
+    /// Answers a request that will not be done, at once; rule 2 decides how.
+    fn give_up(&mut self, no: RequestSlot) {
+        let retry_after = self.retry_after();
         let calling_off = self.fact("calling_off", 0.0) > 0.0;
         let Some(held) = self.held(no).filter(|held| !held.finished) else { return };
-        let offering = held.asked.offering;
-        let open: Vec<u16> = held.open().filter(|(_, d)| !d.called_off).map(|(nth, _)| nth as u16).collect();
-        let honest = match (self.word_of(offering, "effect"), self.word_of(offering, "group")) {
+        let class = held.asked.class;
+        let open: Vec<u16> = held.open().filter(|(_, d)| !d.cancelled).map(|(nth, _)| nth as u16).collect();
+        let honest = match (self.word_of(class, "effect"), self.word_of(class, "group")) {
             ("repeatable", _) | ("tagged", "all") => true,
-            _ => held.ran().is_none(),
+            _ => held.first_ran().is_none(),
         };
         match honest {
-            true => self.host.turn_back(no, come_back),
-            false => self.host.write_off(no),
+            true => self.host.reject(no, retry_after),
+            false => self.host.fail(no),
         }
         for nth in open.into_iter().filter(|_| calling_off) {
-            self.host.call_off(no, nth);
+            self.host.cancel(no, nth);
         }
-        self.left(no);
+        self.request_abandoned(no);
     }
 
-    /// Nobody waits for this view any more: it has its answer, or its client left.
-    pub fn left(&mut self, no: ViewNo) {
+    /// Nobody waits for this request any more: it has its answer, or its client left.
+    pub fn request_abandoned(&mut self, no: RequestSlot) {
         let Some(held) = self.held_mut(no) else { return };
         held.finished = true;
         if held.open().count() == 0 {
-            self.views[no.0 as usize] = None;
+            self.requests[no.0 as usize] = None;
         }
     }
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -45,13 +45,13 @@
     let cold = if layout.all_cold { layout.caches } else { 1 };
     // Parents that can do all there is, and the origin; then the caches, the cold ones last.
     let first_cold = 3 + layout.caches - cold;
-    let list = |cold_now: bool| -> Vec<Listed> {
+    let list = |cold_now: bool| -> Vec<EndpointUpdate> {
         let behind = [(0, PARENT), (1, PARENT), (2, ORIGIN)];
-        let behind =
-            behind.map(|(no, kind)| Listed { size: 1e4, ..line(no, 1000 + u64::from(no), kind, None) });
+        let behind = behind
+            .map(|(no, kind)| EndpointUpdate { size: 1e4, ..line(no, 1000 + u64::from(no), kind, None) });
         let caches = (3..if cold_now { 3 + layout.caches } else { first_cold }).map(|no| {
             let started = (no >= first_cold).then_some(start);
-            Listed { size: layout.size, ..line(no, 1000 + u64::from(no), 0, started) }
+            EndpointUpdate { size: layout.size, ..line(no, 1000 + u64::from(no), 0, started) }
         });
         behind.into_iter().chain(caches).collect()
     };
@@ -78,12 +78,12 @@
     let mut ends: BTreeMap<u64, Vec<(usize, u32)>> = BTreeMap::new();
     for now in 0..start + 20_000 {
         if now == start && start > 0 {
-            routers.iter_mut().for_each(|r| r.control.listed(ListForm::Whole, &list(true)));
+            routers.iter_mut().for_each(|r| r.control.endpoints_changed(ListUpdateKind::Full, &list(true)));
         }
-        for (nth, view) in ends.remove(&now).unwrap_or_default() {
+        for (nth, request) in ends.remove(&now).unwrap_or_default() {
             let behind = now - routers[nth].millis;
             routers[nth].wait(behind);
-            routers[nth].end_of(view, 0, Verdict::Done, Note::Hit, WORK);
+            routers[nth].end_of(request, 0, AttemptStatus::Served, OutcomeDetail::Hit, WORK);
         }
         let burst = now >= start + layout.burst[0] && now < start + layout.burst[1];
         let rate = layout.rate[usize::from(burst)];
@@ -93,7 +93,7 @@
             }
             let r = &mut routers[nth];
             r.wait(now - r.millis);
-            let acts = r.view(0, chance.random());
+            let acts = r.request(0, chance.random());
             asked += u32::from(now >= start);
             if let [Act::Read { cache, .. }] = acts[..] {
                 served += u32::from(now >= start);
