--- a/crates/policy/src/keys.rs
+++ b/crates/policy/src/keys.rs
@@ -1,7 +1,8 @@
 //! What a policy may say: one declaration of each key, by which it is checked, explained, and told to the
 //! decision module.
 
-use tindoor::host::{Fact, Facts};
+use tindoor::settings::{ClassSettings, Settings};
+use tindoor::time::Span;
 
 use crate::Policy;
 
@@ -16,7 +17,7 @@
 /// What a number stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// Milliseconds here, microseconds in the routing engine's facts.
+    /// Milliseconds.
     Ms,
     Flag,
     /// A whole number.
@@ -28,8 +29,8 @@
 #[derive(Debug)]
 pub struct Key {
     pub name: &'static str,
-    /// What the routing engine calls it; empty for what the router itself heeds.
-    pub fact: &'static str,
+    /// The engine's setting that it stands for; none for what the router itself applies.
+    pub setting: Option<Setting>,
     pub unit: Unit,
     pub least: f64,
     pub most: f64,
@@ -39,18 +40,18 @@
 
 const fn key(
     name: &'static str,
-    fact: &'static str,
+    setting: Option<Setting>,
     unit: Unit,
     [least, most]: [f64; 2],
     when: When,
     what: &'static str,
 ) -> Key {
-    Key { name, fact, unit, least, most, when, what }
+    Key { name, setting, unit, least, most, when, what }
 }
 
 /// What is divided among routers: not the routing engine's, and changed in service.
 const fn budget(name: &'static str, unit: Unit, bounds: [f64; 2], what: &'static str) -> Key {
-    key(name, "", unit, bounds, When::InService, what)
+    key(name, None, unit, bounds, When::InService, what)
 }
 
 const HOUR: f64 = 3_600_000.0;
@@ -64,7 +65,7 @@
 pub const KEYS: &[Key] = &[
     key(
         "offering.*.latency_goal_ms",
-        "latency_goal",
+        Some(Setting::LatencyObjective),
         Ms,
         [1.0, HOUR],
         InService,
@@ -72,16 +73,23 @@
     ),
     key(
         "offering.*.goal_stretch",
-        "goal_stretch",
+        Some(Setting::ObjectiveStretch),
         Number,
         [0.0, 1e3],
         InService,
         "how much longer per second of sending work",
     ),
-    key("offering.*.earnings", "earnings", Number, [0.0, 1e9], InService, "what a view done in time earns"),
+    key(
+        "offering.*.earnings",
+        Some(Setting::PriorityWeight),
+        Number,
+        [0.0, 1e9],
+        InService,
+        "what a view done in time earns",
+    ),
     key(
         "offering.*.late_share",
-        "late_share",
+        Some(Setting::LateShare),
         Number,
         FLAG,
         InService,
@@ -89,7 +97,7 @@
     ),
     key(
         "offering.*.old_share",
-        "old_share",
+        Some(Setting::StaleShare),
         Number,
         FLAG,
         InService,
@@ -97,7 +105,7 @@
     ),
     key(
         "offering.*.fresh_ms",
-        "fresh",
+        Some(Setting::MaxAge),
         Ms,
         [0.0, HOUR],
         InService,
@@ -105,7 +113,7 @@
     ),
     key(
         "offering.*.older_by_ms",
-        "older_by",
+        Some(Setting::StaleWhileFailing),
         Ms,
         [0.0, HOUR],
         InService,
@@ -113,7 +121,7 @@
     ),
     key(
         "offering.*.cut_off_ms",
-        "cut_off",
+        Some(Setting::Deadline),
         Ms,
         [1.0, HOUR],
         AtStart,
@@ -121,7 +129,7 @@
     ),
     key(
         "offering.*.window_ms",
-        "window",
+        Some(Setting::RetryWindow),
         Ms,
         [0.0, HOUR],
         AtStart,
@@ -129,7 +137,7 @@
     ),
     key(
         "come_back_told",
-        "come_back_told",
+        Some(Setting::RetryAfterSent),
         Flag,
         FLAG,
         InService,
@@ -137,7 +145,7 @@
     ),
     key(
         "longest_come_back_ms",
-        "longest_come_back",
+        Some(Setting::MaxRetryAfter),
         Ms,
         [0.0, HOUR],
         InService,
@@ -145,17 +153,31 @@
     ),
     key(
         "most_dispatches",
-        "most_dispatches",
+        Some(Setting::MaxAttempts),
         Count,
         [1.0, 64.0],
         InService,
         "dispatches of one view, at most",
     ),
-    key("calling_off", "calling_off", Flag, FLAG, InService, "whether a dispatch may be given up"),
-    key("direct", "direct", Flag, FLAG, InService, "whether a parent or the origin may answer by itself"),
+    key(
+        "calling_off",
+        Some(Setting::Cancellation),
+        Flag,
+        FLAG,
+        InService,
+        "whether a dispatch may be given up",
+    ),
+    key(
+        "direct",
+        Some(Setting::BypassAllowed),
+        Flag,
+        FLAG,
+        InService,
+        "whether a parent or the origin may answer by itself",
+    ),
     key(
         "cold_floor",
-        "cold_floor",
+        Some(Setting::CacheInitialShare),
         Number,
         FLAG,
         InService,
@@ -163,18 +185,39 @@
     ),
     key(
         "cold_multiple",
-        "cold_multiple",
+        Some(Setting::CacheOverloadMultiple),
         Number,
         [0.0, 1e3],
         InService,
         "how many times that a cold cache bears",
     ),
-    key("cold_window_ms", "cold_window", Ms, [1.0, HOUR], InService, "the window over which it is reckoned"),
-    key("parent_floor", "parent_floor", Number, FLAG, InService, "the same part of a cold parent"),
-    key("parent_multiple", "parent_multiple", Number, [0.0, 1e3], InService, "the same multiple of it"),
+    key(
+        "cold_window_ms",
+        Some(Setting::SlowStartWindow),
+        Ms,
+        [1.0, HOUR],
+        InService,
+        "the window over which it is reckoned",
+    ),
+    key(
+        "parent_floor",
+        Some(Setting::ParentInitialShare),
+        Number,
+        FLAG,
+        InService,
+        "the same part of a cold parent",
+    ),
+    key(
+        "parent_multiple",
+        Some(Setting::ParentOverloadMultiple),
+        Number,
+        [0.0, 1e3],
+        InService,
+        "the same multiple of it",
+    ),
     key(
         "parent_warm_within_ms",
-        "parent_warm_within",
+        Some(Setting::ParentRampDuration),
         Ms,
         [1.0, HOUR],
         InService,
@@ -182,7 +225,7 @@
     ),
     key(
         "warm_within_ms",
-        "warm_within",
+        Some(Setting::CacheRampDuration),
         Ms,
         [1.0, HOUR],
         AtStart,
@@ -190,7 +233,7 @@
     ),
     key(
         "copies_gone_after_ms",
-        "copies_gone_after",
+        Some(Setting::CopiesGoneAfter),
         Ms,
         [1.0, 24.0 * HOUR],
         InService,
@@ -198,7 +241,7 @@
     ),
     key(
         "drain_grace_ms",
-        "drain_grace",
+        Some(Setting::DrainGrace),
         Ms,
         [0.0, HOUR],
         AtStart,
@@ -206,7 +249,7 @@
     ),
     key(
         "purge_grace_ms",
-        "purge_grace",
+        Some(Setting::PurgeGrace),
         Ms,
         [0.0, HOUR],
         AtStart,
@@ -246,10 +289,10 @@
         FLAG,
         "what cold caches and parents bear is divided by who asks, not by numbers told at the start",
     ),
-    key("limit.open_views", "", Count, [1.0, 4096.0], InService, "views in hand at once, at each router"),
+    key("limit.open_views", None, Count, [1.0, 4096.0], InService, "views in hand at once, at each router"),
 ];
 
-/// Where a policy comes from or goes to: the request classes' names, in the order of the facts.
+/// Where a policy comes from or goes to: the request classes' names, in the order of the settings.
 pub type RequestClasses<'a> = &'a [String];
 
 /// The declaration of a name, and which request class it is about.
@@ -305,50 +348,154 @@
             return Err(format!("{name}: changes at a start only"));
         }
         // What the routing engine does not read may go again, as a budget: then nothing is limited by it.
-        if new.is_none() && old.is_some() && !key.fact.is_empty() {
+        if new.is_none() && old.is_some() && key.setting.is_some() {
             return Err(format!("{name}: missing, and it was set"));
         }
     }
     Ok(())
 }
 
-fn fact_name(key: &Key, class: Option<usize>) -> String {
-    match class {
-        Some(at) => format!("offering.{at}.{}", key.fact),
-        None => key.fact.to_string(),
+/// A setting of the engine that a policy may set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Setting {
+    LatencyObjective,
+    ObjectiveStretch,
+    PriorityWeight,
+    LateShare,
+    StaleShare,
+    MaxAge,
+    StaleWhileFailing,
+    Deadline,
+    RetryWindow,
+    RetryAfterSent,
+    MaxRetryAfter,
+    MaxAttempts,
+    Cancellation,
+    BypassAllowed,
+    CacheInitialShare,
+    CacheOverloadMultiple,
+    CacheRampDuration,
+    ParentInitialShare,
+    ParentOverloadMultiple,
+    ParentRampDuration,
+    SlowStartWindow,
+    CopiesGoneAfter,
+    DrainGrace,
+    PurgeGrace,
+}
+
+/// Where a setting stands, by its type.
+enum Field<'a> {
+    Span(&'a mut Span),
+    OptionalSpan(&'a mut Option<Span>),
+    Number(&'a mut Option<f64>),
+    Flag(&'a mut Option<bool>),
+    Count(&'a mut Option<u32>),
+}
+
+impl Field<'_> {
+    /// The number by which a policy states the setting; none where it is not set.
+    fn get(&self) -> Option<f64> {
+        let millis = |span: Span| span.as_micros() as f64 / MICROS_PER_MILLI;
+        match self {
+            Self::Span(span) => Some(millis(**span)),
+            Self::OptionalSpan(span) => span.map(millis),
+            Self::Number(number) => **number,
+            Self::Flag(flag) => flag.map(|flag| f64::from(u8::from(flag))),
+            Self::Count(count) => count.map(f64::from),
+        }
+    }
+
+    fn set(&mut self, number: f64) {
+        let span = || Span::micros((number * MICROS_PER_MILLI).round() as u64);
+        match self {
+            Self::Span(field) => **field = span(),
+            Self::OptionalSpan(field) => **field = Some(span()),
+            Self::Number(field) => **field = Some(number),
+            Self::Flag(field) => **field = Some(number > 0.0),
+            Self::Count(field) => **field = Some(number.ceil() as u32),
+        }
+    }
+}
+
+const MICROS_PER_MILLI: f64 = 1000.0;
+
+impl Setting {
+    /// Its field in the settings, for the request class `class` where each has its own; none where there is no such
+    /// class.
+    fn field(self, settings: &mut Settings, class: Option<usize>) -> Option<Field<'_>> {
+        let Settings { topology, attempts, rejection, slow_start, purges, .. } = settings;
+        Some(match self {
+            Self::RetryAfterSent => Field::Flag(&mut rejection.retry_after_sent),
+            Self::MaxRetryAfter => Field::OptionalSpan(&mut rejection.max_retry_after),
+            Self::MaxAttempts => Field::Count(&mut attempts.max_attempts),
+            Self::Cancellation => Field::Flag(&mut attempts.cancellation),
+            Self::DrainGrace => Field::Span(&mut attempts.drain_grace),
+            Self::BypassAllowed => Field::Flag(&mut topology.bypass_allowed),
+            Self::CacheInitialShare => Field::Number(&mut slow_start.caches.initial_share),
+            Self::CacheOverloadMultiple => Field::Number(&mut slow_start.caches.overload_multiple),
+            Self::CacheRampDuration => Field::OptionalSpan(&mut slow_start.caches.duration),
+            Self::ParentInitialShare => Field::Number(&mut slow_start.parents.initial_share),
+            Self::ParentOverloadMultiple => Field::Number(&mut slow_start.parents.overload_multiple),
+            Self::ParentRampDuration => Field::OptionalSpan(&mut slow_start.parents.duration),
+            Self::SlowStartWindow => Field::OptionalSpan(&mut slow_start.window),
+            Self::CopiesGoneAfter => Field::OptionalSpan(&mut purges.copies_gone_after),
+            Self::PurgeGrace => Field::OptionalSpan(&mut purges.grace),
+            of_class => return of_class.class_field(settings.classes.get_mut(class?)?),
+        })
+    }
+
+    fn class_field(self, class: &mut ClassSettings) -> Option<Field<'_>> {
+        Some(match self {
+            Self::LatencyObjective => Field::Span(&mut class.latency_objective),
+            Self::ObjectiveStretch => Field::Number(&mut class.objective_stretch),
+            Self::PriorityWeight => Field::Number(&mut class.priority_weight),
+            Self::LateShare => Field::Number(&mut class.late_share),
+            Self::StaleShare => Field::Number(&mut class.stale_share),
+            Self::MaxAge => Field::OptionalSpan(&mut class.max_age),
+            Self::StaleWhileFailing => Field::OptionalSpan(&mut class.stale_while_failing),
+            Self::Deadline => Field::Span(&mut class.deadline),
+            Self::RetryWindow => Field::OptionalSpan(&mut class.retry_window),
+            _ => return None,
+        })
     }
 }
 
-/// What the facts of a deployment say under these keys.
-pub fn of_facts(facts: &Facts, classes: RequestClasses) -> Policy {
+/// What the settings of a deployment say under these keys.
+pub fn from_settings(settings: &Settings, classes: RequestClasses) -> Policy {
+    let mut settings = settings.clone();
     let mut policy = Policy::default();
-    for key in KEYS.iter().filter(|key| !key.fact.is_empty()) {
-        let places: Vec<Option<usize>> = match key.name.starts_with("offering.*.") {
+    for key in KEYS {
+        let Some(setting) = key.setting else { continue };
+        let scopes: Vec<Option<usize>> = match key.name.starts_with("offering.*.") {
             true => (0..classes.len()).map(Some).collect(),
             false => vec![None],
         };
-        for place in places {
-            let Some(number) = facts.get(&fact_name(key, place)).and_then(Fact::number) else { continue };
-            let number = if key.unit == Ms { number / 1000.0 } else { number };
-            let name = match place {
-                Some(at) => key.name.replace('*', &classes[at]),
+        for class in scopes {
+            let number = setting.field(&mut settings, class).and_then(|field| field.get());
+            let name = match class {
+                Some(class) => key.name.replace('*', &classes[class]),
                 None => key.name.to_string(),
             };
-            policy.0.insert(name, number);
+            policy.0.extend(number.map(|number| (name, number)));
         }
     }
     policy
 }
 
-/// The facts of a deployment with what the policy says in place of their own.
-pub fn onto_facts(policy: &Policy, facts: &Facts, classes: RequestClasses) -> Result<Facts, String> {
-    let mut facts = facts.clone();
+/// The settings of a deployment with what the policy says in place of their own.
+pub fn apply_to_settings(
+    policy: &Policy,
+    settings: &Settings,
+    classes: RequestClasses,
+) -> Result<Settings, String> {
+    let mut settings = settings.clone();
     for (name, number) in &policy.0 {
-        let (key, at) = find(name, classes)?;
-        if !key.fact.is_empty() {
-            let number = if key.unit == Ms { (number * 1000.0).round() } else { *number };
-            facts.insert(fact_name(key, at), Fact::Number(number));
+        let (key, class) = find(name, classes)?;
+        let field = key.setting.and_then(|setting| setting.field(&mut settings, class));
+        if let Some(mut field) = field {
+            field.set(*number);
         }
     }
-    Ok(facts)
+    Ok(settings)
 }
--- a/crates/policy/tests/stories.rs
+++ b/crates/policy/tests/stories.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use tindoor::host::{Fact, Facts};
+use tindoor::settings::{AttemptSettings, ClassSettings, PurgeSettings, RejectionSettings, Settings};
 use tindoor::time::{Moment, Span};
 use tindoor_membership::{FleetTime, Incarnation, Member};
 use tindoor_policy::{
@@ -140,27 +140,31 @@
     assert_eq!(postcard::from_bytes::<AgreedState>(&bytes).unwrap(), agreed);
 }
 
-fn deployment() -> (Facts, Vec<String>) {
-    let numbers = [
-        ("offerings", 1.0),
-        ("location", 0.0),
-        ("drain_grace", 500_000.0),
-        ("offering.0.cut_off", 3_000_000.0),
-        ("offering.0.latency_goal", 300_000.0),
-        ("offering.0.fresh", 8_000_000.0),
-        ("longest_come_back", 500_000.0),
-        ("copies_gone_after", 60_000_000.0),
-    ];
-    let facts = numbers.into_iter().map(|(name, number)| (name.to_string(), Fact::Number(number)));
-    (facts.collect(), vec!["pages".to_string()])
+fn deployment() -> (Settings, Vec<String>) {
+    let settings = Settings {
+        attempts: AttemptSettings { drain_grace: Span::millis(500), ..AttemptSettings::default() },
+        rejection: RejectionSettings {
+            max_retry_after: Some(Span::millis(500)),
+            ..RejectionSettings::default()
+        },
+        purges: PurgeSettings { copies_gone_after: Some(Span::secs(60.0)), ..PurgeSettings::default() },
+        classes: vec![ClassSettings {
+            deadline: Span::millis(3000),
+            latency_objective: Span::millis(300),
+            max_age: Some(Span::secs(8.0)),
+            ..ClassSettings::default()
+        }],
+        ..Settings::default()
+    };
+    (settings, vec!["pages".to_string()])
 }
 
 #[test]
-fn a_policy_says_what_the_facts_say_and_changes_only_what_may_change() {
-    let (facts, classes) = deployment();
-    let own = keys::of_facts(&facts, &classes);
+fn a_policy_says_what_the_settings_say_and_changes_only_what_may_change() {
+    let (settings, classes) = deployment();
+    let own = keys::from_settings(&settings, &classes);
     assert_eq!(own.0["offering.pages.latency_goal_ms"], 300.0);
-    assert_eq!(keys::onto_facts(&own, &facts, &classes).unwrap(), facts, "there and back");
+    assert_eq!(keys::apply_to_settings(&own, &settings, &classes).unwrap(), settings, "there and back");
     let change = |name: &str, number: f64| own.with([(name.to_string(), number)]);
     let check = |new: &Policy| keys::check_change(&own, new, &classes);
     assert_eq!(check(&change("offering.pages.latency_goal_ms", 250.0)), Ok(()));
--- a/crates/request-runtime/src/desk.rs
+++ b/crates/request-runtime/src/desk.rs
@@ -8,9 +8,8 @@
 
 use futures_lite::future;
 use tindoor::control::RoutingEngine;
-use tindoor::host::{
-    EndpointId, Facts, FillDirectives, Host, Outcome, QuotaCharge, RequestMeta, RequestSlot,
-};
+use tindoor::host::{EndpointId, FillDirectives, Host, Outcome, QuotaCharge, RequestMeta, RequestSlot};
+use tindoor::settings::Settings;
 use tindoor::time::{Moment, Span};
 
 /// What a request's task is told to do.
@@ -289,9 +288,9 @@
 /// Whether requests may be taken, by what they are decided and what they may draw on, where routers of a fleet agree on
 /// that.
 pub trait AdmissionGate {
-    /// The facts to go by now, where they have changed; else, where no request may be taken, when clients may come
+    /// The settings to apply now, where they have changed; else, where no request may be taken, when clients may come
     /// again.
-    fn renews(&self) -> Result<Option<Facts>, Span>;
+    fn renews(&self) -> Result<Option<Settings>, Span>;
     /// How many requests may be in hand, by what is gone by.
     fn most_in_hand(&self) -> usize;
     /// Asked in the moment in which a request of that account is taken, right after [`renews`](Self::renews): the
@@ -335,11 +334,11 @@
 }
 
 impl EngineHandle {
-    pub fn start(facts: Facts, seed: u64) -> Result<Self, String> {
+    pub fn start(settings: Settings, seed: u64) -> Self {
         let (clock, desk) = (Clock::new(), EngineHost::default());
         let alarm = Rc::clone(&desk.alarm);
-        let control = RefCell::new(RoutingEngine::start(desk, facts, seed, clock.now())?);
-        Ok(Self { control, clock, alarm, open: Cell::new(0), gate: RefCell::default() })
+        let control = RefCell::new(RoutingEngine::start(desk, settings, seed, clock.now()));
+        Self { control, clock, alarm, open: Cell::new(0), gate: RefCell::default() }
     }
 
     /// Tells the routing engine what happened, at the time that it is now. Nothing is awaited inside.
@@ -359,10 +358,8 @@
     /// request in hand stays with what it was taken by.
     fn keep_up(&self) -> Result<(), Span> {
         let gate = self.gate.borrow().clone();
-        if let Some(facts) = gate.map_or(Ok(None), |gate| gate.renews())?
-            && let Err(what) = self.with(|control| control.apply_settings(facts))
-        {
-            tracing::error!(what, "a policy that was checked can't be gone by");
+        if let Some(settings) = gate.map_or(Ok(None), |gate| gate.renews())? {
+            self.with(|control| control.apply_settings(settings));
         }
         Ok(())
     }
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{Context, Result, anyhow, ensure};
 use serde_json::{Map, Value};
-use tindoor::host::Facts;
+use tindoor::settings::Settings;
 use tindoor_discovery::Event;
 
 use crate::limits::{Limits, Machine};
@@ -20,8 +20,8 @@
     /// The change stream up to the start.
     pub known: Vec<Event>,
     pub known_seq: u64,
-    pub facts: Facts,
-    /// Request classes, locations and kinds of caches by their names, in the order of the facts.
+    pub engine_settings: Settings,
+    /// Request classes, locations and kinds of caches by their names, in the order of the settings.
     pub classes: Vec<RequestClass>,
     pub locations: Vec<String>,
     pub kinds: Vec<String>,
@@ -110,7 +110,7 @@
     let top = Place(&value, String::new());
     let seed = top.word("seed")?;
     let settings = top.at("settings")?;
-    let facts = tindoor_settings::from_json(settings.0).context("settings")?;
+    let engine_settings = tindoor_settings::from_json(settings.0).context("settings")?;
     let (classes, path) = settings.list("request_classes")?;
     let class = |(i, class): (usize, &Value)| {
         let class = Place(class, format!("{path}[{i}]"));
@@ -171,7 +171,7 @@
         discovery: top.address("changelog")?,
         known: results.iter().enumerate().map(event).collect::<Result<_>>()?,
         known_seq: known.number("seq", [0, u64::MAX], None)?,
-        facts,
+        engine_settings,
         classes: request_classes,
         locations,
         kinds: settings.words("flavors")?,
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -13,7 +13,8 @@
 use async_io::{Async, Timer};
 use rustix::time::{ClockId, clock_gettime};
 use serde::Deserialize;
-use tindoor::host::{Fact, Facts, Outcome, QuotaCharge};
+use tindoor::host::{Outcome, QuotaCharge};
+use tindoor::settings::Settings;
 use tindoor::time::{Moment, Span};
 use tindoor_consensus::{
     Action, Guards, Limits as Much, LocalIdentity, Node, Objection, Status, StorageWrite,
@@ -168,7 +169,7 @@
     peers: Rc<Peers>,
     writes: async_channel::Sender<StorageWrite>,
     /// What this router was started with, and its request classes by name.
-    facts: Facts,
+    settings: Settings,
     classes: Vec<String>,
     /// The generation that the routing engine goes by.
     adopted: Cell<u64>,
@@ -189,7 +190,7 @@
 pub struct Place {
     pub name: String,
     pub location: u16,
-    pub facts: Facts,
+    pub settings: Settings,
     pub classes: Vec<String>,
     pub limits: PeerLimits,
     pub open_requests: usize,
@@ -247,10 +248,10 @@
             place: budgets::BudgetScope::new(
                 u64::from(place.location),
                 &place.classes,
-                place.facts.get("notes").is_some_and(|notes| notes.word() == "all"),
+                place.settings.topology.fill_details_reported,
             ),
             further: Cell::new(None),
-            facts: place.facts,
+            settings: place.settings,
             classes: place.classes,
             adopted: Cell::new(0),
             goals: RefCell::default(),
@@ -330,7 +331,7 @@
 
     /// Why this router could not go by that policy.
     fn objection(&self, version: &Version) -> Option<Objection> {
-        let own = keys::of_facts(&self.facts, &self.classes);
+        let own = keys::from_settings(&self.settings, &self.classes);
         if let Err(why) = keys::check_change(&own, &version.policy, &self.classes) {
             return Some(Objection { why, lasts: true });
         }
@@ -348,7 +349,7 @@
 
     /// The policy that a fleet founded here begins with: what this router was started with.
     pub fn first_policy(&self) -> Policy {
-        keys::of_facts(&self.facts, &self.classes)
+        keys::from_settings(&self.settings, &self.classes)
     }
 
     pub fn classes(&self) -> &[String] {
@@ -385,11 +386,11 @@
         }
     }
 
-    /// The facts that the routing engine is to go by under that version.
-    fn adopt(&self, version: &Version) -> Option<Facts> {
-        let mut facts = keys::onto_facts(&version.policy, &self.facts, &self.classes).ok()?;
+    /// The settings of the routing engine under that version.
+    fn adopt(&self, version: &Version) -> Option<Settings> {
+        let mut settings = keys::apply_to_settings(&version.policy, &self.settings, &self.classes).ok()?;
         if !self.pinned {
-            facts.insert("pinned".into(), Fact::Number(0.0));
+            settings.attempts.settings_unpinned = true;
         }
         let goal = |name: &String| {
             let ms = version.policy.0.get(&format!("offering.{name}.latency_goal_ms"));
@@ -408,7 +409,7 @@
         let further = budgets::per_success(&version.policy);
         self.further.set(further.map(|each| known.map_or(RetryBudget::new(each), |known| known.by(each))));
         self.adopted.set(version.generation);
-        Some(facts)
+        Some(settings)
     }
 
     /// Looks at what this router may spend, at the time that it is now.
@@ -434,7 +435,7 @@
 }
 
 impl AdmissionGate for Fleet {
-    fn renews(&self) -> std::result::Result<Option<Facts>, Span> {
+    fn renews(&self) -> std::result::Result<Option<Settings>, Span> {
         let _whole = Whole;
         let mut node = self.node.borrow_mut();
         let (now, jumped) = self.clock.now();
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -52,7 +52,6 @@
 use limits::{PeerLimits, Seldom};
 use links::Links;
 use router::Router;
-use tindoor::host::Fact;
 use tindoor::time::Span;
 use tindoor_discovery::Place;
 use tindoor_extproc::ask::RequestClass;
@@ -171,9 +170,8 @@
     }
     // For pauses between connections only; the routing engine draws from a seed of its own.
     fastrand::seed(seed);
-    let facts = deployment.facts.clone();
-    let engine =
-        EngineHandle::start(deployment.facts, seed).map_err(|fact| anyhow::anyhow!("settings: {fact}"))?;
+    let settings = deployment.engine_settings;
+    let engine = EngineHandle::start(settings.clone(), seed);
     let (engine, ids) = (Rc::new(engine), InFlightIds::default());
     let external = ExternalProcessing::new(
         Rc::clone(&executor),
@@ -188,8 +186,8 @@
     };
     let place = fleet::Place {
         name: name.clone(),
-        location: facts.get("location").and_then(Fact::number).unwrap_or_default() as u16,
-        facts,
+        location: settings.topology.location,
+        settings,
         classes: deployment.classes.iter().map(|class| class.name.clone()).collect(),
         limits: PeerLimits::default(),
         open_requests: limits.open_requests,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,111 +1,207 @@
-//! Translates the settings of a deployment, as JSON, into the facts that the decisions know by name.
-//! The simulator's adapter and the router on sockets both use it.
+//! Reads the settings of a deployment, as JSON, into the engine's [`Settings`]. The simulator adapter and the
+//! router both use it. The names that stand in the JSON are the operators'; they are mapped to the engine's here
+//! and nowhere else.
+//!
+//! A value that is left out, or is of another type than it should be, is left to the engine's default, unless the
+//! engine can't do without it: then [`Error`] names its key.
 
-use anyhow::{Context, Result, ensure};
 use serde_json::Value;
-use tindoor::host::{Fact, Facts};
-
-/// Where a setting stands on the wire, and what we call it.
-const NAMES: &[(&str, &str)] = &[
-    ("/zone", "location"),
-    ("/balancers", "routers"),
-    ("/rules/drain_grace", "drain_grace"),
-    ("/rules/cold_share", "cold_floor"),
-    ("/rules/warm_within", "warm_within"),
-    ("/rules/overload_factor", "cold_multiple"),
-    ("/rules/overload_for", "cold_window"),
-    ("/limits/most_tries", "most_dispatches"),
-    ("/limits/cancelling", "calling_off"),
-    ("/limits/second_copies", "second_copies"),
-    ("/limits/retry_after", "come_back_told"),
-    ("/limits/max_retry_after", "longest_come_back"),
-    ("/family_info/bypass_allowed", "direct"),
-    ("/family_info/client_kb_per_s", "client_kb_per_s"),
-    ("/family_info/root_kind", "origin_kind"),
-    ("/family_info/second_tier_kind", "parent_kind"),
-    ("/family_info/parent_floor", "parent_floor"),
-    ("/family_info/parent_warms_in", "parent_warm_within"),
-    ("/family_info/parent_breaks_at", "parent_multiple"),
-    ("/family_info/gone_everywhere", "copies_gone_after"),
-    ("/family_info/heed_within", "purge_grace"),
-    ("/family_info/note_level", "notes"),
-];
-
-/// The same for the settings of one request class.
-const CLASS_NAMES: &[(&str, &str)] = &[
-    ("deadline", "cut_off"),
-    ("objective", "latency_goal"),
-    ("aim_stretch", "goal_stretch"),
-    ("late_value", "late_share"),
-    ("points", "earnings"),
-    ("effect", "effect"),
-    ("group", "group"),
-    ("window", "window"),
-];
-
-/// The same for lists of the family with a place for each request class.
-const LISTS_BY_CLASS: &[(&str, &str)] = &[
-    ("/family_info/class_fresh", "fresh"),
-    ("/family_info/older_by", "older_by"),
-    ("/family_info/worth_when_old", "old_share"),
-    ("/family_info/goes_through", "runs_at_origin"),
-];
-
-fn fact(value: &Value) -> Option<Fact> {
-    Some(match value {
-        Value::Number(number) => Fact::Number(number.as_f64()?),
-        Value::Bool(flag) => Fact::Number(f64::from(u8::from(*flag))),
-        Value::String(word) => Fact::Word(
-            match word.as_str() {
-                "read_like" => "repeatable",
-                "idempotency_key" => "tagged",
-                "non_idempotent" => "once-only",
-                "zone" => "location",
-                other => other,
-            }
-            .to_string(),
-        ),
-        _ => return None,
-    })
+use thiserror::Error;
+use tindoor::settings::{
+    AttemptSettings, ClassSettings, Idempotency, PurgeSettings, Ramp, RejectionSettings, RetryScope,
+    Settings, SlowStartSettings, Topology,
+};
+use tindoor::time::Span;
+
+/// Why settings can't be used.
+#[derive(Debug, Error)]
+pub enum Error {
+    #[error("not JSON")]
+    NotJson(#[source] serde_json::Error),
+    #[error("not a JSON object")]
+    NotAnObject,
+    #[error("request_classes is missing")]
+    NoRequestClasses,
+    /// The key is missing, or its value is not of its type.
+    #[error("{0} is not set")]
+    Missing(String),
 }
 
-/// Reads settings as JSON text; what is unknown is left out.
-pub fn from_text(text: &[u8]) -> Result<Facts> {
-    from_json(&serde_json::from_slice(text).context("not JSON")?)
+/// Reads settings as JSON text.
+pub fn from_text(text: &[u8]) -> Result<Settings, Error> {
+    from_json(&serde_json::from_slice(text).map_err(Error::NotJson)?)
 }
 
-/// The same from settings that are parsed already.
-pub fn from_json(settings: &Value) -> Result<Facts> {
-    ensure!(settings.is_object(), "not a JSON object");
+/// Reads settings that are parsed already.
+pub fn from_json(settings: &Value) -> Result<Settings, Error> {
+    let root = Section { value: settings, path: String::new() };
+    if !settings.is_object() {
+        return Err(Error::NotAnObject);
+    }
     let classes = settings.get("request_classes").and_then(Value::as_array);
-    let classes = classes.context("request_classes is missing")?;
-    let mut facts = Facts::new();
-    let mut put = |name: String, value: Option<&Value>| {
-        if let Some(fact) = value.and_then(fact) {
-            facts.insert(name, fact);
-        }
-    };
-    for (place, name) in NAMES {
-        put(name.to_string(), settings.pointer(place));
+    let classes = classes.ok_or(Error::NoRequestClasses)?;
+    let family = root.section("family_info");
+    Ok(Settings {
+        topology: topology(&root, &family)?,
+        attempts: attempts(&root)?,
+        rejection: rejection(&root.section("limits")),
+        slow_start: slow_start(&root.section("rules"), &family),
+        purges: PurgeSettings {
+            copies_gone_after: family.span("gone_everywhere"),
+            grace: family.span("heed_within"),
+        },
+        classes: classes
+            .iter()
+            .enumerate()
+            .map(|(index, value)| class(value, index, &family))
+            .collect::<Result<_, _>>()?,
+    })
+}
+
+fn topology(root: &Section<'_>, family: &Section<'_>) -> Result<Topology, Error> {
+    let zone = root.needed("zone")?;
+    let by_zone = family.list_number("instances_by_zone", zone.max(0.0) as usize);
+    Ok(Topology {
+        location: zone as u16,
+        parent_kind: family.kind("second_tier_kind"),
+        origin_kind: family.kind("root_kind"),
+        routers: root.count("balancers"),
+        routers_in_location: by_zone.map(|count| count as u32),
+        bypass_allowed: family.flag("bypass_allowed"),
+        caches_fill: root.word("family") == Some("edge"),
+        discovery_on_request: root.word("registry_mode") == Some("on_request"),
+        capacity_known: root.word("weights") == Some("nominal"),
+        client_kb_per_s: family.number("client_kb_per_s").unwrap_or_default(),
+        fill_details_reported: family.word("note_level") == Some("all"),
+    })
+}
+
+fn attempts(root: &Section) -> Result<AttemptSettings, Error> {
+    let limits = root.section("limits");
+    Ok(AttemptSettings {
+        max_attempts: limits.count("most_tries"),
+        cancellation: limits.flag("cancelling"),
+        hedging: limits.flag("second_copies").unwrap_or(false),
+        drain_grace: Span::micros(root.section("rules").needed("drain_grace")? as u64),
+        settings_unpinned: false,
+    })
+}
+
+fn rejection(limits: &Section) -> RejectionSettings {
+    RejectionSettings {
+        retry_after_sent: limits.flag("retry_after"),
+        max_retry_after: limits.span("max_retry_after"),
+    }
+}
+
+fn slow_start(rules: &Section, family: &Section) -> SlowStartSettings {
+    SlowStartSettings {
+        caches: Ramp {
+            initial_share: rules.number("cold_share"),
+            duration: rules.span("warm_within"),
+            overload_multiple: rules.number("overload_factor"),
+        },
+        parents: Ramp {
+            initial_share: family.number("parent_floor"),
+            duration: family.span("parent_warms_in"),
+            overload_multiple: family.number("parent_breaks_at"),
+        },
+        window: rules.span("overload_for"),
+    }
+}
+
+/// A request class, from its own object and from the family's lists, which have a place for each class.
+fn class(value: &Value, index: usize, family: &Section) -> Result<ClassSettings, Error> {
+    let class = Section { value, path: format!("request_classes[{index}].") };
+    let listed = |key: &str| family.list_number(key, index);
+    let micros = |number: f64| Span::micros(number as u64);
+    Ok(ClassSettings {
+        latency_objective: micros(class.needed("objective")?),
+        deadline: micros(class.needed("deadline")?),
+        objective_stretch: class.number("aim_stretch"),
+        priority_weight: class.number("points"),
+        late_share: class.number("late_value"),
+        stale_share: listed("worth_when_old"),
+        idempotency: idempotency(class.word("effect")),
+        retry_scope: retry_scope(class.word("group")),
+        retry_window: class.span("window"),
+        max_age: listed("class_fresh").map(micros),
+        stale_while_failing: listed("older_by").map(micros),
+        runs_at_origin: listed("goes_through").is_some_and(|number| number > 0.0),
+    })
+}
+
+/// What is not known to be idempotent is taken for non-idempotent.
+fn idempotency(effect: Option<&str>) -> Idempotency {
+    match effect {
+        Some("read_like") => Idempotency::Idempotent,
+        Some("idempotency_key") => Idempotency::WithKey,
+        _ => Idempotency::NonIdempotent,
+    }
+}
+
+fn retry_scope(group: Option<&str>) -> RetryScope {
+    match group {
+        Some("all") => RetryScope::Everywhere,
+        Some("zone") => RetryScope::Location,
+        Some("cell") => RetryScope::Cell,
+        _ => RetryScope::Nowhere,
     }
-    for (i, class) in classes.iter().enumerate() {
-        for (key, name) in CLASS_NAMES {
-            put(format!("offering.{i}.{name}"), class.get(key));
-        }
-        for (place, name) in LISTS_BY_CLASS {
-            put(format!("offering.{i}.{name}"), settings.pointer(place).and_then(|list| list.get(i)));
-        }
+}
+
+/// An object of the settings; where it is missing, nothing is set in it.
+struct Section<'a> {
+    value: &'a Value,
+    /// For messages: empty, or with a separator at its end.
+    path: String,
+}
+
+impl<'a> Section<'a> {
+    fn section(&self, key: &str) -> Section<'a> {
+        Section { value: self.value.get(key).unwrap_or(&Value::Null), path: format!("{}{key}.", self.path) }
+    }
+
+    /// A number; a flag is the number 0 or 1.
+    fn number(&self, key: &str) -> Option<f64> {
+        number(self.value.get(key)?)
+    }
+
+    fn needed(&self, key: &str) -> Result<f64, Error> {
+        self.number(key).ok_or_else(|| Error::Missing(format!("{}{key}", self.path)))
+    }
+
+    fn list_number(&self, key: &str, index: usize) -> Option<f64> {
+        number(self.value.get(key)?.get(index)?)
+    }
+
+    fn word(&self, key: &str) -> Option<&'a str> {
+        self.value.get(key)?.as_str()
+    }
+
+    /// A span in microseconds.
+    fn span(&self, key: &str) -> Option<Span> {
+        Some(Span::micros(self.number(key)? as u64))
+    }
+
+    fn flag(&self, key: &str) -> Option<bool> {
+        Some(self.number(key)? > 0.0)
+    }
+
+    fn count(&self, key: &str) -> Option<u32> {
+        Some(self.number(key)?.ceil() as u32)
+    }
+
+    /// The kind of an endpoint; none where the number can't be one.
+    fn kind(&self, key: &str) -> Option<u8> {
+        let number = self.number(key)?;
+        (0..=u8::MAX).find(|kind| f64::from(*kind) == number)
+    }
+}
+
+fn number(value: &Value) -> Option<f64> {
+    match value {
+        Value::Number(number) => number.as_f64(),
+        Value::Bool(flag) => Some(f64::from(u8::from(*flag))),
+        _ => None,
     }
-    facts.insert("offerings".to_string(), Fact::Number(classes.len() as f64));
-    let asked_for = settings.get("registry_mode").and_then(Value::as_str) == Some("on_request");
-    facts.insert("list_on_request".to_string(), Fact::Number(f64::from(u8::from(asked_for))));
-    let here = settings.get("zone").and_then(Value::as_u64).unwrap_or_default() as usize;
-    let by_zone = settings.pointer("/family_info/instances_by_zone");
-    let routers_here = by_zone.and_then(|list| list.get(here)).and_then(fact);
-    facts.extend(routers_here.map(|routers| ("routers_here".to_string(), routers)));
-    let size_told = settings.get("weights").and_then(Value::as_str) == Some("nominal");
-    facts.insert("size_told".to_string(), Fact::Number(f64::from(u8::from(size_told))));
-    let fills = settings.get("family").and_then(Value::as_str) == Some("edge");
-    facts.insert("fills".to_string(), Fact::Number(f64::from(u8::from(fills))));
-    Ok(facts)
 }
--- a/crates/settings/tests/stories.rs
+++ b/crates/settings/tests/stories.rs
@@ -1,6 +1,7 @@
-//! Settings as they come, and the facts that the decisions know.
+//! Settings as JSON, and what the engine is told of them.
 
-use tindoor::host::{Fact, Facts};
+use tindoor::settings::{Idempotency, RetryScope};
+use tindoor::time::Span;
 use tindoor_settings::from_text;
 
 const SETTINGS: &str = r#"{"zone": 1, "balancers": 3, "family": "edge", "weights": "off", "registry_mode": "pushed",
@@ -9,39 +10,49 @@
                         {"deadline": 2500000, "objective": 300000, "effect": "read_like"}],
     "family_info": {"class_fresh": [0, 8000000], "goes_through": [true, false], "instances_by_zone": [1, 2]}}"#;
 
-fn number(facts: &Facts, name: &str) -> Option<f64> {
-    facts.get(name).and_then(Fact::number)
+#[test]
+fn settings_are_read_by_the_operators_names() {
+    let settings = from_text(SETTINGS.as_bytes()).unwrap();
+    assert_eq!(settings.topology.location, 1);
+    assert_eq!(settings.topology.routers, Some(3));
+    assert_eq!(settings.topology.routers_in_location, Some(2));
+    assert_eq!(settings.attempts.drain_grace, Span::micros(500_000));
+    let [saves, pages] = &settings.classes[..] else { panic!("two classes") };
+    assert_eq!(saves.deadline, Span::micros(5_000_000));
+    assert!(saves.runs_at_origin);
+    assert_eq!(pages.latency_objective, Span::micros(300_000));
+    assert_eq!(pages.max_age, Some(Span::micros(8_000_000)));
+    assert!(!settings.topology.discovery_on_request);
+    assert!(settings.topology.caches_fill);
+    assert_eq!(saves.idempotency, Idempotency::WithKey);
+    assert_eq!(saves.retry_scope, RetryScope::Location);
+    assert_eq!(pages.idempotency, Idempotency::Idempotent);
+    assert_eq!(settings.purges.grace, None, "what is not set is left to the engine's default");
 }
 
 #[test]
-fn settings_come_out_under_our_names() {
-    let facts = from_text(SETTINGS.as_bytes()).unwrap();
-    let expected = [
-        ("location", 1.0),
-        ("routers", 3.0),
-        ("routers_here", 2.0),
-        ("drain_grace", 500_000.0),
-        ("offerings", 2.0),
-        ("offering.0.cut_off", 5_000_000.0),
-        ("offering.0.runs_at_origin", 1.0),
-        ("offering.1.latency_goal", 300_000.0),
-        ("offering.1.fresh", 8_000_000.0),
-        ("list_on_request", 0.0),
-        ("fills", 1.0),
+fn a_missing_setting_is_named_by_its_key() {
+    let cases = [
+        (r#"{"request_classes": [], "rules": {"drain_grace": 1}}"#, "zone is not set"),
+        (r#"{"request_classes": [], "zone": 1}"#, "rules.drain_grace is not set"),
+        (
+            r#"{"request_classes": [{"deadline": 1}], "zone": 1, "rules": {"drain_grace": 1}}"#,
+            "request_classes[0].objective is not set",
+        ),
+        (
+            r#"{"request_classes": [{"objective": 1, "deadline": "soon"}], "zone": 1, "rules": {"drain_grace": 1}}"#,
+            "request_classes[0].deadline is not set",
+        ),
     ];
-    for (name, value) in expected {
-        assert_eq!(number(&facts, name), Some(value), "{name}");
+    for (text, said) in cases {
+        assert_eq!(from_text(text.as_bytes()).unwrap_err().to_string(), said, "{text}");
     }
-    assert_eq!(facts["offering.0.effect"].word(), "tagged");
-    assert_eq!(facts["offering.0.group"].word(), "location");
-    assert_eq!(facts["offering.1.effect"].word(), "repeatable");
-    assert!(!facts.contains_key("purge_grace"), "what is not set is left to the module's defaults");
 }
 
 #[test]
 fn what_is_no_settings_is_said_so() {
     for (text, said) in [("[", "not JSON"), ("[]", "not a JSON object"), ("{}", "request_classes")] {
-        let error = format!("{:#}", from_text(text.as_bytes()).unwrap_err());
+        let error = from_text(text.as_bytes()).unwrap_err().to_string();
         assert!(error.contains(said), "{text}: {error}");
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -68,9 +68,9 @@
         if code == wire::SPAWN {
             let seed = record.u64()?;
             let text = record.counted()?;
-            let facts = tindoor_settings::from_text(text.bytes()).context("settings")?;
-            let control = RoutingEngine::start(AdapterHost::new(who), facts, seed, now);
-            self.0.insert(who, control.map_err(anyhow::Error::msg).context("settings")?);
+            let settings = tindoor_settings::from_text(text.bytes()).context("settings")?;
+            let control = RoutingEngine::start(AdapterHost::new(who), settings, seed, now);
+            self.0.insert(who, control);
             return Ok(who);
         }
         let Some(control) = self.0.get_mut(&who) else { bail!("instance {who} was never started") };
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -137,7 +137,7 @@
         (with(record(99, &[])), "record 2: unknown event code 99"),
         (batch(10, &[spawn(3, "{")]), "record 0: Spawn: settings: not JSON"),
         (batch(10, &[spawn(3, "{}")]), "record 0: Spawn: settings: request_classes is missing"),
-        (batch(10, &[spawn(3, r#"{"request_classes": []}"#)]), "settings: location is not set"),
+        (batch(10, &[spawn(3, r#"{"request_classes": []}"#)]), "settings: zone is not set"),
     ];
     for (input, trouble) in cases {
         let output = run(&input);
--- a/src/control.rs
+++ b/src/control.rs
@@ -12,9 +12,10 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::host::{
-    AttemptStatus, Authorization, EndpointId, EndpointState, EndpointUpdate, Fact, Facts, FillDirectives,
-    Host, ListUpdateKind, Outcome, OutcomeDetail, QuotaCharge, RequestMeta, RequestSlot,
+    AttemptStatus, Authorization, EndpointId, EndpointState, EndpointUpdate, FillDirectives, Host,
+    ListUpdateKind, Outcome, OutcomeDetail, QuotaCharge, RequestMeta, RequestSlot,
 };
+use crate::settings::{ClassSettings, Idempotency, Ramp, RetryScope, Settings};
 use crate::time::{Moment, Span};
 
 /// The last few of something measured.
@@ -119,15 +120,9 @@
     }
 }
 
-/// What is decided by: the facts of the deployment, and of each request class by their names within it.
-struct Policy {
-    facts: Facts,
-    classes: Vec<Facts>,
-}
-
 /// A request in hand.
 struct Held {
-    policy: Arc<Policy>,
+    settings: Arc<Settings>,
     serial: u64,
     /// Its lot where something is let through in part.
     lot: u64,
@@ -172,7 +167,7 @@
 /// The decisions of one router.
 pub struct RoutingEngine<H: Host> {
     host: H,
-    policy: Arc<Policy>,
+    settings: Arc<Settings>,
     now: Moment,
     /// How long samples of lateness count, ever less: the longest that a client waits, and again.
     memory: Span,
@@ -221,11 +216,11 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// Takes up work with nothing known but the facts; says which one is missing.
-    pub fn start(host: H, facts: Facts, seed: u64, now: Moment) -> Result<Self, String> {
+    /// An engine that knows nothing but its settings.
+    pub fn start(host: H, settings: Settings, seed: u64, now: Moment) -> Self {
         let mut control = Self {
             host,
-            policy: Arc::new(Policy { facts: Facts::new(), classes: Vec::new() }),
+            settings: Arc::new(Settings::default()),
             now,
             memory: Span::ZERO,
             chance: Pcg64Mcg::seed_from_u64(seed),
@@ -247,56 +242,31 @@
             filled: Default::default(),
             filling: [0.0; 4],
         };
-        control.apply_settings(facts)?;
-        if control.fact("list_on_request", 0.0) > 0.0 {
+        control.apply_settings(settings);
+        if control.settings.topology.discovery_on_request {
             control.host.watch_endpoints();
         }
-        Ok(control)
+        control
     }
 
-    /// New requests are decided by these facts from now on; nothing changes where one is missing, which it says.
-    pub fn apply_settings(&mut self, facts: Facts) -> Result<(), String> {
-        let need = |name: &str| facts.get(name).and_then(Fact::number).ok_or(format!("{name} is not set"));
-        ["location", "drain_grace"].into_iter().try_for_each(|name| need(name).map(drop))?;
-        let (mut classes, mut memory) = (Vec::new(), Span::ZERO);
-        for i in 0..need("offerings")? as usize {
-            let prefix = format!("offering.{i}.");
-            need(&format!("{prefix}latency_goal"))?;
-            memory = memory.max(Span::micros(need(&format!("{prefix}cut_off"))? as u64) * 2.0);
-            let own = |(name, it): (&String, &Fact)| Some((name.strip_prefix(&prefix)?.into(), it.clone()));
-            classes.push(facts.iter().filter_map(own).collect());
-        }
-        self.memory = memory;
-        self.easy.resize_with(classes.len(), Default::default);
-        self.policy = Arc::new(Policy { facts, classes });
-        Ok(())
+    /// Decides new requests by these settings from now on.
+    pub fn apply_settings(&mut self, settings: Settings) {
+        self.memory = settings.longest_deadline() * 2.0;
+        self.easy.resize_with(settings.classes.len(), Default::default);
+        self.settings = Arc::new(settings);
     }
 
     /// Does so by the policy under which that request was taken.
     fn as_taken(&mut self, no: RequestSlot, what: impl FnOnce(&mut Self)) {
-        let newest = Arc::clone(&self.policy);
-        let pinned = self.held(no).filter(|_| self.fact("pinned", 1.0) > 0.0);
-        self.policy = Arc::clone(pinned.map_or(&newest, |held| &held.policy));
+        let newest = Arc::clone(&self.settings);
+        let pinned = self.held(no).filter(|_| !self.settings.attempts.settings_unpinned);
+        self.settings = Arc::clone(pinned.map_or(&newest, |held| &held.settings));
         what(self);
-        self.policy = newest;
+        self.settings = newest;
     }
 
-    fn fact(&self, name: &str, default: f64) -> f64 {
-        self.policy.facts.get(name).and_then(Fact::number).unwrap_or(default)
-    }
-    fn span(&self, name: &str, default: Span) -> Span {
-        Span::micros(self.fact(name, default.as_micros() as f64) as u64)
-    }
-
-    /// A fact of an request class; nothing where it is not set.
-    fn of(&self, class: u16, what: &str) -> f64 {
-        self.policy.classes[class as usize].get(what).and_then(Fact::number).unwrap_or_default()
-    }
-    fn span_of(&self, class: u16, what: &str) -> Span {
-        Span::micros(self.of(class, what) as u64)
-    }
-    fn word_of(&self, class: u16, what: &str) -> &str {
-        self.policy.classes[class as usize].get(what).map_or("", Fact::word)
+    fn class(&self, class: u16) -> &ClassSettings {
+        &self.settings.classes[usize::from(class)]
     }
 
     /// What the control acts through.
@@ -367,10 +337,11 @@
             self.members.iter_mut().for_each(|member| member.listed.standing = EndpointState::Removed);
         }
         for line in lines {
-            let tier = match f64::from(line.kind) {
-                kind if kind == self.fact("parent_kind", -1.0) => Tier::Parent,
-                kind if kind == self.fact("origin_kind", -1.0) => Tier::Origin,
-                _ if f64::from(line.location) == self.fact("location", 0.0) => Tier::Cache,
+            let topology = &self.settings.topology;
+            let tier = match Some(line.kind) {
+                kind if kind == topology.parent_kind => Tier::Parent,
+                kind if kind == topology.origin_kind => Tier::Origin,
+                _ if u16::from(line.location) == topology.location => Tier::Cache,
                 _ => Tier::Elsewhere,
             };
             let known = self.members.get(line.cache.0 as usize);
@@ -397,7 +368,7 @@
         let at = self.now - ago;
         self.purges.entry(key).and_modify(|newest| *newest = at.max(*newest)).or_insert(at);
         // Memory stays bounded: once no older copy can be left anywhere, a purge is forgotten.
-        let (now, gone) = (self.now, self.span("copies_gone_after", Span::secs(60.0)));
+        let (now, gone) = (self.now, self.settings.purges.copies_gone_after());
         if now.since(self.swept) > gone {
             self.purges.retain(|_, at| now.since(*at) <= gone);
             self.swept = now;
@@ -413,8 +384,8 @@
         // The answer must be out before the client leaves: a few milliseconds are kept for it.
         let end = self.now + (left - Span::millis(6));
         let (serial, lot, attempts) = (self.serial, self.chance.random(), Vec::new());
-        let policy = Arc::clone(&self.policy);
-        let held = Held { policy, serial, lot, asked, end, attempts, finished: false };
+        let settings = Arc::clone(&self.settings);
+        let held = Held { settings, serial, lot, asked, end, attempts, finished: false };
         self.requests.resize_with(self.requests.len().max(no.0 as usize + 1), || None);
         self.requests[no.0 as usize] = Some(held);
         if !asked.client_retry && asked.authorization == Authorization::Granted {
@@ -425,7 +396,8 @@
         match asked.authorization {
             Authorization::Granted => return self.route(no),
             Authorization::NotYetValid(wait) => {
-                let rest = self.retry_after().map(|_| wait.min(self.span("longest_come_back", Span::ZERO)));
+                let rest = self.retry_after().zip(self.settings.rejection.max_retry_after());
+                let rest = rest.map(|(_, longest)| wait.min(longest));
                 self.host.reject(no, rest);
             }
             Authorization::Expired | Authorization::Denied => self.host.fail(no),
@@ -440,14 +412,14 @@
 
     /// What a request will cost in sending time: by its size where that is told, else by its request class's hits.
     fn work(&self, asked: &RequestMeta) -> f64 {
-        let told = asked.size_kb.map(|size_kb| f64::from(size_kb) / self.fact("client_kb_per_s", 0.0));
+        let told = asked.size_kb.map(|size_kb| f64::from(size_kb) / self.settings.topology.client_kb_per_s);
         told.filter(|work| work.is_finite()).unwrap_or_else(|| self.mean_work(asked.class))
     }
 
     /// The mean sending time of an request class, as its easy hits show it; before there are any, its goal, and no
     /// more than that, as a day that begins crowded has none. Could harm where goals are short.
     fn mean_work(&self, class: u16) -> f64 {
-        let (easy, goal) = (&self.easy[class as usize].0, self.span_of(class, "latency_goal").as_secs());
+        let (easy, goal) = (&self.easy[class as usize].0, self.class(class).latency_objective.as_secs());
         let mean = easy.iter().map(|took| took.as_secs()).sum::<f64>() / easy.len() as f64;
         if easy.len() < 4 { goal } else { mean.min(goal) }
     }
@@ -482,7 +454,7 @@
         // What asks little work for its goal is let in longer, and what asks much less long.
         let own = self.work(&request.asked).max(0.001);
         let room = (self.goal(request.asked.class, own) / own / room).max(0.5);
-        let alone = 1.0 / self.fact("routers_here", 1.0).max(1.0);
+        let alone = 1.0 / self.settings.topology.local_router_count();
         let hand = hand + 1.0 - alone;
         let full =
             (hand / held).powf(alone) * late / (0.5 * room) * unit(request.lot).powf(0.5 - 0.5 * alone);
@@ -491,7 +463,7 @@
 
     /// The time in which an answer of so much work is in time.
     fn goal(&self, class: u16, work: f64) -> f64 {
-        self.span_of(class, "latency_goal").as_secs() + self.of(class, "goal_stretch") * work
+        self.class(class).objective_for(work)
     }
 
     /// The fills in hand over those that still come in time: from what a source holds (0), by the origin (1).
@@ -519,15 +491,20 @@
         scored.into_iter().map(|scored| scored.1).collect()
     }
 
+    fn ramp(&self, tier: Tier) -> &Ramp {
+        match tier {
+            Tier::Parent => &self.settings.slow_start.parents,
+            _ => &self.settings.slow_start.caches,
+        }
+    }
+
     /// The part of its capacity that a member surely has by now: 1 once it is warm.
     fn warmth(&self, member: &Member) -> f64 {
-        let (floor, span) = match member.tier {
-            Tier::Parent => ("parent_floor", "parent_warm_within"),
-            _ => ("cold_floor", "warm_within"),
-        };
+        let ramp = self.ramp(member.tier);
         let Some(started) = member.listed.started.filter(|_| member.tier != Tier::Origin) else { return 1.0 };
-        let floor = self.fact(floor, 1.0);
-        let gained = self.now.since(started).as_secs() / self.span(span, Span::ZERO).as_secs().max(0.001);
+        let floor = ramp.initial_share();
+        let gained =
+            self.now.since(started).as_secs() / ramp.duration.unwrap_or_default().as_secs().max(0.001);
         (floor + (1.0 - floor) * gained).min(1.0)
     }
 
@@ -555,19 +532,24 @@
             return true;
         }
         let asked = self.pace(&self.asked);
-        let (multiple, done, least, routers) = match member.tier {
-            Tier::Parent => ("parent_multiple", self.pace(&self.fills), asked * 0.05, "routers"),
-            _ => ("cold_multiple", self.pace(&self.served), asked * 0.5, "routers_here"),
+        let topology = &self.settings.topology;
+        let (done, least, routers) = match member.tier {
+            Tier::Parent => (self.pace(&self.fills), asked * 0.05, topology.router_count()),
+            _ => (self.pace(&self.served), asked * 0.5, topology.local_router_count()),
         };
         let size = f64::from(member.listed.size);
-        let part = size / self.size(member.tier, self.now - self.span("warm_within", Span::secs(15.0)) * 2.0);
+        let part = size
+            / self.size(
+                member.tier,
+                self.now - self.settings.slow_start.caches.duration.unwrap_or(Span::millis(15_000)) * 2.0,
+            );
         let own = || self.host.slow_start_share(member.listed.stable, member.tier == Tier::Parent);
-        let bears = match self.fact("size_told", 0.0) > 0.0 {
-            true => own().map_or_else(|| size / self.fact(routers, 1.0).max(1.0), |own| size * own),
+        let bears = match topology.capacity_known {
+            true => own().map_or_else(|| size / routers, |own| size * own),
             false => done.max(least) * part,
         };
-        let window = self.span("cold_window", Span::secs(1.0));
-        let budget = warmth * bears * self.fact(multiple, 1.0) * window.as_secs() * 0.7;
+        let window = self.settings.slow_start.window();
+        let budget = warmth * bears * self.ramp(member.tier).overload_multiple() * window.as_secs() * 0.7;
         let drawn = |past| member.drawn.iter().filter(move |drawn| self.now.since(drawn.0) <= past);
         let spent: f64 = drawn(window).filter(|drawn| drawn.2.is_some()).map(|drawn| drawn.1).sum();
         if budget >= work {
@@ -644,7 +626,7 @@
     /// Counts what is wanted of a member while it is cold, and for which request and attempt it was sent.
     fn draw(&mut self, no: EndpointId, class: u16, sent: Option<(u64, u16)>) {
         let (now, work, cold) = (self.now, self.mean_work(class), !self.is_warm(no));
-        let kept = self.span("cold_window", Span::secs(1.0)) * 4.0;
+        let kept = self.settings.slow_start.window() * 4.0;
         let drawn = &mut self.member_mut(no).drawn;
         drawn.retain(|drawn| now.since(drawn.0) <= kept);
         drawn.extend(Some((now, work, sent)).filter(|_| cold));
@@ -654,11 +636,11 @@
     fn route(&mut self, no: RequestSlot) {
         let Some(held) = self.held(no) else { return };
         let asked = held.asked;
-        let through = self.of(asked.class, "runs_at_origin") > 0.0;
-        let direct = self.fact("direct", 0.0) > 0.0;
+        let through = self.class(asked.class).runs_at_origin;
+        let direct = self.settings.topology.may_bypass();
         let hash = mix(asked.object, u64::from(asked.part));
         let origin = self.order(hash, Tier::Origin).first().copied();
-        let plain = self.fact("fills", 1.0) == 0.0;
+        let plain = !self.settings.topology.caches_fill;
         if let Some(origin) = origin.filter(|_| through && direct) {
             return self.send(no, origin, None, Filling::AsItComes);
         }
@@ -687,7 +669,7 @@
         // limit or rejected. Guards the link, the parents and the origin, whatever made them late.
         let [near, far] = [0, 1].map(|far| self.fill_crowd(held, far));
         // Where notes do not tell the origin's fills apart, half being quick shows that just those are late.
-        let told = self.policy.facts.get("notes").is_some_and(|notes| notes.word() == "all");
+        let told = self.settings.topology.fill_details_reported;
         let half = self.fill_loads[0].quantile(0.5, |load| load.took.as_secs() / load.goal);
         let just_origin = !told && half.is_some_and(|half| half < 0.45);
         let shared = self.host.can_afford_fill(asked.class);
@@ -716,29 +698,31 @@
         let Some(held) = self.held(no).filter(|held| !held.finished) else { return };
         let (class, left) = (held.asked.class, held.end.since(self.now));
         // Rule 2: what may have run goes again only where a repeat does no harm.
-        let word = |what: &str| self.word_of(class, what);
+        let settings = self.class(class);
+        let idempotent = settings.idempotency == Idempotency::Idempotent;
         let place = |cache: EndpointId| (self.member(cache).listed.location, self.member(cache).listed.cell);
-        let harmless = match (word("effect"), held.first_ran()) {
-            ("repeatable", _) | (_, None) => true,
-            ("tagged", Some((since, first))) => {
-                let same = match word("group") {
-                    "location" => place(first).0 == place(cache).0,
-                    "cell" => place(first) == place(cache),
-                    group => group == "all",
+        let harmless = match (settings.idempotency, held.first_ran()) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::WithKey, Some((since, first))) => {
+                let same = match settings.retry_scope {
+                    RetryScope::Location => place(first).0 == place(cache).0,
+                    RetryScope::Cell => place(first) == place(cache),
+                    RetryScope::Everywhere => true,
+                    RetryScope::Nowhere => false,
                 };
-                same && self.now.since(since) + Span::millis(20) < self.span_of(class, "window")
+                same && self.now.since(since) + Span::millis(20) < settings.retry_window.unwrap_or_default()
             }
             _ => false,
         };
         let open = held.open().count();
-        let second = open == 1 && self.fact("second_copies", 0.0) > 0.0 && word("effect") == "repeatable";
+        let second = open == 1 && self.settings.attempts.hedging && idempotent;
         // Rule 3: a cache that drains or is gone gets nothing, be it as cache or as source.
         let both_ready = [Some(cache), source].into_iter().flatten().all(|no| self.member(no).is_ready());
         // Rule 4: a cold cache or source is not pushed over.
         let work = self.mean_work(held.asked.class);
         let bears = |no: EndpointId| self.bears(self.member(no), work, held.lot);
         let borne = bears(cache) && source.is_none_or(bears);
-        let more = (held.attempts.len() as f64) < self.fact("most_dispatches", 1.0);
+        let more = held.attempts.len() < self.settings.attempts.max_attempts();
         if !(left >= Span::millis(10) && more && harmless && (open == 0 || second) && both_ready && borne) {
             return self.give_up(no);
         }
@@ -748,12 +732,16 @@
         let since_purge = purged.map(|at| self.now.since(*at).max(Span::micros(1)));
         let retry = held.attempts.iter().any(Attempt::fills_misses);
         // A copy past its fresh time earns less: for when a attempt has failed or no more fills are let in.
-        let fresh = self.span_of(class, "fresh");
+        let fresh = self.class(class).max_age.unwrap_or_default();
         let scarce = [0, 1].into_iter().any(|far| self.fill_crowd(held, far) >= 1.0);
-        let older = if retry || scarce { self.span_of(class, "older_by") } else { Span::ZERO };
+        let older = if retry || scarce {
+            self.class(class).stale_while_failing.unwrap_or_default()
+        } else {
+            Span::ZERO
+        };
         let cap = Some(fresh + older).filter(|_| fresh > Span::ZERO && (retry || scarce || purged.is_some()));
         let max_age = cap.into_iter().chain(since_purge).min();
-        let keep = self.of(class, "runs_at_origin") == 0.0;
+        let keep = !self.class(class).runs_at_origin;
         let spare = filling == Filling::AsItComes && source.is_some_and(|s| self.is_warm(s));
         let refresh = keep && spare && fresh > Span::ZERO;
         let wait = self.patience(held, left);
@@ -801,7 +789,7 @@
     fn patience(&self, held: &Held, left: Span) -> Span {
         let usual = self.filled.quantile(0.95, |filled| filled.1).unwrap_or(left);
         let goal = Span::secs(self.goal(held.asked.class, self.work(&held.asked)));
-        (usual * 3.0).max(self.span_of(held.asked.class, "cut_off") * 0.75).max(goal * 1.5).min(left)
+        (usual * 3.0).max(self.class(held.asked.class).deadline * 0.75).max(goal * 1.5).min(left)
     }
 
     /// How long a cache with requests in hand may say nothing before it counts as hung.
@@ -828,9 +816,9 @@
         // A cache that takes requests and answers none: it is left before its requests' time-outs. Guards
         // against hangs, long pauses and lost answers; harms where a few huge objects are all it holds.
         let alternative = self.order(0, Tier::Cache).len() > 1;
-        let repeatable = self.word_of(held.asked.class, "effect") == "repeatable";
+        let repeatable = self.class(held.asked.class).idempotency == Idempotency::Idempotent;
         let hung = over && silent >= hush && member.out >= 3 && alternative && repeatable;
-        if hung && self.fact("calling_off", 0.0) > 0.0 {
+        if hung && self.settings.attempts.may_cancel() {
             self.leave_out(cache);
             self.held_mut(no).into_iter().for_each(|held| held.attempts[nth].cancelled = true);
             return self.host.cancel(no, nth as u16);
@@ -906,7 +894,7 @@
         let work = self.work(&asked);
         let goal = self.goal(asked.class, work);
         // Where all is told, a late source is told of: a bare time-out may be just a lost answer.
-        let told = self.policy.facts.get("notes").is_some_and(|notes| notes.word() == "all");
+        let told = self.settings.topology.fill_details_reported;
         let late = verdict == AttemptStatus::TimedOut && !cancelled && !told
             || note == OutcomeDetail::SourceUnreachable;
         let way = match note {
@@ -1031,21 +1019,17 @@
     /// When one that is rejected, here or at the door, may come again, where that can be told.
     pub fn retry_after(&mut self) -> Option<Span> {
         let rest = Span::secs(self.chance.random_range(0.05..0.3));
-        let rest = rest.min(self.span("longest_come_back", Span::ZERO));
-        Some(rest).filter(|_| self.fact("come_back_told", 0.0) > 0.0)
+        self.settings.rejection.max_retry_after().map(|longest| rest.min(longest))
     }
 
     /// Answers a request that will not be done, at once; rule 2 decides how.
     fn give_up(&mut self, no: RequestSlot) {
         let retry_after = self.retry_after();
-        let calling_off = self.fact("calling_off", 0.0) > 0.0;
+        let calling_off = self.settings.attempts.may_cancel();
         let Some(held) = self.held(no).filter(|held| !held.finished) else { return };
         let class = held.asked.class;
         let open: Vec<u16> = held.open().filter(|(_, d)| !d.cancelled).map(|(nth, _)| nth as u16).collect();
-        let honest = match (self.word_of(class, "effect"), self.word_of(class, "group")) {
-            ("repeatable", _) | ("tagged", "all") => true,
-            _ => held.first_ran().is_none(),
-        };
+        let honest = self.class(class).is_freely_retried() || held.first_ran().is_none();
         match honest {
             true => self.host.reject(no, retry_after),
             false => self.host.fail(no),
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,7 +1,5 @@
 //! What the decisions act through, and the plain types that pass between them and their caller.
 
-use std::collections::BTreeMap;
-
 use crate::time::{Moment, Span};
 
 /// A request's place in the caller's table. It may be used again once the request has its final answer
@@ -15,33 +13,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// What is known of a deployment at start: names to values, spans in microseconds.
-pub type Facts = BTreeMap<String, Fact>;
-
-/// One known value; a flag is the number 0 or 1.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
-    Number(f64),
-    Word(String),
-}
-
-impl Fact {
-    pub fn number(&self) -> Option<f64> {
-        match self {
-            Self::Number(value) => Some(*value),
-            Self::Word(_) => None,
-        }
-    }
-
-    /// The word; empty for a number.
-    pub fn word(&self) -> &str {
-        match self {
-            Self::Number(_) => "",
-            Self::Word(word) => word,
-        }
-    }
-}
-
 /// What the check of a client's link said, where links are checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Authorization {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`control::RoutingEngine`] holds every decision; [`host::Host`] is what it acts through.
 //!
 //! ```
-//! use tindoor::{control::RoutingEngine, host::*, time::*};
+//! use tindoor::{control::RoutingEngine, host::*, settings::*, time::*};
 //! struct Printer;
 //! impl Host for Printer {
 //!     fn send_cache_only(&mut self, request: RequestSlot, endpoint: EndpointId, _: Span) {
@@ -18,15 +18,16 @@
 //!     fn set_timer(&mut self, _: Span) {}
 //!     fn watch_endpoints(&mut self) {}
 //! }
-//! let facts = [("offerings", 1.0), ("offering.0.cut_off", 2e6), ("offering.0.latency_goal", 3e5),
-//!     ("drain_grace", 5e5), ("location", 1.0)];
-//! let facts = facts.map(|(name, value)| (name.to_string(), Fact::Number(value))).into();
-//! let mut engine = RoutingEngine::start(Printer, facts, 7, Moment::at_micros(0)).unwrap();
-//! let (ran, pass) = Default::default();
-//! let meta = RequestMeta { object: 5, part: 0, group: 0, class: 0, kb: None, repeat: false, ran, pass };
+//! let class = ClassSettings { deadline: Span::millis(2000), latency_objective: Span::millis(300), ..Default::default() };
+//! let settings = Settings { classes: vec![class], ..Default::default() };
+//! let mut engine = RoutingEngine::start(Printer, settings, 7, Moment::at_micros(0));
+//! let (first_ran, authorization, client_retry, size_kb) = Default::default();
+//! let meta =
+//!     RequestMeta { object: 5, part: 0, group: 0, class: 0, size_kb, client_retry, first_ran, authorization };
 //! engine.request_received(RequestSlot(0), meta, Span::millis(900)); // no endpoint is listed: rejected
 //! ```
 
 pub mod control;
 pub mod host;
+pub mod settings;
 pub mod time;
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -57,13 +57,13 @@
     };
     let told = |seed: u64| {
         [
-            ("size_told", f64::from(u8::from(layout.size_told))),
+            ("capacity_known", f64::from(u8::from(layout.size_told))),
             ("routers", layout.routers as f64),
-            ("routers_here", layout.routers as f64),
-            ("direct", 0.0),
-            ("cold_window", WINDOW as f64 * 1000.0),
-            ("cold_multiple", MULTIPLE),
-            ("cold_floor", FLOOR),
+            ("routers_in_location", layout.routers as f64),
+            ("bypass_allowed", 0.0),
+            ("slow_start_window", WINDOW as f64 * 1000.0),
+            ("overload_multiple", MULTIPLE),
+            ("initial_share", FLOOR),
             ("warm_within", WARM_WITHIN as f64 * 1000.0),
             ("seed", seed as f64),
         ]
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -29,7 +29,7 @@
 fn what_runs_at_the_origin_goes_there_untouched_and_never_through_a_cache() {
     let mut r = router(&fleet(), &[]);
     assert_eq!(r.request(2, 1), [Act::Look(1, 6)]);
-    let mut r = router(&fleet(), &[("direct", 0.0)]);
+    let mut r = router(&fleet(), &[("bypass_allowed", 0.0)]);
     assert!(matches!(
         r.request(2, 1)[..],
         [Act::Read { source: 6, join_fill: false, retention_rank: 0, .. }]
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_cold_branch_is_not_sent_more_than_it_bears_even_when_clients_repeat() {
-    let mut r = router(&fleet(), &[("direct", 0.0)]);
+    let mut r = router(&fleet(), &[("bypass_allowed", 0.0)]);
     r.quiet(200, OutcomeDetail::Hit, 20); // 100 requests a second of 20 ms: each cache does half a transfer a second
     let cold: Vec<EndpointUpdate> =
         (0..4).map(|no| line(no, 1000 + u64::from(no), 0, Some(r.millis))).collect();
@@ -125,7 +125,7 @@
             _ => l,
         })
         .collect();
-    let told = |seed| [("size_told", 1.0), ("routers", 100.0), ("seed", f64::from(seed))];
+    let told = |seed| [("capacity_known", 1.0), ("routers", 100.0), ("seed", f64::from(seed))];
     let mut routers: Vec<Router> = (0..100).map(|seed| router(&list, &told(seed))).collect();
     let mut filled = 0;
     for object in 0..500 {
@@ -140,7 +140,7 @@
 #[test]
 fn in_a_branch_of_many_routers_lateness_alone_turns_requests_back() {
     let rejected = |routers: f64| {
-        let mut r = router(&fleet(), &[("routers_here", routers), ("direct", 0.0)]);
+        let mut r = router(&fleet(), &[("routers_in_location", routers), ("bypass_allowed", 0.0)]);
         let mut rejected = 0;
         for object in 0..120 {
             let acts = r.request(0, object);
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_day_that_begins_crowded_does_not_pass_for_an_easy_one() {
-    let mut r = router(&fleet(), &[("routers_here", 12.0), ("direct", 0.0)]);
+    let mut r = router(&fleet(), &[("routers_in_location", 12.0), ("bypass_allowed", 0.0)]);
     let mut rejected = 0;
     for object in 0..200 {
         let acts = r.request(0, object);
@@ -173,7 +173,7 @@
 
 #[test]
 fn lost_answers_do_not_pass_for_a_slow_origin_where_notes_tell_all() {
-    let mut r = router(&fleet(), &[("routers_here", 12.0)]);
+    let mut r = router(&fleet(), &[("routers_in_location", 12.0)]);
     r.quiet(60, OutcomeDetail::FilledFromOrigin, 30);
     let mut filled = 0;
     for object in 100..180 {
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_few_time_outs_do_not_close_the_way_in_once_fills_are_quick_again() {
-    let mut r = router(&fleet(), &[("routers_here", 12.0)]);
+    let mut r = router(&fleet(), &[("routers_in_location", 12.0)]);
     r.quiet(40, OutcomeDetail::FilledFromSource, 30);
     for object in 100..106 {
         r.request_within(0, object, 30);
@@ -227,7 +227,7 @@
 
 #[test]
 fn where_notes_tell_little_and_half_the_fills_are_quick_what_parents_hold_is_still_filled() {
-    let mut r = router(&fleet(), &[("routers_here", 12.0), ("notes_tell_hits", 1.0)]);
+    let mut r = router(&fleet(), &[("routers_in_location", 12.0), ("fill_details_reported", 0.0)]);
     let mut only_if_cached = 0;
     for object in 0..200 {
         let acts = r.request(0, object);
@@ -245,7 +245,7 @@
 
 #[test]
 fn a_list_that_is_repeated_empty_sudden_or_moves_its_members_is_taken_as_it_comes() {
-    let mut r = router(&fleet(), &[("routers_here", 0.0), ("routers", 0.0), ("client_kb_per_s", 0.0)]);
+    let mut r = router(&fleet(), &[("routers_in_location", 0.0), ("routers", 0.0), ("client_kb_per_s", 0.0)]);
     r.size_kb = Some(0.0);
     r.control.endpoints_changed(ListUpdateKind::Full, &fleet());
     r.control.endpoints_changed(ListUpdateKind::Delta, &fleet()[..3]);
@@ -264,7 +264,7 @@
 
 #[test]
 fn where_a_cache_would_answer_late_a_calm_parent_answers_by_itself() {
-    let mut r = router(&fleet(), &[("routers_here", 12.0)]);
+    let mut r = router(&fleet(), &[("routers_in_location", 12.0)]);
     let mut straight = [0, 0];
     for object in 0..300 {
         let acts = r.request(0, object);
@@ -282,7 +282,7 @@
 
 #[test]
 fn the_few_requests_let_in_after_a_rush_outweigh_the_rush() {
-    let mut r = router(&fleet(), &[("routers_here", 12.0), ("direct", 0.0)]);
+    let mut r = router(&fleet(), &[("routers_in_location", 12.0), ("bypass_allowed", 0.0)]);
     r.quiet(40, OutcomeDetail::Hit, 30);
     let mut rejected = [0; 3];
     for object in 0..400 {
@@ -302,7 +302,7 @@
 #[test]
 fn a_hundred_routers_to_whom_all_other_parents_are_ill_do_not_topple_a_cold_one() {
     let list: Vec<EndpointUpdate> = fleet().into_iter().map(|l| EndpointUpdate { size: 20.0, ..l }).collect();
-    let told = |seed| [("size_told", 1.0), ("routers", 100.0), ("seed", f64::from(seed))];
+    let told = |seed| [("capacity_known", 1.0), ("routers", 100.0), ("seed", f64::from(seed))];
     let mut routers: Vec<Router> = (0..100).map(|seed| router(&list, &told(seed))).collect();
     let cold = [EndpointUpdate { size: 20.0, ..line(4, 1004, PARENT, Some(9000)) }];
     let mut filled = 0;
@@ -335,7 +335,7 @@
         .into_iter()
         .map(|l| EndpointUpdate { started: Some(Moment::at_micros(START)), ..l })
         .collect();
-    let mut r = router(&cold, &[("direct", 0.0), ("parent_floor", 1.0)]);
+    let mut r = router(&cold, &[("bypass_allowed", 0.0), ("parent_initial_share", 1.0)]);
     let mut sent = 0;
     for object in 0..500 {
         if matches!(r.request(0, object)[..], [Act::Read { .. }]) {
@@ -350,7 +350,7 @@
 
 #[test]
 fn the_first_of_a_lost_branch_to_be_listed_is_not_taken_for_all_of_it() {
-    let mut r = router(&fleet(), &[("direct", 0.0)]);
+    let mut r = router(&fleet(), &[("bypass_allowed", 0.0)]);
     let gone: Vec<EndpointUpdate> =
         fleet()[..4].iter().map(|l| EndpointUpdate { standing: EndpointState::Removed, ..*l }).collect();
     r.control.endpoints_changed(ListUpdateKind::Delta, &gone);
@@ -449,7 +449,7 @@
         fleet().into_iter().filter(|line| line.cache.0 == 0 || line.kind != 0).collect();
     let list: Vec<EndpointUpdate> =
         list.into_iter().zip(0..).map(|(l, no)| EndpointUpdate { cache: EndpointId(no), ..l }).collect();
-    let mut r = router(&list, &[("direct", 0.0)]);
+    let mut r = router(&list, &[("bypass_allowed", 0.0)]);
     for object in 0..30 {
         assert_eq!(place(&r.request(0, object)).0, 0);
         r.end(0, AttemptStatus::Error, OutcomeDetail::Unknown, 1);
@@ -666,7 +666,7 @@
 
 #[test]
 fn what_is_told_to_be_huge_is_turned_back_first() {
-    let mut r = router(&fleet(), &[("client_kb_per_s", 1000.0), ("direct", 0.0)]);
+    let mut r = router(&fleet(), &[("client_kb_per_s", 1000.0), ("bypass_allowed", 0.0)]);
     r.size_kb = Some(50.0);
     r.quiet(100, OutcomeDetail::Hit, 55);
     (100..180).for_each(|object| drop(r.request(0, object)));
@@ -684,7 +684,7 @@
 
 #[test]
 fn a_request_is_answered_before_its_client_leaves_and_never_after() {
-    let mut r = router(&fleet(), &[("calling_off", 0.0)]);
+    let mut r = router(&fleet(), &[("cancellation", 0.0)]);
     r.request_within(0, 1, 800);
     let acts = r.wait(799);
     assert!(matches!(acts[..], [Act::TurnBack(1, _)]), "{acts:?}");
@@ -706,7 +706,7 @@
 
 #[test]
 fn whose_link_is_refused_reaches_no_cache_and_who_is_early_is_told_when_to_come() {
-    let mut r = router(&fleet(), &[("come_back_told", 1.0), ("longest_come_back", 5e5)]);
+    let mut r = router(&fleet(), &[("retry_after_sent", 1.0), ("max_retry_after", 5e5)]);
     for (authorization, act) in [
         (Authorization::Denied, "written off"),
         (Authorization::Expired, "written off"),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -4,6 +4,7 @@
 
 use tindoor::control::RoutingEngine;
 use tindoor::host::*;
+use tindoor::settings::*;
 use tindoor::time::{Moment, Span};
 
 #[derive(Debug, Clone, PartialEq)]
@@ -96,55 +97,13 @@
         .collect()
 }
 
-/// Request class 0 is repeatable and kept; 1 goes stale; 2 is tagged, 3 once-only, and both run at the origin.
+/// Request class 0 is idempotent and kept; 1 goes stale; 2 is idempotent with a key, 3 non-idempotent, and both run at
+/// the origin. `more` sets single settings by name.
 pub fn router(list: &[EndpointUpdate], more: &[(&str, f64)]) -> Router {
-    let numbers = [
-        ("offerings", 4.0),
-        ("location", 3.0),
-        ("drain_grace", 5e5),
-        ("parent_kind", 1.0),
-        ("origin_kind", 2.0),
-        ("most_dispatches", 6.0),
-        ("calling_off", 1.0),
-        ("direct", 1.0),
-        ("come_back_told", 1.0),
-        ("longest_come_back", 5e5),
-        ("cold_floor", 0.2),
-        ("warm_within", 15e6),
-        ("cold_multiple", 2.5),
-        ("cold_window", 2e6),
-        ("parent_floor", 0.1),
-        ("parent_warm_within", 20e6),
-        ("parent_multiple", 2.0),
-        ("copies_gone_after", 6e6),
-        ("offering.1.fresh", 8e6),
-        ("offering.1.older_by", 20e6),
-        ("offering.2.window", 3e6),
-        ("offering.2.runs_at_origin", 1.0),
-        ("offering.3.runs_at_origin", 1.0),
-    ];
-    let number = |(name, value): &(&str, f64)| (name.to_string(), Fact::Number(*value));
-    let mut facts: Facts = numbers.iter().chain(more).map(number).collect();
-    for i in 0..4 {
-        for (name, value) in
-            [("cut_off", 5e6), ("latency_goal", 3e5), ("goal_stretch", 2.0), ("earnings", 1.0)]
-        {
-            facts.insert(format!("offering.{i}.{name}"), Fact::Number(value));
-        }
-    }
-    for (name, word) in [
-        ("0.effect", "repeatable"),
-        ("1.effect", "repeatable"),
-        ("2.effect", "tagged"),
-        ("2.group", "all"),
-        ("3.effect", "once-only"),
-    ] {
-        facts.insert(format!("offering.{name}"), Fact::Word(word.to_string()));
-    }
-    let notes = if facts.contains_key("notes_tell_hits") { "hit" } else { "all" };
-    facts.insert("notes".to_string(), Fact::Word(notes.to_string()));
+    let mut settings = settings();
+    more.iter().for_each(|(name, value)| set(&mut settings, name, *value));
     let seed = more.iter().find(|fact| fact.0 == "seed").map_or(7, |fact| fact.1 as u64);
-    let mut control = RoutingEngine::start(Fake::default(), facts, seed, Moment::at_micros(START)).unwrap();
+    let mut control = RoutingEngine::start(Fake::default(), settings, seed, Moment::at_micros(START));
     control.endpoints_changed(ListUpdateKind::Full, list);
     Router {
         control,
@@ -228,3 +187,90 @@
         other => panic!("one read expected, not {other:?}"),
     }
 }
+
+fn settings() -> Settings {
+    let ramp = |initial_share, seconds: f64, overload_multiple| Ramp {
+        initial_share: Some(initial_share),
+        duration: Some(Span::secs(seconds)),
+        overload_multiple: Some(overload_multiple),
+    };
+    Settings {
+        topology: Topology {
+            location: 3,
+            parent_kind: Some(PARENT),
+            origin_kind: Some(ORIGIN),
+            bypass_allowed: Some(true),
+            caches_fill: true,
+            fill_details_reported: true,
+            ..Topology::default()
+        },
+        attempts: AttemptSettings {
+            max_attempts: Some(6),
+            cancellation: Some(true),
+            drain_grace: Span::millis(500),
+            ..AttemptSettings::default()
+        },
+        rejection: RejectionSettings {
+            retry_after_sent: Some(true),
+            max_retry_after: Some(Span::millis(500)),
+        },
+        slow_start: SlowStartSettings {
+            caches: ramp(0.2, 15.0, 2.5),
+            parents: ramp(0.1, 20.0, 2.0),
+            window: Some(Span::secs(2.0)),
+        },
+        purges: PurgeSettings { copies_gone_after: Some(Span::secs(6.0)), grace: None },
+        classes: classes(),
+    }
+}
+
+fn classes() -> Vec<ClassSettings> {
+    let plain = ClassSettings {
+        deadline: Span::secs(5.0),
+        latency_objective: Span::millis(300),
+        objective_stretch: Some(2.0),
+        priority_weight: Some(1.0),
+        idempotency: Idempotency::Idempotent,
+        ..ClassSettings::default()
+    };
+    vec![
+        plain.clone(),
+        ClassSettings {
+            max_age: Some(Span::secs(8.0)),
+            stale_while_failing: Some(Span::secs(20.0)),
+            ..plain.clone()
+        },
+        ClassSettings {
+            idempotency: Idempotency::WithKey,
+            retry_scope: RetryScope::Everywhere,
+            retry_window: Some(Span::secs(3.0)),
+            runs_at_origin: true,
+            ..plain.clone()
+        },
+        ClassSettings { idempotency: Idempotency::NonIdempotent, runs_at_origin: true, ..plain },
+    ]
+}
+
+fn set(settings: &mut Settings, name: &str, value: f64) {
+    let Settings { topology, attempts, rejection, slow_start, .. } = settings;
+    let (flag, span) = (value > 0.0, Span::micros(value as u64));
+    match name {
+        "routers" => topology.routers = Some(value as u32),
+        "routers_in_location" => topology.routers_in_location = Some(value as u32),
+        "bypass_allowed" => topology.bypass_allowed = Some(flag),
+        "capacity_known" => topology.capacity_known = flag,
+        "client_kb_per_s" => topology.client_kb_per_s = value,
+        "fill_details_reported" => topology.fill_details_reported = flag,
+        "cancellation" => attempts.cancellation = Some(flag),
+        "retry_after_sent" => rejection.retry_after_sent = Some(flag),
+        "max_retry_after" => rejection.max_retry_after = Some(span),
+        "initial_share" => slow_start.caches.initial_share = Some(value),
+        "parent_initial_share" => slow_start.parents.initial_share = Some(value),
+        "overload_multiple" => slow_start.caches.overload_multiple = Some(value),
+        "warm_within" => slow_start.caches.duration = Some(span),
+        "slow_start_window" => slow_start.window = Some(span),
+        // Read by `router`.
+        "seed" => {}
+        other => panic!("{other}: no such setting"),
+    }
+}
