--- /dev/null
+++ b/crates/council/tests/golden.rs
@@ -0,0 +1,515 @@
+//! Golden files of what replicas send to each other and store: each file in `tests/golden` holds the encoding of
+//! one sample value. The tests encode each sample and compare it with its file byte for byte, and decode each file
+//! and compare the result with its sample.
+//!
+//! A file may only be recorded anew where the encoding is meant to change, which breaks fleets that are in
+//! service:
+//!
+//! ```sh
+//! cargo test -p tindoor-council --test golden -- --ignored record
+//! ```
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::PathBuf;
+
+use tindoor::time::{Moment, Span};
+use tindoor_council::{Body, Command, Frame, Guards, Kept, Limits, News, Node, Out, Own, Write};
+use tindoor_fleet::{FleetTime, Interval, Listed, Start, Terms};
+use tindoor_policy::{Agreed, Count, Entry, Policy, Proposal};
+use tindoor_shares::{Ask, Lend, Lent, Line, Share, Want};
+
+fn directory() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
+}
+
+fn recorded(name: &str) -> Vec<u8> {
+    let path = directory().join(format!("{name}.bin"));
+    fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+// Sample values that several messages contain.
+
+fn sample_member(seat: Option<u64>) -> Listed {
+    Listed { name: "router-1".into(), address: "192.0.2.1:7000".into(), seat, location: 300 }
+}
+
+fn sample_policy() -> Policy {
+    let keys = [
+        ("budget.origin_fills.per_s", 1250.5),
+        ("calling_off", 1.0),
+        ("cold_floor", 0.1),
+        ("offering.video.latency_goal_ms", 200.0),
+    ];
+    Policy::default().with(keys.map(|(key, number)| (key.to_string(), number)))
+}
+
+fn changed_policy() -> Policy {
+    sample_policy().with([("cold_floor".to_string(), 0.25)])
+}
+
+fn sample_proposal(token: u64, made_from: u64, undoes: Option<u64>) -> Proposal {
+    let (by, note) = ("operator".to_string(), "raise the floor".to_string());
+    Proposal { token, made_from, policy: changed_policy(), undoes, by, note }
+}
+
+// Messages between replicas.
+
+fn status_request(words: bool) -> Body {
+    Body::Ask { nonce: 0x1234_5678_9abc_def0, fleet: 0xfeed_f00d, index: 1000, words }
+}
+
+fn status_response(news: News, complete: bool) -> Body {
+    let offset = |start: u64, low: i64, high: i64| (Start(start), Interval { low, high });
+    Body::Tell {
+        nonce: 77,
+        clock: if complete { 1_700_000_000_123_456 } else { -1 },
+        offsets: if complete { vec![offset(2, -1500, 250), offset(3, 0, 70_000)] } else { Vec::new() },
+        index: 1000,
+        open: complete,
+        voters: complete.then_some((1000, 15_000)),
+        words: if complete { vec![(Start(2), 12_000), (Start(3), 300)] } else { Vec::new() },
+        news,
+        leader: complete.then(|| "192.0.2.2:7000".to_string()),
+    }
+}
+
+fn sample_log_tail() -> News {
+    let encode = |entry: Entry| postcard::to_stdvec(&entry).unwrap();
+    News::Entries {
+        first: 998,
+        entries: vec![encode(Entry::Nothing), encode(Entry::Held { generation: 300 })],
+    }
+}
+
+fn sample_snapshot() -> News {
+    News::Whole(postcard::to_stdvec(&bootstrapped_state()).unwrap())
+}
+
+fn quota_request(lines: Vec<Ask>) -> Body {
+    Body::Want(Want { nonce: 900, lines })
+}
+
+fn quota_request_lines() -> Vec<Ask> {
+    let fleet_wide = Ask {
+        line: Line { budget: 1, of: 0 },
+        wants: Share { flow: 100_000, stock: 40_000 },
+        weight: 1,
+        holds: Share { flow: 50_000, stock: 20_000 },
+        term: 0,
+    };
+    let of_one_account = Ask {
+        line: Line { budget: 500, of: 0xabcd_ef01_2345_6789 },
+        wants: Share::NONE,
+        weight: 16,
+        holds: Share { flow: 0, stock: 1 },
+        term: 12,
+    };
+    vec![fleet_wide, of_one_account]
+}
+
+fn quota_grant(term: u64, shares: Vec<Lent>) -> Body {
+    Body::Lend(Lend { nonce: 900, term, shares })
+}
+
+fn granted_shares() -> Vec<Lent> {
+    let line = |budget, of| Line { budget, of };
+    let rate = Lent { line: line(1, 0), share: Share { flow: 50_000, stock: 20_000 }, left: 1_000_000 };
+    let level = Lent { line: line(500, 0xabcd_ef01), share: Share { flow: 0, stock: 3000 }, left: 0 };
+    vec![rate, level]
+}
+
+fn join_request(seat: Option<u64>, after: Option<Start>) -> Command {
+    Command::Join { start: Start(0x0123_4567_89ab_cdef), listed: sample_member(seat), after }
+}
+
+fn vote_on_proposal(objection: Option<&str>) -> Command {
+    Command::Answer { generation: 300, start: Start(2), objection: objection.map(str::to_string) }
+}
+
+fn view_report(counts: Vec<(u64, u16, Count)>) -> Command {
+    Command::Report { start: Start(2), location: 300, counts }
+}
+
+fn view_counts() -> Vec<(u64, u16, Count)> {
+    vec![(299, 0, Count { views: 1000, good: 990 }), (300, 400, Count { views: 1, good: 0 })]
+}
+
+fn commands() -> Vec<(&'static str, Command)> {
+    vec![
+        ("command-join", join_request(Some(7), Some(Start(9)))),
+        ("command-join-without-seat", join_request(None, None)),
+        ("command-leave", Command::Leave { start: Start(9) }),
+        ("command-vote-accept", vote_on_proposal(None)),
+        ("command-vote-reject", vote_on_proposal(Some("over its limit"))),
+        ("command-propose", Command::Propose(sample_proposal(0xdead_beef, 299, None))),
+        ("command-propose-rollback", Command::Propose(sample_proposal(0xdead_beef, 300, Some(300)))),
+        ("command-withdraw", Command::Withdraw { generation: 300 }),
+        ("command-remove-member", Command::Forget { name: "router-1".into() }),
+        ("command-report", view_report(view_counts())),
+        ("command-report-empty", view_report(Vec::new())),
+    ]
+}
+
+/// Every kind of message, each with its header.
+fn messages() -> Vec<(&'static str, Frame)> {
+    let mut bodies = vec![
+        ("status-request", status_request(false)),
+        ("status-request-with-samples", status_request(true)),
+        ("status-response-unchanged", status_response(News::None, false)),
+        ("status-response-entries", status_response(sample_log_tail(), true)),
+        ("status-response-snapshot", status_response(sample_snapshot(), true)),
+        ("raft", Body::Raft(vec![8, 4, 16, 1, 24, 2, 255, 0])),
+        ("quota-request", quota_request(quota_request_lines())),
+        ("quota-request-empty", quota_request(Vec::new())),
+        ("quota-grant", quota_grant(12, granted_shares())),
+        ("quota-grant-empty", quota_grant(0, Vec::new())),
+    ];
+    let forwarded = |hops: u8| move |(name, command)| (name, Body::Command(hops, command));
+    bodies.extend(commands().into_iter().map(forwarded(3)));
+    bodies.into_iter().map(|(name, body)| (name, message(body))).collect()
+}
+
+fn message(body: Body) -> Frame {
+    let (fleet, address) = ("video-edge".to_string(), "192.0.2.1:7000".to_string());
+    Frame { fleet, from: Start(0x0123_4567_89ab_cdef), address, body }
+}
+
+// Entries of the replicated log.
+
+fn log_entries() -> Vec<(&'static str, Entry)> {
+    let join = |seat, after| Entry::Join { start: Start(0x1111), listed: sample_member(seat), after };
+    let clock = |ahead| Entry::Clock { of: Start(0x1111), ahead };
+    let joint_configuration = Entry::Voters { seats: vec![7, 8, 900], leaving: vec![7, 6] };
+    vec![
+        ("log-entry-bootstrap", Entry::Found { fleet: 0xfeed_f00d, policy: sample_policy(), seat: 7 }),
+        ("log-entry-add-member", join(Some(7), Some(Start(9)))),
+        ("log-entry-add-member-without-seat", join(None, None)),
+        ("log-entry-remove-member", Entry::Leave { start: Start(0x1111), ended: false }),
+        ("log-entry-remove-ended-member", Entry::Leave { start: Start(0x1111), ended: true }),
+        ("log-entry-trim-membership-history", Entry::Retire { before: 1000 }),
+        ("log-entry-no-op", Entry::Nothing),
+        ("log-entry-joint-voter-configuration", joint_configuration),
+        ("log-entry-voter-configuration", Entry::Voters { seats: vec![7, 8, 900], leaving: Vec::new() }),
+        ("log-entry-clock-offset", clock(Some(-123_456))),
+        ("log-entry-clock-removed", clock(None)),
+        ("log-entry-propose", Entry::Propose(sample_proposal(0xdead_beef, 299, None))),
+        ("log-entry-propose-rollback", Entry::Propose(sample_proposal(0xdead_beef, 300, Some(300)))),
+        ("log-entry-commit", Entry::Decide { generation: 300, at: FleetTime(1_700_000_000_123_456) }),
+        ("log-entry-commit-at-negative-time", Entry::Decide { generation: 300, at: FleetTime(-5) }),
+        ("log-entry-abort", Entry::CallOff { generation: 300, why: "router-1 rejects it".into() }),
+        ("log-entry-activate", Entry::Held { generation: 300 }),
+        ("log-entry-end-probation", Entry::Kept { generation: 300, finding: "NoHarm".into() }),
+    ]
+}
+
+// Snapshots of the replicated state.
+
+/// The state that these entries lead to.
+fn state_after(entries: Vec<Entry>) -> Agreed {
+    let mut state = Agreed::new();
+    for (nth, entry) in entries.into_iter().enumerate() {
+        state.apply(nth as u64 + 1, entry);
+    }
+    state
+}
+
+fn bootstrap() -> Entry {
+    Entry::Found { fleet: 0xfeed_f00d, policy: sample_policy(), seat: 7 }
+}
+
+fn add_member(number: u64, seat: Option<u64>) -> Entry {
+    let (name, address) = (format!("router-{number}"), format!("192.0.2.{number}:7000"));
+    let listed = Listed { name, address, seat, location: number as u16 };
+    Entry::Join { start: Start(number), listed, after: None }
+}
+
+/// Three members, two of them voters, one of them replaced by a restarted process and one removed.
+fn membership() -> Vec<Entry> {
+    let restarted = Listed { location: 9, ..sample_member(Some(7)) };
+    vec![
+        bootstrap(),
+        add_member(1, Some(7)),
+        add_member(2, Some(8)),
+        add_member(3, None),
+        add_member(4, None),
+        Entry::Voters { seats: vec![7, 8], leaving: vec![7] },
+        Entry::Leave { start: Start(4), ended: true },
+        Entry::Join { start: Start(5), listed: restarted, after: Some(Start(1)) },
+        Entry::Clock { of: Start(5), ahead: Some(0) },
+        Entry::Clock { of: Start(2), ahead: Some(-123_456) },
+        Entry::Clock { of: Start(3), ahead: Some(70_000) },
+    ]
+}
+
+fn with_entries(more: Vec<Entry>) -> Agreed {
+    state_after(membership().into_iter().chain(more).collect())
+}
+
+fn propose(token: u64, made_from: u64, undoes: Option<u64>) -> Entry {
+    Entry::Propose(sample_proposal(token, made_from, undoes))
+}
+
+fn commit(generation: u64) -> Entry {
+    Entry::Decide { generation, at: FleetTime(1_700_000_000_123_456) }
+}
+
+/// A refused, an aborted and an activated change; the last one is on probation.
+fn finished_changes() -> Vec<Entry> {
+    vec![
+        propose(21, 9, None),
+        propose(22, 1, None),
+        Entry::CallOff { generation: 2, why: "router-1 rejects it".into() },
+        propose(23, 1, None),
+        commit(3),
+        Entry::Held { generation: 3 },
+    ]
+}
+
+fn bootstrapped_state() -> Agreed {
+    state_after(vec![bootstrap()])
+}
+
+fn snapshots() -> Vec<(&'static str, Agreed)> {
+    let rollback = [finished_changes(), vec![propose(24, 3, Some(3))]].concat();
+    let rolled_back = [rollback.clone(), vec![commit(4), Entry::Held { generation: 4 }]].concat();
+    vec![
+        ("snapshot-empty", Agreed::new()),
+        ("snapshot-bootstrapped", bootstrapped_state()),
+        ("snapshot-members", with_entries(Vec::new())),
+        ("snapshot-proposed-change", with_entries(vec![propose(20, 1, None)])),
+        ("snapshot-committed-change", with_entries(vec![propose(20, 1, None), commit(2)])),
+        ("snapshot-change-on-probation", with_entries(finished_changes())),
+        ("snapshot-proposed-rollback", with_entries(rollback)),
+        ("snapshot-rolled-back", with_entries(rolled_back)),
+    ]
+}
+
+#[test]
+fn sample_snapshots_have_every_part_of_the_state() {
+    let named = |name: &str| snapshots().into_iter().find(|sample| sample.0 == name).unwrap().1;
+    let members = named("snapshot-members");
+    assert_eq!((members.voters.len(), members.leaving.len(), members.seats.len()), (2, 1, 2));
+    assert_eq!((members.roll.listed().len(), members.roll.possible(), members.clocks.len()), (3, 3, 3));
+    assert!(named("snapshot-proposed-change").staged.unwrap().at.is_none());
+    assert!(named("snapshot-committed-change").staged.unwrap().at.is_some());
+    let on_probation = named("snapshot-change-on-probation");
+    assert_eq!((on_probation.probation.is_some(), on_probation.past.len()), (true, 3));
+    assert_eq!(named("snapshot-proposed-rollback").staged.unwrap().undoes, Some(3));
+    let rolled_back = named("snapshot-rolled-back");
+    assert_eq!((rolled_back.probation.is_none(), rolled_back.generation()), (true, 4));
+}
+
+// What a replica stores: its hard state, snapshot and log entries, as its writes leave them.
+
+fn terms() -> Terms {
+    Terms {
+        lease: Span::millis(1000),
+        hold_out: Span::secs(6.0),
+        bound: Span::millis(40),
+        beat: Span::millis(100),
+        drift_ppm: 200,
+    }
+}
+
+fn at(ms: u64) -> Moment {
+    Moment::at_micros(10_000_000 + ms * 1000)
+}
+
+fn start_replica(stored: Option<Kept>, ms: u64) -> Node {
+    let (name, address) = ("router-1".to_string(), "192.0.2.1:7000".to_string());
+    let own = Own { start: Start(1), name, address, location: 0, seat: Some(7), after: None };
+    let (limits, guards) = (Limits::default(), Guards::default());
+    Node::start("video-edge", own, terms(), limits, guards, Vec::new(), stored, 7, at(ms)).unwrap()
+}
+
+/// The only replica of its fleet, with its storage.
+struct Replica {
+    node: Node,
+    ms: u64,
+    stored: Kept,
+    compacted: bool,
+}
+
+impl Replica {
+    fn bootstrapped() -> Self {
+        let mut node = start_replica(None, 0);
+        node.found(at(0), sample_policy()).unwrap();
+        let mut replica = Self { node, ms: 0, stored: Kept::default(), compacted: false };
+        replica.run_for(3000);
+        replica
+    }
+
+    fn run_for(&mut self, ms: u64) {
+        let end = self.ms + ms;
+        while self.ms < end {
+            self.ms += 20;
+            self.node.tick(at(self.ms));
+            self.handle_output();
+        }
+    }
+
+    fn command(&mut self, command: Command) {
+        self.node.command(at(self.ms), command).unwrap();
+        self.handle_output();
+    }
+
+    fn handle_output(&mut self) {
+        while !self.node.is_quiet() {
+            for out in self.node.take_out() {
+                match out {
+                    Out::Write(write) => {
+                        let number = write.number;
+                        self.store(write);
+                        self.node.wrote(at(self.ms), number);
+                    }
+                    Out::Check(version) => self.node.answer(at(self.ms), version.generation, None),
+                    Out::Send { .. } | Out::Step(_) | Out::Leads(_) => {}
+                }
+            }
+        }
+    }
+
+    fn store(&mut self, write: Write) {
+        let entries = &mut self.stored.entries;
+        if let Some(hard) = write.hard {
+            self.stored.hard = hard;
+        }
+        if let Some(snapshot) = write.snapshot {
+            self.stored.snapshot = snapshot;
+            if write.cut_before.is_none() {
+                entries.clear();
+            }
+        }
+        if let Some(before) = write.cut_before {
+            entries.retain(|(index, _)| *index >= before);
+            self.compacted = true;
+        }
+        if let Some((first, _)) = write.entries.first() {
+            entries.retain(|(index, _)| index < first);
+        }
+        entries.extend(write.entries);
+    }
+}
+
+/// The request of another member to join, from that location.
+fn join(location: u16) -> Command {
+    let listed = Listed { name: "router-2".into(), location, ..sample_member(None) };
+    Command::Join { start: Start(0x1111), listed, after: None }
+}
+
+/// A replica whose log holds a member that joined and a change that took effect.
+fn replica_with_log() -> Replica {
+    let mut replica = Replica::bootstrapped();
+    replica.command(Command::Propose(sample_proposal(0xdead_beef, 1, None)));
+    replica.run_for(3000);
+    replica.command(join(300));
+    replica.run_for(500);
+    replica
+}
+
+/// A replica that has just replaced its log by a snapshot.
+fn replica_after_compaction() -> Replica {
+    let mut replica = replica_with_log();
+    for location in 0..1000 {
+        replica.command(join(location));
+        replica.run_for(20);
+        if replica.compacted {
+            return replica;
+        }
+    }
+    panic!("the log was never compacted");
+}
+
+fn replicas() -> Vec<(&'static str, Replica)> {
+    vec![("replica-with-log", replica_with_log()), ("replica-after-compaction", replica_after_compaction())]
+}
+
+fn stored_files(name: &str, stored: &Kept) -> Vec<(String, Vec<u8>)> {
+    vec![
+        (format!("{name}-hard-state"), stored.hard.clone()),
+        (format!("{name}-snapshot"), stored.snapshot.clone()),
+        (format!("{name}-entries"), postcard::to_stdvec(&stored.entries).unwrap()),
+    ]
+}
+
+fn recorded_storage(name: &str) -> Kept {
+    let entries = recorded(&format!("{name}-entries"));
+    Kept {
+        hard: recorded(&format!("{name}-hard-state")),
+        snapshot: recorded(&format!("{name}-snapshot")),
+        entries: postcard::from_bytes(&entries).unwrap(),
+    }
+}
+
+// The tests.
+
+fn encoded_samples() -> Vec<(String, Vec<u8>)> {
+    let messages = messages().into_iter().map(|(name, message)| (name.to_string(), message.to_bytes()));
+    let log_entries = log_entries()
+        .into_iter()
+        .map(|(name, entry)| (name.to_string(), postcard::to_stdvec(&entry).unwrap()));
+    let snapshots =
+        snapshots().into_iter().map(|(name, state)| (name.to_string(), postcard::to_stdvec(&state).unwrap()));
+    let storage = replicas().into_iter().flat_map(|(name, replica)| stored_files(name, &replica.stored));
+    messages.chain(log_entries).chain(snapshots).chain(storage).collect()
+}
+
+#[test]
+fn samples_are_encoded_as_recorded() {
+    for (name, bytes) in encoded_samples() {
+        assert!(bytes == recorded(&name), "{name}: encoded differently than recorded");
+    }
+}
+
+#[test]
+fn recorded_messages_are_decoded() {
+    for (name, message) in messages() {
+        assert_eq!(Frame::read(&recorded(name)), Ok(message), "{name}");
+    }
+}
+
+#[test]
+fn recorded_log_entries_are_decoded() {
+    for (name, entry) in log_entries() {
+        assert_eq!(postcard::from_bytes(&recorded(name)), Ok(entry), "{name}");
+    }
+}
+
+#[test]
+fn recorded_snapshots_are_decoded() {
+    for (name, state) in snapshots() {
+        assert_eq!(postcard::from_bytes(&recorded(name)), Ok(state), "{name}");
+    }
+}
+
+/// Each entry of the stored log that is committed is applied by a replica that starts from what was recorded.
+#[test]
+fn replicas_start_from_recorded_storage_with_the_same_state() {
+    for (name, replica) in replicas() {
+        let mut restarted = start_replica(Some(recorded_storage(name)), replica.ms);
+        let mut writes = restarted.take_out().into_iter();
+        assert!(writes.all(|out| !matches!(out, Out::Send { .. })), "{name}");
+        assert_eq!(restarted.agreed().generation(), 2, "{name}: the change took effect");
+        assert!(restarted.agreed().roll.has(Start(0x1111)), "{name}: the member is listed");
+        assert_eq!(restarted.agreed(), replica.node.agreed(), "{name}");
+    }
+}
+
+#[test]
+fn every_golden_file_belongs_to_a_sample() {
+    let expected: BTreeSet<String> =
+        encoded_samples().into_iter().map(|(name, _)| format!("{name}.bin")).collect();
+    let file_name = |entry: std::io::Result<fs::DirEntry>| entry.unwrap().file_name().into_string().unwrap();
+    let found: BTreeSet<String> = fs::read_dir(directory()).unwrap().map(file_name).collect();
+    assert_eq!(found, expected);
+}
+
+#[test]
+#[ignore = "replaces the golden files"]
+fn record() {
+    fs::create_dir_all(directory()).unwrap();
+    for (name, bytes) in encoded_samples() {
+        fs::write(directory().join(format!("{name}.bin")), bytes).unwrap();
+    }
+}
