--- /dev/null
+++ b/crates/policy/tests/golden.rs
@@ -0,0 +1,72 @@
+//! Golden file of the fleet's policy: every key with its declaration, and the hashes of some policies. Replicas of
+//! one fleet compare policies by hash, so a hash must be the same in every version of the program.
+//!
+//! ```sh
+//! cargo test -p tindoor-policy --test golden -- --ignored record
+//! ```
+
+use std::fmt::Write as _;
+use std::fs;
+use std::path::PathBuf;
+
+use tindoor_policy::{Policy, keys};
+
+fn file() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/policy.txt")
+}
+
+fn policy(keys: &[(&str, f64)]) -> Policy {
+    Policy::default().with(keys.iter().map(|(key, number)| (key.to_string(), *number)))
+}
+
+/// Each key at the least, or else at the most, of its bounds; those of offerings for an offering called `video`.
+fn policy_at_bounds(bound: impl Fn(&keys::Key) -> f64) -> Policy {
+    let setting = |key: &keys::Key| (key.name.replace('*', "video"), bound(key));
+    Policy::default().with(keys::KEYS.iter().map(setting))
+}
+
+fn sample_policies() -> Vec<(&'static str, Policy)> {
+    vec![
+        ("empty", Policy::default()),
+        ("one-key", policy(&[("cold_floor", 0.1)])),
+        ("zero", policy(&[("cold_floor", 0.0)])),
+        ("negative-zero", policy(&[("cold_floor", -0.0)])),
+        ("two-keys", policy(&[("cold_floor", 0.1), ("budget.origin_fills.per_s", 1250.5)])),
+        ("two-offerings", policy(&[("offering.a.fresh_ms", 5.0), ("offering.b.fresh_ms", 1e9 / 3.0)])),
+        ("all-keys-at-least", policy_at_bounds(|key| key.least)),
+        ("all-keys-at-most", policy_at_bounds(|key| key.most)),
+    ]
+}
+
+fn describe_key(key: &keys::Key) -> String {
+    let keys::Key { name, fact, unit, least, most, when, what } = key;
+    format!("key {name} | fact {fact:?} | {unit:?} | {least} to {most} | {when:?} | {what}")
+}
+
+fn described() -> String {
+    let mut text = String::new();
+    for key in keys::KEYS {
+        writeln!(text, "{}", describe_key(key)).unwrap();
+    }
+    for (name, policy) in sample_policies() {
+        let bytes = postcard::to_stdvec(&policy).unwrap();
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        writeln!(text, "policy {name} | hash {} | encoded {hex}", policy.hash()).unwrap();
+    }
+    text
+}
+
+#[test]
+fn keys_and_hashes_of_policies_are_as_recorded() {
+    let recorded = fs::read_to_string(file()).unwrap();
+    for (line, recorded) in described().lines().zip(recorded.lines()) {
+        assert_eq!(line, recorded);
+    }
+    assert_eq!(described(), recorded);
+}
+
+#[test]
+#[ignore = "replaces the golden file"]
+fn record() {
+    fs::write(file(), described()).unwrap();
+}
