--- a/crates/router/src/council.rs
+++ b/crates/router/src/council.rs
@@ -272,3 +272,7 @@
         std::thread::sleep(Duration::from_millis(100));
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/council.rs"]
+mod tests;
--- /dev/null
+++ b/crates/router/tests/unit/council.rs
@@ -0,0 +1,161 @@
+//! Golden file of the control socket: the JSON text of each request, and of answers that do not need a running
+//! fleet. In `tests/golden/control-socket.txt` each line has a name, a tab and the JSON text.
+//!
+//! ```sh
+//! cargo test -p tindoor-router -- --ignored record_control_socket
+//! ```
+
+use super::*;
+use tindoor_council::{Status, Why};
+
+fn recorded_file() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/control-socket.txt")
+}
+
+fn sample_changes() -> Changes {
+    Changes::from([("cold_floor".to_string(), Some(0.25)), ("budget.looks.per_s".to_string(), None)])
+}
+
+fn propose(from: Option<u64>) -> Ask {
+    let (by, note) = ("operator".to_string(), "raise the floor".to_string());
+    Ask::Propose { changes: sample_changes(), from, by, note }
+}
+
+fn requests() -> Vec<(&'static str, Ask)> {
+    let by = || "operator".to_string();
+    vec![
+        ("request-status", Ask::Status),
+        ("request-policy", Ask::Policy),
+        ("request-history", Ask::History),
+        ("request-quotas", Ask::Shares),
+        ("request-bootstrap", Ask::Found { like: sample_changes() }),
+        ("request-bootstrap-unchanged", Ask::Found { like: Changes::new() }),
+        ("request-propose", propose(Some(300))),
+        ("request-propose-from-current", propose(None)),
+        ("request-rollback", Ask::Undo { generation: Some(300), by: by() }),
+        ("request-rollback-current", Ask::Undo { generation: None, by: by() }),
+        ("request-withdraw", Ask::Withdraw { generation: 300 }),
+        ("request-remove-member", Ask::Forget { name: "router-1".into() }),
+        ("request-outcome", Ask::End { token: u64::MAX }),
+    ]
+}
+
+/// Requests as other clients may write them: what may be left out is left out.
+const SHORT_REQUESTS: [(&str, &str); 3] = [
+    (r#"{"found":{}}"#, "request-bootstrap-unchanged"),
+    (
+        r#"{"propose":{"changes":{"cold_floor":0.25,"budget.looks.per_s":null},"by":"operator","note":"raise the floor"}}"#,
+        "request-propose-from-current",
+    ),
+    (r#"{"undo":{"by":"operator"}}"#, "request-rollback-current"),
+];
+
+fn status(out: Option<Why>, complete: bool) -> Value {
+    let text = |text: &str| complete.then(|| text.to_string());
+    json!(Status {
+        name: "router-1".into(),
+        start: "0123456789abcdef".into(),
+        fleet: 0xfeed_f00d,
+        index: 1000,
+        generation: 300,
+        hash: "0011223344556677".into(),
+        out,
+        lease_left_ms: 900,
+        routers: 3,
+        voters: vec!["router-1".into(), "router-2".into()],
+        leader: text("router-2"),
+        clock_bound_us: complete.then_some(1500),
+        under_way: text("generation 301"),
+        on_probation: complete.then_some(300),
+    })
+}
+
+fn outcome(generation: Option<u64>, undoes: Option<u64>, end: End) -> Value {
+    let (hash, by, note) = ("0011223344556677".into(), "operator".into(), "raise the floor".into());
+    json!(Past { token: 0xdead_beef, generation, made_from: 299, hash, by, note, undoes, end })
+}
+
+fn answers() -> Vec<(&'static str, Value)> {
+    vec![
+        ("answer-status", status(None, true)),
+        ("answer-status-not-a-member", status(Some(Why::NotListed), false)),
+        ("answer-status-lease-expired", status(Some(Why::NoLease), false)),
+        ("answer-status-clock-unsynchronized", status(Some(Why::NoTime), false)),
+        ("answer-status-policy-not-applicable", status(Some(Why::Unfit), false)),
+        ("answer-outcome-rejected", outcome(None, None, End::Refused("under way".into()))),
+        ("answer-outcome-aborted", outcome(Some(300), None, End::CalledOff("withdrawn".into()))),
+        ("answer-outcome-activated", outcome(Some(300), None, End::TookHold)),
+        ("answer-outcome-rolled-back", outcome(Some(301), Some(300), End::TookHold)),
+    ]
+}
+
+/// All samples, one a line.
+fn samples() -> Vec<String> {
+    let line = |name: &str, json: String| format!("{name}\t{json}");
+    let requests = requests().into_iter().map(|(name, ask)| line(name, serde_json::to_string(&ask).unwrap()));
+    let answers = answers().into_iter().map(|(name, answer)| line(name, answer.to_string()));
+    requests.chain(answers).collect()
+}
+
+fn recorded() -> Vec<String> {
+    std::fs::read_to_string(recorded_file()).unwrap().lines().map(str::to_string).collect()
+}
+
+fn recorded_json(name: &str) -> String {
+    let prefix = format!("{name}\t");
+    let line = recorded().into_iter().find(|line| line.starts_with(&prefix));
+    line.unwrap_or_else(|| panic!("{name} is not recorded"))[prefix.len()..].to_string()
+}
+
+/// `Ask` has no equality of its own: its variant and fields as text.
+fn text(ask: &Ask) -> String {
+    format!("{ask:?}")
+}
+
+#[test]
+fn requests_and_answers_of_the_control_socket_are_written_as_recorded() {
+    assert_eq!(samples(), recorded());
+}
+
+#[test]
+fn recorded_requests_of_the_control_socket_are_parsed() {
+    for (name, ask) in requests() {
+        let parsed: Ask = serde_json::from_str(&recorded_json(name)).unwrap();
+        assert_eq!(text(&parsed), text(&ask), "{name}");
+    }
+}
+
+#[test]
+fn requests_without_optional_fields_are_parsed() {
+    for (short, name) in SHORT_REQUESTS {
+        let parsed: Ask = serde_json::from_str(short).unwrap();
+        let whole: Ask = serde_json::from_str(&recorded_json(name)).unwrap();
+        assert_eq!(text(&parsed), text(&whole), "{short}");
+    }
+}
+
+#[test]
+fn requests_with_unknown_parts_are_rejected() {
+    for request in [r#""restart""#, r#"{"withdraw":{"generation":1,"now":true}}"#, r#"{"forget":{}}"#, "{}"] {
+        assert!(serde_json::from_str::<Ask>(request).is_err(), "{request}");
+    }
+}
+
+#[test]
+fn recorded_answers_of_the_control_socket_are_parsed() {
+    for (name, answer) in answers() {
+        let json = recorded_json(name);
+        let written_again = match name.starts_with("answer-status") {
+            true => json!(serde_json::from_str::<Status>(&json).unwrap()),
+            false => json!(serde_json::from_str::<Past>(&json).unwrap()),
+        };
+        assert_eq!(written_again, answer, "{name}");
+    }
+}
+
+#[test]
+#[ignore = "replaces the golden file"]
+fn record_control_socket() {
+    std::fs::create_dir_all(recorded_file().parent().unwrap()).unwrap();
+    std::fs::write(recorded_file(), samples().join("\n") + "\n").unwrap();
+}
--- a/crates/router/tests/unit/folder.rs
+++ b/crates/router/tests/unit/folder.rs
@@ -179,3 +179,57 @@
     }
     std::fs::remove_dir_all(path).unwrap();
 }
+
+/// A replica's database file as recorded before: `record_replica_storage` writes it.
+fn recorded_storage() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replica-storage.redb")
+}
+
+/// What that file holds: the hard state and snapshot of the golden files of `tindoor-council`, and sample log entries.
+fn recorded_replica() -> Kept {
+    let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../council/tests/golden");
+    let read = |name: &str| std::fs::read(directory.join(format!("replica-with-log-{name}.bin"))).unwrap();
+    let entry = |index: u64| (index, vec![index as u8; 5]);
+    let entries = [2, 3, 255, 256, 0x0102_0304_0506].map(entry).to_vec();
+    Kept { hard: read("hard-state"), snapshot: read("snapshot"), entries }
+}
+
+/// The database file of a replica is opened, and the seat, the process before, the hard state, the snapshot and the
+/// log entries are found as they were recorded.
+#[test]
+fn recorded_replica_storage_is_opened() {
+    let path = folder("recorded");
+    std::fs::create_dir_all(&path).unwrap();
+    std::fs::copy(recorded_storage(), path.join("seat.redb")).unwrap();
+    let (open, found) = Folder::open(&path, 8, 101).unwrap();
+    assert_eq!((found.seat, found.before), (0x0123_4567_89ab_cdef, Some(0xfedc_ba98_7654_3210)));
+    assert_eq!(found.kept, Some(recorded_replica()));
+    drop(open);
+    // The process before is now this one; everything else is kept.
+    let (open, found) = Folder::open(&path, 8, 102).unwrap();
+    assert_eq!((found.seat, found.before), (0x0123_4567_89ab_cdef, Some(101)));
+    assert_eq!(found.kept, Some(recorded_replica()));
+    drop(open);
+    let names: Vec<_> = std::fs::read_dir(&path).unwrap().map(|file| file.unwrap().file_name()).collect();
+    assert_eq!(names, ["seat.redb"], "nothing was put aside as damaged");
+    std::fs::remove_dir_all(path).unwrap();
+}
+
+/// `cargo test -p tindoor-router -- --ignored record_replica_storage`
+#[test]
+#[ignore = "replaces the golden file"]
+fn record_replica_storage() {
+    let path = folder("record");
+    let (open, _) = Folder::open(&path, 0x0123_4567_89ab_cdef, 0xfedc_ba98_7654_3210).unwrap();
+    let Kept { hard, snapshot, entries } = recorded_replica();
+    let write = Write { hard: Some(hard), snapshot: Some(snapshot), entries, ..Write::default() };
+    open.write(&write).unwrap();
+    drop(open);
+    // As small as the library makes it: a new file is mostly free space.
+    let mut database = Database::open(path.join("seat.redb")).unwrap();
+    while database.compact().unwrap() {}
+    drop(database);
+    std::fs::create_dir_all(recorded_storage().parent().unwrap()).unwrap();
+    std::fs::copy(path.join("seat.redb"), recorded_storage()).unwrap();
+    std::fs::remove_dir_all(path).unwrap();
+}
