--- /dev/null
+++ b/crates/links/tests/golden.rs
@@ -0,0 +1,191 @@
+//! Golden files of signed URLs: a key set made for this test alone, and one token of each form signed by it.
+//! In `tests/golden/tokens.txt` each line has a name, a tab and the token. Signing is deterministic in every form
+//! (HMAC and Ed25519), so each token is signed again and compared; and each recorded one is verified.
+//!
+//! ```sh
+//! cargo test -p tindoor-links --test golden -- --ignored record
+//! ```
+
+use std::fs;
+use std::net::IpAddr;
+use std::path::PathBuf;
+
+use tindoor_links::claims::{Asked, Claims, Now, Refusal};
+use tindoor_links::hmac_form::{Fields, HmacForm};
+use tindoor_links::keys::{Key, KeySet};
+use tindoor_links::normal::{self, Target};
+use tindoor_links::playback::{Bounds, Playback};
+use tindoor_links::prefix::PrefixSignature;
+use tindoor_links::uri_signing::{Signed, UriSigning};
+use tindoor_links::{Format, holds};
+
+/// Unix seconds at which tokens are verified, and at which they end.
+const NOW: u64 = 1_700_000_000;
+const END: u64 = NOW + 3600;
+const BASE: &str = "https://videos.example";
+const PATH: &str = "/lessons/3/video.mp4";
+
+fn file(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+fn keys() -> KeySet {
+    KeySet::read(&fs::read(file("keys.json")).unwrap()).unwrap()
+}
+
+fn target() -> Target {
+    normal::target(PATH).unwrap()
+}
+
+fn request(target: &Target) -> Asked<'_> {
+    Asked { base: BASE, target, client: IpAddr::from([10, 1, 2, 3]) }
+}
+
+fn at(unix: u64) -> Now {
+    Now { unix_ms: unix * 1000, skew_ms: 0 }
+}
+
+fn hmac_form() -> HmacForm {
+    HmacForm { keys: vec!["hmac-key".into()] }
+}
+
+fn uri_signing() -> UriSigning {
+    UriSigning { audience: Some("edge".into()) }
+}
+
+/// The form that a token's name says.
+fn format_of(name: &str) -> Box<dyn Format> {
+    match name {
+        _ if name.starts_with("hmac") => Box::new(hmac_form()),
+        _ if name.starts_with("uri-signing") => Box::new(uri_signing()),
+        _ if name.starts_with("url-prefix") => Box::new(PrefixSignature),
+        _ => panic!("{name}: no such form"),
+    }
+}
+
+fn hmac_for_one_path(key: &Key) -> Option<String> {
+    hmac_form().sign(key, &Fields { expires: END, ..Fields::default() }, PATH)
+}
+
+fn hmac_for_patterns(key: &Key) -> Option<String> {
+    let fields = Fields {
+        not_before: Some(NOW - 60),
+        expires: END,
+        patterns: vec!["/lessons/*".into(), "/maps/?".into()],
+        client: Some("10.1.0.0/16".into()),
+        id: Some("token-1".into()),
+        data: Some("student".into()),
+    };
+    hmac_form().sign(key, &fields, PATH)
+}
+
+fn uri_claims() -> Signed {
+    Signed {
+        cdniuc: "regex:https://videos\\.example/lessons/[0-9]+/.*".into(),
+        exp: Some(END),
+        nbf: Some(NOW - 60),
+        jti: Some("token-2".into()),
+        aud: Some("edge".into()),
+        cdniip: Some("10.1.2.3".into()),
+        ..Signed::default()
+    }
+}
+
+fn link_tokens() -> Vec<(&'static str, String)> {
+    let keys = keys();
+    let [hmac, ed25519] = ["hmac-key", "ed25519-key"].map(|id| keys.key(id).unwrap());
+    let tokens = [
+        ("hmac-one-path", hmac_for_one_path(hmac)),
+        ("hmac-patterns", hmac_for_patterns(hmac)),
+        ("uri-signing-hs256", uri_signing().sign(hmac, &uri_claims())),
+        ("uri-signing-eddsa", uri_signing().sign(ed25519, &uri_claims())),
+        ("url-prefix-ed25519", PrefixSignature.sign(ed25519, "https://videos.example/lessons/", END)),
+    ];
+    tokens.map(|(name, token)| (name, token.unwrap())).to_vec()
+}
+
+/// What a token says, once its signature, key, time and scope are verified.
+fn verify(name: &str, token: &str, now: Now) -> Result<Claims, Refusal> {
+    let (keys, target) = (keys(), target());
+    let claims = format_of(name).check(token, &keys, &request(&target))?;
+    holds(&claims, &keys, now)?;
+    claims.judge(&request(&target), now)?;
+    Ok(claims)
+}
+
+/// The tokens of a playback session that begins with the first link: its first renewal and the next.
+fn session_tokens() -> Vec<(&'static str, String)> {
+    let (keys, target) = (keys(), target());
+    let (name, link) = link_tokens().swap_remove(0);
+    let claims = verify(name, &link, at(NOW)).unwrap();
+    let first = Playback::begin(&claims, &request(&target), at(NOW), &Bounds::default()).unwrap();
+    let next = first.next(at(NOW + 10), &Bounds::default()).unwrap();
+    vec![
+        ("session-first", first.sign(&keys, at(NOW)).unwrap()),
+        ("session-next", next.sign(&keys, at(NOW + 10)).unwrap()),
+    ]
+}
+
+fn tokens_file() -> String {
+    let line = |(name, token): (&str, String)| format!("{name}\t{token}\n");
+    link_tokens().into_iter().chain(session_tokens()).map(line).collect()
+}
+
+fn recorded_tokens() -> Vec<(String, String)> {
+    let text = fs::read_to_string(file("tokens.txt")).unwrap();
+    let line = |line: &str| line.split_once('\t').map(|(name, token)| (name.to_string(), token.to_string()));
+    text.lines().map(|text| line(text).unwrap()).collect()
+}
+
+#[test]
+fn tokens_are_signed_as_recorded() {
+    assert_eq!(tokens_file(), fs::read_to_string(file("tokens.txt")).unwrap());
+}
+
+#[test]
+fn recorded_link_tokens_are_verified_until_they_expire() {
+    let links = recorded_tokens().into_iter().filter(|(name, _)| !name.starts_with("session"));
+    let mut verified = 0;
+    for (name, token) in links {
+        let claims = verify(&name, &token, at(NOW)).unwrap();
+        assert_eq!(claims.expires, Some(END), "{name}");
+        assert_eq!(verify(&name, &token, at(END)).unwrap_err(), Refusal::Lapsed(0), "{name}");
+        verified += 1;
+    }
+    assert_eq!(verified, 5);
+}
+
+#[test]
+fn recorded_session_tokens_are_verified() {
+    let (keys, target) = (keys(), target());
+    let sessions = recorded_tokens().into_iter().filter(|(name, _)| name.starts_with("session"));
+    let mut verified = 0;
+    for (name, token) in sessions {
+        let session = Playback::check(&token, &keys, &request(&target), at(NOW + 10)).unwrap();
+        assert_eq!(session.path(), "/lessons/3/", "{name}");
+        verified += 1;
+    }
+    assert_eq!(verified, 2);
+}
+
+#[test]
+fn recorded_keys_are_read() {
+    let keys = keys();
+    let described: Vec<String> = keys.iter().map(|key| format!("{key:?} signs {}", key.signs)).collect();
+    assert_eq!(
+        described,
+        [
+            "Key(\"ed25519-key\", EdDSA, 0 to 18446744073709551615) signs true",
+            "Key(\"ed25519-public-key\", EdDSA, 0 to 18446744073709551615) signs false",
+            "Key(\"hmac-key\", HS256, 1600000000 to 1800000000) signs true",
+            "Key(\"p256-public-key\", ES256, 0 to 1900000000) signs false",
+        ]
+    );
+    assert!(keys.key("revoked-key").is_none() && keys.is_revoked("hmac-key", Some("revoked-token")));
+}
+
+#[test]
+#[ignore = "replaces the golden file"]
+fn record() {
+    fs::write(file("tokens.txt"), tokens_file()).unwrap();
+}
