--- /dev/null
+++ b/crates/benchlink/tests/recorder/mod.rs
@@ -0,0 +1,111 @@
+//! Records golden files: runs each scenario's simulated fleet against the binary and writes what passed.
+
+mod frames;
+mod scenarios;
+mod settings;
+mod world;
+
+use std::collections::BTreeMap;
+use std::io::{Read, Write};
+use std::path::Path;
+use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
+
+/// The names of all scenarios; each has a pair of files.
+pub fn names() -> Vec<&'static str> {
+    scenarios::all().iter().map(|scenario| scenario.name).collect()
+}
+
+/// Records every scenario, prints what occurred in each, and checks that together they cover the wire.
+pub fn record_all(binary: &str, directory: &Path) {
+    let mut total = Counts::default();
+    for scenario in scenarios::all() {
+        let name = scenario.name;
+        let mut adapter = Adapter::start(binary);
+        let counts = world::run(scenario, &mut adapter);
+        let (input, output) = adapter.finish();
+        println!("{name}: {} bytes in, {} bytes out\n{}", input.len(), output.len(), counts.text());
+        std::fs::write(directory.join(format!("{name}.in")), input).expect("input is written");
+        std::fs::write(directory.join(format!("{name}.out")), output).expect("output is written");
+        counts.0.into_iter().for_each(|(what, count)| total.add(what, count));
+    }
+    println!("all together\n{}", total.text());
+    let missing: Vec<String> = wanted().into_iter().filter(|what| !total.0.contains_key(what)).collect();
+    assert!(missing.is_empty(), "never occurred: {missing:?}");
+}
+
+/// What must occur at least once in all scenarios together.
+fn wanted() -> Vec<String> {
+    let actions = [
+        "look",
+        "read",
+        "cancel",
+        "reject with retry-after",
+        "reject without retry-after",
+        "fail",
+        "timer",
+        "watch",
+    ];
+    let verdicts = (1..=9).map(|verdict| format!("verdict {:02}", verdict * 10));
+    let notes = (0..=10).map(|note| format!("note {note:02}"));
+    let events = (1..=11).map(|code| format!("event {code:02}"));
+    actions
+        .map(|name| format!("action {name}"))
+        .into_iter()
+        .chain(verdicts)
+        .chain(notes)
+        .chain(events)
+        .collect()
+}
+
+/// How often each kind of thing occurred.
+#[derive(Default)]
+pub struct Counts(BTreeMap<String, usize>);
+
+impl Counts {
+    pub fn add(&mut self, what: String, count: usize) {
+        *self.0.entry(what).or_default() += count;
+    }
+
+    fn text(&self) -> String {
+        let entries: Vec<String> = self.0.iter().map(|(what, count)| format!("{what}: {count}")).collect();
+        format!("  {}", entries.join(", "))
+    }
+}
+
+/// The binary as a running process, and all bytes that passed.
+pub struct Adapter {
+    process: Child,
+    stdin: ChildStdin,
+    stdout: ChildStdout,
+    input: Vec<u8>,
+    output: Vec<u8>,
+}
+
+impl Adapter {
+    fn start(binary: &str) -> Self {
+        let mut process =
+            Command::new(binary).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().expect("binary starts");
+        let stdin = process.stdin.take().expect("input is piped");
+        let stdout = process.stdout.take().expect("output is piped");
+        Self { process, stdin, stdout, input: Vec::new(), output: Vec::new() }
+    }
+
+    /// Sends a batch and waits for the reply's actions.
+    pub fn exchange(&mut self, batch: &[u8]) -> Vec<u8> {
+        self.stdin.write_all(batch).expect("binary takes the batch");
+        self.input.extend(batch);
+        let mut length = [0; 4];
+        self.stdout.read_exact(&mut length).expect("binary replies");
+        let mut reply = vec![0; u32::from_le_bytes(length) as usize];
+        self.stdout.read_exact(&mut reply).expect("reply is whole");
+        self.output.extend(length);
+        self.output.extend(&reply);
+        reply
+    }
+
+    fn finish(mut self) -> (Vec<u8>, Vec<u8>) {
+        drop(self.stdin);
+        assert!(self.process.wait().expect("binary ends").success());
+        (self.input, self.output)
+    }
+}
--- /dev/null
+++ b/crates/benchlink/tests/recorder/world.rs
@@ -0,0 +1,789 @@
+//! A small simulated fleet in virtual time: clients, caches, parents, an origin and the discovery service.
+//!
+//! It plays the simulator's part towards the binary. It is as rough as it may be: its answers need only be
+//! legal on the wire, plausible enough that the router's state develops, and the same in every run.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+
+use super::frames::{self, Action, Address, Asked, Entry, Outcome};
+use super::scenarios::{Incident, Scenario, Target};
+use super::settings::{CACHE_KIND, ORIGIN_KIND, PARENT_KIND};
+use super::{Adapter, Counts};
+
+const MILLISECOND: u64 = 1_000;
+const SECOND: u64 = 1_000_000;
+/// The clock's origin is arbitrary.
+const START: u64 = 1_000 * SECOND;
+/// All events are moved to the next multiple of this.
+const TICK: u64 = 2 * MILLISECOND;
+
+/// Pseudo-random numbers (SplitMix64).
+struct Random(u64);
+
+impl Random {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut x = self.0;
+        x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        x = (x ^ (x >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        x ^ (x >> 31)
+    }
+
+    /// From 0 to 1.
+    fn unit(&mut self) -> f64 {
+        (self.next() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    fn chance(&mut self, probability: f64) -> bool {
+        self.unit() < probability
+    }
+
+    fn below(&mut self, end: u64) -> u64 {
+        self.next() % end
+    }
+
+    fn pick<T: Copy>(&mut self, values: &[T]) -> T {
+        values[self.below(values.len() as u64) as usize]
+    }
+}
+
+/// How a server behaves.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Condition {
+    Healthy,
+    /// Takes this many times as long.
+    Slow(f64),
+    /// Answers that share of requests with an error.
+    Failing(f64),
+    /// Answers that share of requests with "full".
+    Full(f64),
+    /// Takes requests and answers none.
+    Hung,
+    /// Drops the connection while it works.
+    Resetting,
+    /// Takes no connection.
+    Down,
+}
+
+struct Server {
+    entry: Entry,
+    condition: Condition,
+    in_hand: u32,
+}
+
+struct Instance {
+    zone: u8,
+    life: u32,
+    subscribed: bool,
+    /// The entries that it was told last, by server.
+    told: Vec<Option<Entry>>,
+}
+
+struct Attempt {
+    ticket: u64,
+    number: u16,
+    server: usize,
+    sent: u64,
+    ended: bool,
+    streaming: bool,
+}
+
+struct Request {
+    who: u32,
+    life: u32,
+    asked: Asked,
+    deadline: u64,
+    tries: u32,
+    finished: bool,
+    attempts: Vec<usize>,
+}
+
+/// How an attempt is going to end.
+struct Ending {
+    verdict: u8,
+    note: u32,
+    took: u64,
+    first_byte: u64,
+}
+
+enum Event {
+    Arrival,
+    Retry { who: u32, asked: Asked, tries: u32 },
+    Left { ticket: u64 },
+    Deadline { ticket: u64 },
+    StreamStart { attempt: usize },
+    AttemptEnd { attempt: usize, verdict: u8, note: u32, first_byte: u64 },
+    Timer { who: u32, life: u32, cookie: u32 },
+    News { who: u32, life: u32 },
+    WatchAnswer { who: u32, life: u32 },
+    Incident(Incident),
+}
+
+struct World {
+    scenario: Scenario,
+    random: Random,
+    now: u64,
+    sequence: u64,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// How many timers are due, by time, instance and its life.
+    timers: BTreeMap<(u64, u32, u32), u32>,
+    events: BTreeMap<u64, Event>,
+    servers: Vec<Server>,
+    instances: Vec<Instance>,
+    requests: BTreeMap<u64, Request>,
+    attempts: Vec<Attempt>,
+    last_ticket: u64,
+    rate: f64,
+    fills: u32,
+    origin_fills: u32,
+    /// Which server holds a copy of which object's part.
+    copies: BTreeSet<(usize, u64, u32)>,
+    version: u64,
+    purges: Vec<(u64, u64, u16)>,
+    /// The records of the batch being built.
+    records: Vec<Vec<u8>>,
+    counts: Counts,
+}
+
+/// Runs a scenario against the binary to its end.
+pub fn run(scenario: Scenario, adapter: &mut Adapter) -> Counts {
+    let mut world = World::new(scenario);
+    world.exchange(adapter);
+    world.start_instances();
+    world.exchange(adapter);
+    world.schedule(TICK, Event::Arrival);
+    for (at, incident) in world.scenario.incidents.clone() {
+        world.schedule(at * MILLISECOND, Event::Incident(incident));
+    }
+    // Some seconds more, for what is out; timers could go on for longer.
+    let end = START + world.scenario.duration * MILLISECOND + 8 * SECOND;
+    while let Some(&Reverse((at, _))) = world.queue.peek().filter(|next| next.0.0 < end) {
+        world.now = at;
+        while let Some(&Reverse((_, key))) = world.queue.peek().filter(|next| next.0.0 == at) {
+            world.queue.pop();
+            let event = world.events.remove(&key).expect("event is scheduled");
+            world.take(event);
+        }
+        world.exchange(adapter);
+    }
+    world.counts
+}
+
+impl World {
+    fn new(scenario: Scenario) -> Self {
+        let random = Random(scenario.seed);
+        let rate = scenario.requests_per_second;
+        let instances = scenario.zones.iter().map(|zone| Instance {
+            zone: *zone,
+            life: 0,
+            subscribed: scenario.settings.registry_mode == "pushed",
+            told: Vec::new(),
+        });
+        let mut world = Self {
+            instances: instances.collect(),
+            scenario,
+            random,
+            now: START,
+            sequence: 0,
+            queue: BinaryHeap::new(),
+            timers: BTreeMap::new(),
+            events: BTreeMap::new(),
+            servers: Vec::new(),
+            requests: BTreeMap::new(),
+            attempts: Vec::new(),
+            last_ticket: 1 << 40,
+            rate,
+            fills: 0,
+            origin_fills: 0,
+            copies: BTreeSet::new(),
+            version: 1,
+            purges: Vec::new(),
+            records: Vec::new(),
+            counts: Counts::default(),
+        };
+        world.add_servers();
+        world
+    }
+
+    fn add_servers(&mut self) {
+        for zone in [1, 2] {
+            (0..self.scenario.caches_per_zone).for_each(|_| self.add_server(CACHE_KIND, zone));
+        }
+        if self.scenario.settings.parents {
+            (0..self.scenario.parents).for_each(|_| self.add_server(PARENT_KIND, 0));
+        }
+        self.add_server(ORIGIN_KIND, 0);
+    }
+
+    fn add_server(&mut self, kind: u8, zone: u8) {
+        let number = self.servers.len() as u8;
+        let port = (8000 + self.random.below(1000) as u16).to_le_bytes();
+        let address = [10, zone, number, self.random.below(250) as u8, port[0], port[1]];
+        let size = match kind {
+            CACHE_KIND => self.random.pick(&[1.0, 1.0, 2.0]),
+            PARENT_KIND => 4.0,
+            _ => 8.0,
+        };
+        let cell = u16::from(zone) * 10 + u16::from(number % 2);
+        let entry = Entry { state: frames::READY, address, started: 0, zone, size, kind, cell };
+        self.servers.push(Server { entry, condition: Condition::Healthy, in_hand: 0 });
+    }
+
+    fn schedule(&mut self, after: u64, event: Event) {
+        let at = (self.now + after.max(1)).div_ceil(TICK) * TICK;
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence)));
+        self.events.insert(self.sequence, event);
+    }
+
+    fn record(&mut self, record: Vec<u8>) {
+        self.counts.add(format!("event {:02}", record[0]), 1);
+        self.records.push(record);
+    }
+
+    /// Sends the batch and reacts to the actions that come back.
+    fn exchange(&mut self, adapter: &mut Adapter) {
+        let records = std::mem::take(&mut self.records);
+        let reply = adapter.exchange(&frames::batch(self.now, &records));
+        for (who, action) in frames::actions(&reply) {
+            self.act(who, action);
+        }
+    }
+
+    // Instances and discovery.
+
+    fn start_instances(&mut self) {
+        (0..self.instances.len() as u32).for_each(|who| self.spawn(who));
+    }
+
+    fn spawn(&mut self, who: u32) {
+        let instance = &mut self.instances[who as usize];
+        instance.subscribed = self.scenario.settings.registry_mode == "pushed";
+        let (seed, zone) = (self.random.next(), instance.zone);
+        let settings = self.scenario.settings.json(zone);
+        self.record(frames::spawn(who, seed, &settings));
+        self.tell_list(who, frames::CACHED);
+        let gone_everywhere = self.scenario.settings.gone_everywhere;
+        for (at, object, group) in self.purges.clone() {
+            if self.now - at < gone_everywhere {
+                self.record(frames::struck_out(who, object, group, self.now - at));
+            }
+        }
+    }
+
+    fn respawn(&mut self, who: u32) {
+        self.record(frames::destroy(who));
+        self.instances[who as usize].life += 1;
+        self.spawn(who);
+    }
+
+    fn is_alive(&self, who: u32, life: u32) -> bool {
+        self.instances[who as usize].life == life
+    }
+
+    /// Sends the whole list.
+    fn tell_list(&mut self, who: u32, form: u8) {
+        let entries: Vec<Entry> = self.servers.iter().map(|server| server.entry).collect();
+        self.instances[who as usize].told = entries.iter().copied().map(Some).collect();
+        let present: Vec<Entry> = entries.into_iter().filter(|entry| entry.state != frames::GONE).collect();
+        self.record(frames::directory_update(who, form, self.version, &present));
+    }
+
+    /// Sends what changed since the instance was told last.
+    fn tell_changes(&mut self, who: u32) {
+        let told = &mut self.instances[who as usize].told;
+        told.resize(self.servers.len(), None);
+        let mut changed = Vec::new();
+        for (server, told) in self.servers.iter().zip(told) {
+            if *told != Some(server.entry) {
+                *told = Some(server.entry);
+                changed.push(server.entry);
+            }
+        }
+        self.record(frames::directory_update(who, frames::CHANGES, self.version, &changed));
+    }
+
+    fn list_changed(&mut self) {
+        self.version += 1;
+        for who in 0..self.instances.len() as u32 {
+            let delay = 10 * MILLISECOND + self.random.below(150 * MILLISECOND);
+            let life = self.instances[who as usize].life;
+            self.schedule(delay, Event::News { who, life });
+        }
+    }
+
+    fn answer_watch(&mut self, who: u32) {
+        if self.random.chance(self.scenario.watch_failures) {
+            return self.record(frames::directory_update(who, frames::FAILED, self.version, &[]));
+        }
+        self.instances[who as usize].subscribed = true;
+        match self.random.chance(0.3) {
+            true => self.tell_list(who, frames::WHOLE),
+            false => self.tell_changes(who),
+        }
+    }
+
+    // Events.
+
+    fn take(&mut self, event: Event) {
+        match event {
+            Event::Arrival => self.arrive(),
+            Event::Retry { who, asked, tries } => self.request(who, asked, tries),
+            Event::Left { ticket } | Event::Deadline { ticket } => self.abort(ticket),
+            Event::StreamStart { attempt } => self.start_stream(attempt),
+            Event::AttemptEnd { attempt, verdict, note, first_byte } => {
+                self.end_attempt(attempt, verdict, note, first_byte);
+            }
+            Event::Timer { who, life, cookie } if self.is_alive(who, life) => {
+                self.record(frames::elapsed(who, cookie));
+            }
+            Event::News { who, life } if self.is_alive(who, life) => {
+                if self.instances[who as usize].subscribed {
+                    self.tell_changes(who);
+                }
+            }
+            Event::WatchAnswer { who, life } if self.is_alive(who, life) => self.answer_watch(who),
+            Event::Timer { .. } | Event::News { .. } | Event::WatchAnswer { .. } => {}
+            Event::Incident(incident) => self.happen(incident),
+        }
+    }
+
+    fn happen(&mut self, incident: Incident) {
+        match incident {
+            Incident::Condition(target, condition) => {
+                for server in self.targets(target) {
+                    self.servers[server].condition = condition;
+                }
+            }
+            Incident::State(target, state) => {
+                self.change_entries(target, |entry| entry.state = state);
+            }
+            Incident::Size(target, size) => self.change_entries(target, |entry| entry.size = size),
+            Incident::Restart(target) => self.restart(target),
+            Incident::Replace(target) => {
+                for server in self.targets(target) {
+                    let entry = self.servers[server].entry;
+                    self.servers[server].entry.state = frames::GONE;
+                    self.servers[server].condition = Condition::Down;
+                    self.add_server(entry.kind, entry.zone);
+                    let added = self.servers.last_mut().expect("server was added");
+                    added.entry.started = self.now;
+                }
+                self.list_changed();
+            }
+            Incident::WholeList => {
+                self.version += 1;
+                (0..self.instances.len() as u32).for_each(|who| self.tell_list(who, frames::WHOLE));
+            }
+            Incident::SubscriptionLost(who) => {
+                self.instances[who as usize].subscribed = false;
+                self.record(frames::directory_update(who, frames::FAILED, self.version, &[]));
+            }
+            Incident::PurgeObject(object) => self.purge(object, 0),
+            Incident::PurgeGroup(group) => self.purge(0, group),
+            Incident::Rate(rate) => self.rate = rate,
+            Incident::RestartInstance(who) => self.respawn(who),
+            Incident::UnknownClass(who) => {
+                let mut asked = self.draw_request();
+                asked.class = self.scenario.settings.classes.len() as u16;
+                self.request(who, asked, 9);
+            }
+            Incident::SideNews(who) => {
+                let server = self.servers[0].entry.address;
+                self.record(frames::checked(who, server, 10, 700));
+                self.record(frames::checked(who, server, 50, 400_000));
+                self.record(frames::from_peer(who, 1, b"load 3"));
+            }
+        }
+    }
+
+    fn targets(&self, target: Target) -> Vec<usize> {
+        let present = |kind: u8, zone: u8| -> Vec<usize> {
+            let servers = self.servers.iter().enumerate();
+            let fits = servers.filter(|(_, server)| {
+                let entry = server.entry;
+                entry.kind == kind && entry.zone == zone && entry.state != frames::GONE
+            });
+            fits.map(|(index, _)| index).collect()
+        };
+        match target {
+            Target::Cache(zone, nth) => present(CACHE_KIND, zone).get(nth).copied().into_iter().collect(),
+            Target::Caches(zone) => present(CACHE_KIND, zone),
+            Target::Parent(nth) => present(PARENT_KIND, 0).get(nth).copied().into_iter().collect(),
+            Target::Parents => present(PARENT_KIND, 0),
+            Target::Origin => present(ORIGIN_KIND, 0),
+        }
+    }
+
+    fn change_entries(&mut self, target: Target, change: impl Fn(&mut Entry)) {
+        for server in self.targets(target) {
+            change(&mut self.servers[server].entry);
+        }
+        self.list_changed();
+    }
+
+    fn restart(&mut self, target: Target) {
+        let now = self.now;
+        for index in self.targets(target) {
+            let server = &mut self.servers[index];
+            server.entry.started = now;
+            server.entry.state = frames::READY;
+            server.condition = Condition::Healthy;
+            self.copies.retain(|copy| copy.0 != index);
+        }
+        self.list_changed();
+    }
+
+    fn purge(&mut self, object: u64, group: u16) {
+        self.purges.push((self.now, object, group));
+        self.copies.retain(|copy| match object {
+            0 => group_of(copy.1) != group,
+            object => copy.1 != object,
+        });
+        for who in 0..self.instances.len() as u32 {
+            let ago = self.random.below(20 * MILLISECOND);
+            self.record(frames::struck_out(who, object, group, ago));
+        }
+    }
+
+    // Clients.
+
+    fn arrive(&mut self) {
+        if self.now >= START + self.scenario.duration * MILLISECOND {
+            return;
+        }
+        let asked = self.draw_request();
+        let who = self.random.below(self.instances.len() as u64) as u32;
+        self.request(who, asked, 0);
+        let gap = -(1.0 - self.random.unit()).ln() / self.rate;
+        self.schedule((gap * SECOND as f64) as u64, Event::Arrival);
+    }
+
+    fn draw_request(&mut self) -> Asked {
+        // A few objects are asked for much more often than the others.
+        let object = 1 + (self.random.unit().powi(3) * self.scenario.objects as f64) as u64;
+        let part = self.random.below(2) as u32;
+        let kb = match self.scenario.sizes_told {
+            true => 10.0 + (mixed(object, part) % 190) as f32,
+            false => 0.0,
+        };
+        Asked { object, part, group: group_of(object), class: self.draw_class(), kb, marks: 0 }
+    }
+
+    fn draw_class(&mut self) -> u16 {
+        let classes = &self.scenario.settings.classes;
+        let mut lot = self.random.unit() * classes.iter().map(|class| class.share).sum::<f64>();
+        for (number, class) in classes.iter().enumerate() {
+            lot -= class.share;
+            if lot < 0.0 {
+                return number as u16;
+            }
+        }
+        0
+    }
+
+    fn request(&mut self, who: u32, asked: Asked, tries: u32) {
+        self.last_ticket += 1 + self.random.below(5);
+        let ticket = self.last_ticket;
+        let classes = &self.scenario.settings.classes;
+        let longest = classes.get(usize::from(asked.class)).map_or(SECOND, |class| class.deadline);
+        let grace = match self.random.chance(0.02) {
+            true => self.random.below(30 * MILLISECOND),
+            false => longest / (1 + u64::from(tries.min(2))),
+        };
+        self.record(frames::ingress(who, ticket, &asked, grace));
+        let life = self.instances[who as usize].life;
+        let (deadline, attempts) = (self.now + grace, Vec::new());
+        self.requests
+            .insert(ticket, Request { who, life, asked, deadline, tries, finished: false, attempts });
+        self.schedule(grace + TICK, Event::Deadline { ticket });
+        if self.random.chance(0.05) {
+            let leaves_after = self.random.below(grace.clamp(1, 300 * MILLISECOND));
+            self.schedule(leaves_after, Event::Left { ticket });
+        }
+    }
+
+    /// The client goes away.
+    fn abort(&mut self, ticket: u64) {
+        let request = self.requests.get_mut(&ticket).expect("request was sent");
+        let alive = self.instances[request.who as usize].life == request.life;
+        if !alive || request.finished {
+            return;
+        }
+        request.finished = true;
+        let who = request.who;
+        self.counts.add("client left".to_string(), 1);
+        self.record(frames::aborted(who, ticket));
+    }
+
+    // Actions.
+
+    fn act(&mut self, who: u32, action: Action) {
+        let name = match &action {
+            Action::Look { .. } => "look",
+            Action::Read { .. } => "read",
+            Action::Cancel { .. } => "cancel",
+            Action::Reject { retry_after: 0, .. } => "reject without retry-after",
+            Action::Reject { .. } => "reject with retry-after",
+            Action::Fail { .. } => "fail",
+            Action::SetTimer { .. } => "timer",
+            Action::Watch => "watch",
+        };
+        self.counts.add(format!("action {name}"), 1);
+        let life = self.instances[who as usize].life;
+        match action {
+            Action::Look { ticket, wait, server } => self.dispatch(ticket, wait, server, None),
+            Action::Read { ticket, wait, server, source, only_held, rank } => {
+                self.dispatch(ticket, wait, server, Some((source, only_held, rank)));
+            }
+            Action::Cancel { ticket, attempt } => self.cancel(ticket, attempt),
+            Action::Reject { ticket, retry_after } => self.finish(ticket, Some(retry_after)),
+            Action::Fail { ticket } => self.finish(ticket, None),
+            Action::SetTimer { wait, cookie } => self.set_timer(who, life, wait, cookie),
+            Action::Watch => {
+                let delay = 20 * MILLISECOND + self.random.below(60 * MILLISECOND);
+                self.schedule(delay, Event::WatchAnswer { who, life });
+            }
+        }
+    }
+
+    /// Timers of an instance beyond a few in one tick are left out: every timer that goes off is followed
+    /// by another, and the files would hold little else.
+    fn set_timer(&mut self, who: u32, life: u32, wait: u32, cookie: u32) {
+        let due = (self.now + u64::from(wait.max(1))).div_ceil(TICK) * TICK;
+        let timers = self.timers.entry((due, who, life)).or_default();
+        *timers += 1;
+        if *timers <= self.scenario.timers_per_tick {
+            self.schedule(wait.into(), Event::Timer { who, life, cookie });
+        }
+    }
+
+    /// The instance gave its final answer; some clients come back.
+    fn finish(&mut self, ticket: u64, retry_after: Option<u32>) {
+        let request = self.requests.get_mut(&ticket).expect("request was sent");
+        request.finished = true;
+        let (who, tries, mut asked) = (request.who, request.tries + 1, request.asked);
+        if tries <= 3 && self.random.chance(0.7) {
+            asked.marks = 2;
+            let pause = 50 * MILLISECOND + u64::from(retry_after.unwrap_or(100_000));
+            self.schedule(pause, Event::Retry { who, asked, tries });
+        }
+    }
+
+    fn cancel(&mut self, ticket: u64, number: u16) {
+        let index = self.requests[&ticket].attempts[usize::from(number)];
+        if !self.attempts[index].streaming {
+            self.schedule(TICK, Event::AttemptEnd { attempt: index, verdict: 70, note: 0, first_byte: 0 });
+        }
+    }
+
+    // Attempts.
+
+    fn server(&self, address: Address) -> usize {
+        let found = self.servers.iter().position(|server| server.entry.address == address);
+        found.expect("server was listed")
+    }
+
+    fn dispatch(&mut self, ticket: u64, wait: u32, server: Address, terms: Option<(Address, bool, u8)>) {
+        let server = self.server(server);
+        let source = terms.map(|(source, only_held, _)| (self.server(source), only_held));
+        let keep = terms.is_some_and(|terms| terms.2 > 0);
+        let attempt = self.attempts.len();
+        let request = self.requests.get_mut(&ticket).expect("request was sent");
+        let number = request.attempts.len() as u16;
+        request.attempts.push(attempt);
+        let (asked, left) = (request.asked, request.deadline.saturating_sub(self.now));
+        let over = request.finished;
+        let sent = self.now;
+        self.attempts.push(Attempt { ticket, number, server, sent, ended: false, streaming: false });
+        self.servers[server].in_hand += 1;
+        let mut ending = match over {
+            true => Ending { verdict: 80, note: 0, took: 0, first_byte: 0 },
+            false => self.draw_ending(server, source, &asked, keep),
+        };
+        let limit = match wait {
+            0 => left,
+            wait => left.min(wait.into()),
+        };
+        if ending.took > limit {
+            ending = Ending { verdict: 40, note: 0, took: limit, first_byte: 0 };
+        }
+        self.counts.add(format!("verdict {:02}", ending.verdict), 1);
+        let stream = self.scenario.settings.classes[usize::from(asked.class)].stream;
+        if stream && ending.verdict == 10 {
+            self.schedule(ending.took / 2, Event::StreamStart { attempt });
+        }
+        let Ending { verdict, note, took, first_byte } = ending;
+        self.schedule(took, Event::AttemptEnd { attempt, verdict, note, first_byte });
+    }
+
+    fn draw_ending(
+        &mut self,
+        server: usize,
+        source: Option<(usize, bool)>,
+        asked: &Asked,
+        keep: bool,
+    ) -> Ending {
+        if self.random.chance(self.scenario.noise) {
+            return self.draw_noise();
+        }
+        let quick = 2 * MILLISECOND + self.random.below(8 * MILLISECOND);
+        let end = |verdict, note, took| Ending { verdict, note, took, first_byte: 0 };
+        let mut slowness = 1.0;
+        match self.servers[server].condition {
+            Condition::Healthy => {}
+            Condition::Slow(factor) => slowness = factor,
+            Condition::Failing(share) if self.random.chance(share) => return end(20, 0, quick),
+            Condition::Full(share) if self.random.chance(share) => return end(30, 0, quick),
+            Condition::Failing(_) | Condition::Full(_) => {}
+            Condition::Hung => return end(10, 1, 100 * SECOND),
+            Condition::Resetting => return end(60, 0, quick),
+            Condition::Down => return end(50, 0, quick),
+        }
+        let sending = self.sending_time(server, asked) * slowness;
+        let sending = quick + sending as u64;
+        let runs_there = self.servers[server].entry.kind == ORIGIN_KIND;
+        let held = self.random.chance(self.scenario.held_anyway);
+        if runs_there || held || self.copies.contains(&(server, asked.object, asked.part)) {
+            let note = if runs_there { 3 } else { self.random.pick(&[1, 1, 1, 1, 4, 5]) };
+            return end(10, note, sending);
+        }
+        match source.filter(|(source, _)| *source != server) {
+            None => end(90, self.random.pick(&[0, 0, 4]), quick),
+            Some((source, only_held)) => self.fill(server, source, only_held, asked, keep, sending),
+        }
+    }
+
+    /// How long the sending takes with what the server has in hand.
+    fn sending_time(&mut self, server: usize, asked: &Asked) -> f64 {
+        let kb = 10.0 + (mixed(asked.object, asked.part) % 190) as f64;
+        let alone = kb / self.scenario.settings.client_kb_per_s;
+        let Server { entry, in_hand, .. } = &self.servers[server];
+        let crowding = f64::from(*in_hand) / (8.0 * f64::from(entry.size));
+        alone * crowding.max(1.0) * (0.9 + 0.2 * self.random.unit()) * SECOND as f64
+    }
+
+    /// The cache fills its miss from a source.
+    fn fill(
+        &mut self,
+        server: usize,
+        source: usize,
+        only_held: bool,
+        asked: &Asked,
+        keep: bool,
+        sending: u64,
+    ) -> Ending {
+        let quick = 4 * MILLISECOND + self.random.below(10 * MILLISECOND);
+        let copy = (source, asked.object, asked.part);
+        let at_origin = self.servers[source].entry.kind == ORIGIN_KIND;
+        let far = at_origin || !self.copies.contains(&copy);
+        if far && only_held {
+            return Ending { verdict: 90, note: 8, took: quick, first_byte: quick };
+        }
+        let (mut trouble, mut slowness) = (None, 1.0);
+        let mut way = vec![source];
+        if far && !at_origin {
+            way.extend(self.targets(Target::Origin));
+        }
+        for server in way {
+            let parent = server == source && !at_origin;
+            let note = |of_parent: u32| if parent { of_parent } else { 10 };
+            match self.servers[server].condition {
+                Condition::Healthy => {}
+                Condition::Slow(factor) => slowness *= factor,
+                Condition::Failing(share) if self.random.chance(share) => trouble = Some((20, note(6))),
+                Condition::Full(share) if self.random.chance(share) => trouble = Some((30, note(6))),
+                Condition::Failing(_) | Condition::Full(_) => {}
+                Condition::Hung => slowness *= 1000.0,
+                Condition::Resetting => trouble = Some((20, note(7))),
+                Condition::Down => trouble = Some((30, note(7))),
+            }
+        }
+        if let Some((verdict, note)) = trouble {
+            return Ending { verdict, note, took: quick, first_byte: quick };
+        }
+        let (in_hand, room, least) = match far {
+            true => (self.origin_fills, 12.0, 60.0),
+            false => (self.fills, 24.0, 15.0),
+        };
+        if f64::from(in_hand) > 6.0 * room {
+            return Ending { verdict: 30, note: 9, took: quick, first_byte: quick };
+        }
+        let waited = least * slowness * (f64::from(in_hand) / room).max(1.0) * (0.7 + self.random.unit());
+        let first_byte = (waited * MILLISECOND as f64) as u64;
+        self.fills += u32::from(!far);
+        self.origin_fills += u32::from(far);
+        if keep {
+            self.copies.insert((server, asked.object, asked.part));
+            self.copies.insert(copy);
+        }
+        Ending { verdict: 10, note: if far { 3 } else { 2 }, took: sending + first_byte, first_byte }
+    }
+
+    /// An ending that nothing here accounts for.
+    fn draw_noise(&mut self) -> Ending {
+        let verdict = self.random.pick(&[10, 20, 20, 30, 30, 40, 50, 60, 60, 70, 80, 90]);
+        let notes: &[u32] = match verdict {
+            10 => &[0, 1, 2, 3, 4, 5],
+            90 => &[0, 4, 8],
+            _ => &[0, 0, 6, 7, 8, 9, 10],
+        };
+        let note = self.random.pick(notes);
+        let took = 2 * MILLISECOND + self.random.below(200 * MILLISECOND);
+        Ending { verdict, note, took, first_byte: took / 2 }
+    }
+
+    fn start_stream(&mut self, index: usize) {
+        let Attempt { ticket, number, server, sent, ended, .. } = self.attempts[index];
+        let request = &self.requests[&ticket];
+        let (who, open) = (request.who, !request.finished && !ended);
+        if !open || !self.is_alive(who, request.life) {
+            return;
+        }
+        self.attempts[index].streaming = true;
+        self.requests.get_mut(&ticket).expect("request was sent").finished = true;
+        let address = self.servers[server].entry.address;
+        self.record(frames::streaming(who, ticket, number, address, self.now - sent));
+    }
+
+    fn end_attempt(&mut self, index: usize, verdict: u8, note: u32, first_byte: u64) {
+        let Attempt { ticket, number, server, sent, ended, .. } = self.attempts[index];
+        if ended {
+            return;
+        }
+        self.attempts[index].ended = true;
+        self.servers[server].in_hand -= 1;
+        if verdict == 10 {
+            self.fills -= u32::from(note == 2 && self.fills > 0);
+            self.origin_fills -= u32::from(note == 3 && self.origin_fills > 0);
+        }
+        let request = self.requests.get_mut(&ticket).expect("request was sent");
+        request.finished |= verdict == 10;
+        let (who, life, last) = (request.who, request.life, request.finished);
+        if !self.is_alive(who, life) {
+            return;
+        }
+        let (note, first_byte) = match (self.scenario.settings.note_level, note) {
+            ("all", note) => (note, first_byte),
+            ("hit", 3) => (2, 0),
+            ("hit", note @ (1 | 2 | 4 | 5)) => (note, 0),
+            _ => (0, 0),
+        };
+        self.counts.add(format!("note {note:02}"), 1);
+        self.counts.add(format!("ended {verdict:02}"), 1);
+        let server = self.servers[server].entry.address;
+        let took = self.now - sent;
+        let outcome = Outcome { attempt: number, server, verdict, note, last, took, first_byte };
+        self.record(frames::done(who, ticket, &outcome));
+    }
+}
+
+fn group_of(object: u64) -> u16 {
+    1 + (object % 7) as u16
+}
+
+/// A number that belongs to a part of an object.
+fn mixed(object: u64, part: u32) -> u64 {
+    Random(object * 31 + u64::from(part)).next()
+}
