--- /dev/null
+++ b/crates/http/tests/golden.rs
@@ -0,0 +1,219 @@
+//! Heads of requests to caches, what is read from heads of their responses, and what a response says of the
+//! attempt, compared with the recorded files in `tests/golden/`.
+//!
+//! To record the files anew: `cargo test -p tindoor-http --test golden -- --ignored record`
+
+#[path = "../../lab/tests/support/golden.rs"]
+mod golden;
+
+use golden::Recording;
+use tindoor::host::{Note, Verdict};
+use tindoor_http::{Ask, Fault, Head, head, note, verdict};
+
+fn recordings() -> Vec<Recording> {
+    vec![
+        ("requests.txt", requests()),
+        ("responses.txt", responses()),
+        ("statuses.txt", statuses()),
+        ("remarks.txt", remarks()),
+    ]
+}
+
+#[test]
+fn requests_and_responses_are_as_recorded() {
+    golden::compare(&recordings());
+}
+
+#[test]
+#[ignore = "writes the recorded files"]
+fn record() {
+    golden::record(&recordings());
+}
+
+fn section(title: &str, text: &str) -> String {
+    format!("{title}\n    {text}\n")
+}
+
+/// What a read of a class that may be filled has at least.
+fn read<'a>() -> Ask<'a> {
+    Ask {
+        offering: "pages",
+        object: "7f3a9c21e0b4d655",
+        part: "3",
+        ticket: "9b1f03aa5c7e2d41",
+        wait_ms: 1200,
+        ..Ask::default()
+    }
+}
+
+fn request(title: &str, ask: Ask) -> String {
+    section(title, &shown(ask.head().as_bytes()))
+}
+
+fn requests() -> String {
+    let key = Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+    let write = Ask { offering: "saves", nonce: key, body: 48_000, ..read() };
+    let every = Ask {
+        source: Some("p-1"),
+        rank: 2,
+        oldest_ms: Some(8000),
+        join: true,
+        only_held: true,
+        renew: true,
+        client_tag: Some("4be0c1927d55a6f3"),
+        ..write
+    };
+    let mut out = [
+        request("read", read()),
+        request("read with a source", Ask { source: Some("p-1"), ..read() }),
+        request("read with a rank", Ask { rank: 1, ..read() }),
+        request("read with the highest rank", Ask { rank: u8::MAX, ..read() }),
+        request("read with an age", Ask { oldest_ms: Some(1), ..read() }),
+        request("read with the age 0", Ask { oldest_ms: Some(0), ..read() }),
+        request("read with the client's version", Ask { client_tag: Some("4be0c1927d55a6f3"), ..read() }),
+        request("read without time left", Ask { wait_ms: 0, ..read() }),
+        request("read with the longest time left", Ask { wait_ms: u64::MAX, ..read() }),
+        request("write with idempotency key", write),
+        request("write with idempotency key, without body", Ask { body: 0, ..write }),
+        request("write that is not idempotent", Ask { offering: "orders", nonce: None, ..write }),
+        request("with every field", every),
+    ]
+    .concat();
+    for bits in 0..8 {
+        let [join, only_held, renew] = [1, 2, 4].map(|bit| bits & bit > 0);
+        let title = format!("modes: join {join}, from cache only {only_held}, renew {renew}");
+        out += &request(&title, Ask { join, only_held, renew, source: Some("p-1"), ..read() });
+    }
+    out
+}
+
+fn head_text(head: &Head) -> String {
+    let Head { size, status, length, shed, remark, closes } = head;
+    format!(
+        "status {status}, head of {size} bytes, body of {length} bytes, rejected {shed}, remark {remark:?}, \
+         closes {closes}, interim {}",
+        head.is_interim()
+    )
+}
+
+/// The kind of a fault; its words are for the log alone.
+fn fault_name(fault: Fault) -> &'static str {
+    match fault {
+        Fault::LongHead => "long head",
+        Fault::Status => "status",
+        Fault::Header => "header",
+        Fault::Length => "length",
+        Fault::LongBody => "long body",
+    }
+}
+
+/// What is read from these bytes with a limit of 200 bytes of head and 100 of body.
+fn response(bytes: &[u8]) -> String {
+    let read = match head(bytes, 200, 100) {
+        Ok(Some(head)) => head_text(&head),
+        Ok(None) => "not whole yet".to_string(),
+        Err(fault) => format!("fault: {}", fault_name(fault)),
+    };
+    let title = if bytes.len() > 200 { format!("({} bytes)", bytes.len()) } else { shown(bytes) };
+    section(&title, &read)
+}
+
+fn shown(bytes: &[u8]) -> String {
+    bytes.escape_ascii().to_string()
+}
+
+fn responses() -> String {
+    let samples: &[&[u8]] = &[
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
+        b"HTTP/1.1 200 OK\r\nX-Remark: warm\r\nX-Version: 4be0c1927d55a6f3\r\nContent-Length: 4\r\n\r\nbody",
+        b"HTTP/1.1 200 OK\r\nx-remark:\t deep_fill \r\ncontent-length:4\r\nCONNECTION: Close\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nX-Remark: warm\r\nX-Remark: fill\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nX-Remark:\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200\r\nContent-Length: 100\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: +4\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 04\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999999\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\nContent-Length: 1\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nX-Shed: 1\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nConnection: close\r\nConnection: keep-alive\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 304 X\r\n\r\n",
+        b"HTTP/1.1 304 X\r\nContent-Length: 400\r\n\r\n",
+        b"HTTP/1.1 204 X\r\nContent-Length: 4\r\n\r\n",
+        b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n",
+        b"HTTP/1.1 103 X\r\nContent-Length: 4\r\n\r\n",
+        b"HTTP/1.1 199 X\r\n\r\n",
+        b"HTTP/1.1 000 X\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 999 X\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 20 X\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 2000 X\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 2x0 X\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.0 200 X\r\nContent-Length: 0\r\n\r\n",
+        b"what?\r\n\r\n",
+        b"\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n: no name\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length : 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n folded: 1\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nName: a\rb\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\nContent-Length: 0\n\n",
+        b"HTTP/1.1 200 OK\r\nName: \xff\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n",
+        b"",
+    ];
+    let long = [b"HTTP/1.1 200 OK\r\nName: ".to_vec(), vec![b'a'; 190]].concat();
+    let long_whole = [&long[..], b"\r\nContent-Length: 0\r\n\r\n"].concat();
+    samples.iter().map(|bytes| response(bytes)).chain([response(&long), response(&long_whole)]).collect()
+}
+
+/// How an attempt ended, by a name that stays.
+fn outcome_name(verdict: Verdict) -> &'static str {
+    match verdict {
+        Verdict::Done => "done",
+        Verdict::Error => "error",
+        Verdict::Full => "full",
+        Verdict::TimedOut => "timed out",
+        Verdict::Unreachable => "unreachable",
+        Verdict::Broken => "broken",
+        Verdict::CalledOff => "cancelled",
+        Verdict::Moot => "not executed",
+        Verdict::Miss => "miss",
+    }
+}
+
+/// What the cache tells of an attempt, by a name that stays.
+fn remark_name(note: Note) -> &'static str {
+    match note {
+        Note::Untold => "none",
+        Note::Hit => "hit",
+        Note::Filled => "filled",
+        Note::FilledByOrigin => "filled by origin",
+        Note::Joined => "joined",
+        Note::OldCopy => "old copy",
+        Note::SourceRefused => "source refused",
+        Note::SourceLost => "source lost",
+        Note::SourceLacks => "source lacks",
+        Note::NoFillPlace => "no fill place",
+        Note::OriginFailed => "origin failed",
+    }
+}
+
+fn statuses() -> String {
+    let name = |status, shed| verdict(status, shed).map_or("-", outcome_name);
+    let line = |status| format!("{status}: {}, with X-Shed: {}\n", name(status, false), name(status, true));
+    (100..=599).map(line).collect()
+}
+
+fn remarks() -> String {
+    let known = ["", "warm", "fill", "deep_fill", "piggy", "aged", "bounced", "dropped", "lacking", "jammed"];
+    let others = ["backfire", "Warm", " warm", "warm ", "filled", "none", "hit", "deep-fill", "x"];
+    let line = |remark: &&str| format!("{remark:?}: {}\n", note(remark).map_or("-", remark_name));
+    known.iter().chain(&others).map(line).collect()
+}
