--- /dev/null
+++ b/crates/extproc/tests/golden.rs
@@ -0,0 +1,354 @@
+//! The bytes of every message to a proxy, and what is read from a proxy's headers, compared with the recorded
+//! files in `tests/golden/`.
+//!
+//! To record the files anew: `cargo test -p tindoor-extproc --test golden -- --ignored record`
+
+#[path = "../../lab/tests/support/golden.rs"]
+mod golden;
+
+use std::time::Duration;
+
+use golden::Recording;
+use tindoor::host::{CacheNo, Note, Pass, Terms, Verdict};
+use tindoor::time::Span;
+use tindoor_calls::{Call, Choice, Known, Report, Say, Why};
+use tindoor_extproc::ask::{self, Headers, Names, Offering};
+use tindoor_extproc::frames;
+use tindoor_extproc::messages::ProcessingResponse;
+use tindoor_extproc::say;
+
+type Pairs<'a> = &'a [(&'a str, &'a str)];
+
+fn recordings() -> Vec<Recording> {
+    vec![
+        ("choices.txt", choices()),
+        ("refusals.txt", refusals()),
+        ("responses.txt", responses()),
+        ("requests.txt", requests()),
+        ("reports.txt", reports()),
+    ]
+}
+
+#[test]
+fn messages_and_headers_are_as_recorded() {
+    golden::compare(&recordings());
+}
+
+#[test]
+#[ignore = "writes the recorded files"]
+fn record() {
+    golden::record(&recordings());
+}
+
+fn section(title: &str, text: &str) -> String {
+    format!("{title}\n    {text}\n")
+}
+
+/// A message in its gRPC frame.
+fn message(title: &str, response: &ProcessingResponse) -> String {
+    section(title, &frames::frame(response).escape_ascii().to_string())
+}
+
+fn pairs_text(fields: &say::Fields) -> String {
+    fields.iter().map(|(name, value)| format!("{name}: {value}")).collect::<Vec<_>>().join("; ")
+}
+
+const PATH: (&str, &str) = (":path", "/v1/store/pages/7f3a9c21e0b4d655/3");
+const SAVE: (&str, &str) = (":path", "/v1/store/saves/7f3a9c21e0b4d655/0");
+const ID: (&str, &str) = ("x-ticket", "9b1f03aa5c7e2d41");
+const KEY: (&str, &str) = ("x-nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+
+fn offerings() -> Vec<Offering> {
+    let offering = |name: &str, tagged, seconds| {
+        let cut_off = Duration::from_secs(seconds);
+        Offering { name: name.into(), tagged, cut_off }
+    };
+    vec![offering("pages", false, 3), offering("saves", true, 5)]
+}
+
+fn headers<'a>(pairs: Pairs<'a>) -> Headers<'a> {
+    Headers(pairs.iter().map(|(name, value)| (*name, value.as_bytes())).collect())
+}
+
+fn call(pairs: Pairs) -> Result<Call, ask::Fault> {
+    ask::call(&headers(pairs), &Names::default(), &offerings())
+}
+
+/// The message of a choice with these terms.
+fn choice(title: &str, terms: Option<Terms>, source: Option<&str>, spans: [Span; 2]) -> String {
+    let source = source.map(str::to_string);
+    let place = say::Place { cache: "c-1".into(), address: "10.0.0.1:80".into(), source };
+    let choice = Choice { nth: 4, cache: CacheNo(1), terms, wait: Span::millis(900) };
+    let [use_within, left] = spans;
+    let fields = say::choice(&call(&[PATH, ID]).unwrap(), &choice, &place, use_within, left);
+    message(title, &say::chosen(fields))
+}
+
+fn choices() -> String {
+    let plain =
+        Terms { source: CacheNo(2), oldest: None, join: false, only_held: false, renew: false, rank: 0 };
+    let every = Terms {
+        oldest: Some(Span::millis(8000)),
+        join: true,
+        only_held: true,
+        renew: true,
+        rank: 2,
+        ..plain
+    };
+    let spans = [Span::millis(200), Span::millis(700)];
+    let short = [Span::micros(999), Span::micros(999)];
+    let recent = Terms { oldest: Some(Span::micros(300)), ..plain };
+    let mut out = [
+        choice("without terms", None, None, spans),
+        choice("from itself", Some(plain), None, spans),
+        choice("with a source", Some(plain), Some("p-1"), spans),
+        choice("with every term", Some(every), Some("p-1"), spans),
+        choice("with an age under a millisecond", Some(recent), Some("p-1"), spans),
+        choice("with less than a millisecond left", Some(plain), Some("p-1"), short),
+    ]
+    .concat();
+    for bits in 0..8 {
+        let [join, only_held, renew] = [1, 2, 4].map(|bit| bits & bit > 0);
+        let title = format!("modes: join {join}, from cache only {only_held}, renew {renew}");
+        out += &choice(&title, Some(Terms { join, only_held, renew, ..plain }), Some("p-1"), spans);
+    }
+    out
+}
+
+/// A reason by a name that stays; each has its own place in `REASONS`.
+fn reason_name(why: Why) -> &'static str {
+    match why {
+        Why::GivenUp => "given up",
+        Why::NoRoom => "no room",
+        Why::Ticket => "id in use",
+        Why::Mark => "idempotency key in use",
+        Why::Overtaken => "overtaken",
+        Why::NoChoice => "no choice",
+        Why::Unreported => "unreported",
+        Why::Stopping => "stopping",
+    }
+}
+
+const REASONS: [Why; 8] = [
+    Why::GivenUp,
+    Why::NoRoom,
+    Why::Ticket,
+    Why::Mark,
+    Why::Overtaken,
+    Why::NoChoice,
+    Why::Unreported,
+    Why::Stopping,
+];
+
+/// What is said in place of a response: as status and headers, and as a message.
+fn refusal(title: &str, say: &Say) -> String {
+    let Some((status, fields)) = say::refusal(say) else { return section(title, "none") };
+    let plain = format!("{status} {}", pairs_text(&fields));
+    section(title, &plain) + &message(&format!("{title}, message"), &say::immediate(status, fields))
+}
+
+fn refusals() -> String {
+    let mut out = String::new();
+    for why in REASONS {
+        let name = reason_name(why);
+        out += &refusal(&format!("rejected, {name}"), &Say::TurnedBack(None, why));
+        out += &refusal(&format!("failed, {name}"), &Say::WrittenOff(why));
+    }
+    for micros in [0, 999, 1000, 1_000_000, 1_000_001, 1_200_000, 60_000_000] {
+        let say = Say::TurnedBack(Some(Span::micros(micros)), Why::GivenUp);
+        out += &refusal(&format!("rejected with a pause of {micros} microseconds"), &say);
+    }
+    for status in [0, 200, 201, 404] {
+        let known = Known { status, version: 0x4be0_c192_7d55_a6f3 };
+        out += &refusal(&format!("done before with status {status}"), &Say::Known(known));
+    }
+    out += &refusal("done before without version", &Say::Known(Known { status: 200, version: 0 }));
+    out += &refusal("pass on", &Say::PassOn);
+    out + &refusal("again", &Say::Again)
+}
+
+fn responses() -> String {
+    let cookie = "name=value; Path=/; HttpOnly".to_string();
+    let fields = vec![("x-tindoor-reason", "no-room".to_string()), ("retry-after", "1".to_string())];
+    [
+        message("passed on", &say::passed_on(None)),
+        message("passed on with a cookie", &say::passed_on(Some(cookie))),
+        message("again", &say::again()),
+        message("immediate without headers", &say::immediate(200, Vec::new())),
+        message("immediate with a reason", &say::immediate(503, fields)),
+        message("chosen without headers", &say::chosen(Vec::new())),
+    ]
+    .concat()
+}
+
+fn call_text(call: &Call) -> String {
+    let Call { ticket, attempt, offering, object, part, group, mark, repeat, left, pass } = *call;
+    let unsigned = match pass {
+        Pass::Free => "free",
+        Pass::Early(_) => "early",
+        Pass::Lapsed => "lapsed",
+        Pass::Refused => "refused",
+    };
+    let key = mark.map_or("none".to_string(), |mark| format!("{mark:032x}"));
+    format!(
+        "id {ticket:016x}, attempt {attempt}, class {offering}, object {object:016x}, part {part}, \
+         group {group}, idempotency key {key}, repeat {repeat}, left {} us, pass {unsigned}",
+        left.as_micros()
+    )
+}
+
+fn pairs_shown(pairs: Pairs) -> String {
+    let shown = |(name, value): &(&str, &str)| {
+        let value = if value.len() > 99 { format!("({} bytes)", value.len()) } else { format!("{value:?}") };
+        format!("{name}={value}")
+    };
+    pairs.iter().map(shown).collect::<Vec<_>>().join(" ")
+}
+
+fn request(pairs: Pairs) -> String {
+    let read = match call(pairs) {
+        Ok(call) => call_text(&call),
+        Err(fault) => format!("fault: {fault}"),
+    };
+    section(&pairs_shown(pairs), &read)
+}
+
+fn requests() -> String {
+    let (timeout, patience) = ("x-envoy-expected-rq-timeout-ms", "x-max-ms");
+    let by_request = ("x-request-id", "0f5e3a54-6b1b-4a4d-9c5e-3d0c8b1e7a11");
+    let mut out = [
+        request(&[PATH, ID]),
+        request(&[PATH, by_request]),
+        request(&[PATH, by_request, ID]),
+        request(&[PATH, ID, (timeout, "900")]),
+        request(&[PATH, ID, (timeout, "900"), (patience, "700")]),
+        request(&[PATH, ID, KEY]),
+        request(&[SAVE, ID, KEY]),
+        request(&[SAVE, ID]),
+        request(&[PATH, ID, ("x-group", "17"), ("x-redo", "1"), ("x-envoy-attempt-count", "2")]),
+        request(&[PATH, ID, ("x-other", "value")]),
+        request(&[PATH]),
+        request(&[ID]),
+        request(&[]),
+        request(&[PATH, PATH, ID]),
+        request(&[PATH, ID, ID]),
+    ]
+    .concat();
+    for path in [
+        "/v1/store/pages/7F3A9C21E0B4D655/0",
+        "/v1/store/pages/7f3a9c21e0b4d655/4294967295",
+        "/v1/store/pages/7f3a9c21e0b4d655/4294967296",
+        "/v1/store/pages/7f3a9c21e0b4d655/01",
+        "/v1/store/pages/7f3a9c21e0b4d655/+1",
+        "/v1/store/pages/7f3a9c21e0b4d655/",
+        "/v1/store/pages/7f3a9c21e0b4d655",
+        "/v1/store/pages/7f3a9c21e0b4d655/3/4",
+        "/v1/store/pages/7f3a9c21e0b4d655/3?x=1",
+        "/v1/store/pages/7f3a9c21e0b4d65g/3",
+        "/v1/store/pages/7f3a/3",
+        "/v1/store/unknown/7f3a9c21e0b4d655/3",
+        "/v2/store/pages/7f3a9c21e0b4d655/3",
+        "/v1/store/pages/7f3a9c21e0b4d655/3 4",
+        "",
+    ] {
+        out += &request(&[(":path", path), ID]);
+    }
+    let long = "1".repeat(257);
+    for (name, values) in [
+        ("x-ticket", &["9b1f", "9b1f03aa5c7e2d4g", "9B1F03AA5C7E2D41", "+b1f03aa5c7e2d41", "", &long][..]),
+        (patience, &["0", "1", "-5", "05", "4294967295", "4294967296", "soon", &long]),
+        (timeout, &["0", "1", "4294967296"]),
+        ("x-nonce", &["5c0f", "5c0f6e1a2b3d4c59a8b7c6d5e4f3021g"]),
+        ("x-group", &["0", "255", "256", "x"]),
+        ("x-redo", &["0", "yes"]),
+        ("x-envoy-attempt-count", &["0", "1", "65536", "65537"]),
+    ] {
+        for value in values {
+            let id = [ID];
+            let others = if name == "x-ticket" { &[][..] } else { &id };
+            out += &request(&[&[PATH], others, &[(name, value)]].concat());
+        }
+    }
+    out
+}
+
+/// How an attempt ended, by a name that stays.
+fn outcome_name(verdict: Verdict) -> &'static str {
+    match verdict {
+        Verdict::Done => "done",
+        Verdict::Error => "error",
+        Verdict::Full => "full",
+        Verdict::TimedOut => "timed out",
+        Verdict::Unreachable => "unreachable",
+        Verdict::Broken => "broken",
+        Verdict::CalledOff => "cancelled",
+        Verdict::Moot => "not executed",
+        Verdict::Miss => "miss",
+    }
+}
+
+/// What the cache tells of an attempt, by a name that stays.
+fn remark_name(note: Note) -> &'static str {
+    match note {
+        Note::Untold => "none",
+        Note::Hit => "hit",
+        Note::Filled => "filled",
+        Note::FilledByOrigin => "filled by origin",
+        Note::Joined => "joined",
+        Note::OldCopy => "old copy",
+        Note::SourceRefused => "source refused",
+        Note::SourceLost => "source lost",
+        Note::SourceLacks => "source lacks",
+        Note::NoFillPlace => "no fill place",
+        Note::OriginFailed => "origin failed",
+    }
+}
+
+fn report_text(report: &Report) -> String {
+    let Report { verdict, note, known, used_after } = *report;
+    let used = used_after.map_or("untold".to_string(), |span| format!("{} us", span.as_micros()));
+    format!(
+        "{}, remark {}, status {}, version {:016x}, used after {used}",
+        outcome_name(verdict),
+        remark_name(note),
+        known.status,
+        known.version
+    )
+}
+
+fn report(pairs: Pairs) -> String {
+    let read = match ask::report(&headers(pairs)) {
+        Ok(report) => report_text(&report),
+        Err(fault) => format!("fault: {fault}"),
+    };
+    section(&pairs_shown(pairs), &read)
+}
+
+fn reports() -> String {
+    let ok = (":status", "200");
+    let version = ("x-version", "4be0c1927d55a6f3");
+    let mut out = String::new();
+    for status in ["200", "304", "404", "500", "502", "503", "504", "418", "100", "999"] {
+        out += &report(&[(":status", status)]);
+        out += &report(&[(":status", status), ("x-shed", "1")]);
+    }
+    for status in ["99", "1000", "0200", "x", ""] {
+        out += &report(&[(":status", status)]);
+    }
+    for remark in ["warm", "fill", "deep_fill", "piggy", "aged", "bounced", "dropped", "lacking", "jammed"] {
+        out += &report(&[ok, ("x-remark", remark)]);
+    }
+    for failed in ["unreachable", "timed-out", "broken", "unused", "given-up", "other"] {
+        out += &report(&[("x-tindoor-failed", failed)]);
+        out += &report(&[(":status", "503"), ("x-tindoor-failed", failed)]);
+    }
+    out += &report(&[ok, ("x-remark", "backfire")]);
+    out += &report(&[ok, ("x-remark", "unknown")]);
+    out += &report(&[ok, version, ("x-remark", "warm"), ("x-tindoor-used-ms", "12")]);
+    out += &report(&[ok, ("x-version", "4be0")]);
+    out += &report(&[ok, ("x-tindoor-used-ms", "-1")]);
+    out += &report(&[ok, ("x-tindoor-used-ms", "4294967296")]);
+    out += &report(&[ok, ("x-shed", "0")]);
+    out += &report(&[ok, ok]);
+    out + &report(&[])
+}
