--- a/crates/extproc/tests/golden.rs
+++ b/crates/extproc/tests/golden.rs
@@ -8,13 +8,16 @@
 
 use std::time::Duration;
 
+use bytes::BytesMut;
 use golden::Recording;
 use tindoor::host::{CacheNo, Note, Pass, Terms, Verdict};
 use tindoor::time::Span;
 use tindoor_calls::{Call, Choice, Known, Report, Say, Why};
 use tindoor_extproc::ask::{self, Headers, Names, Offering};
 use tindoor_extproc::frames;
-use tindoor_extproc::messages::ProcessingResponse;
+use tindoor_extproc::messages::{
+    HeaderMap, HeaderValue, HttpBody, HttpHeaders, HttpTrailers, Phase, ProcessingRequest, ProcessingResponse,
+};
 use tindoor_extproc::say;
 
 type Pairs<'a> = &'a [(&'a str, &'a str)];
@@ -26,6 +29,7 @@
         ("responses.txt", responses()),
         ("requests.txt", requests()),
         ("reports.txt", reports()),
+        ("from_proxy.txt", messages_from_a_proxy()),
     ]
 }
 
@@ -352,3 +356,34 @@
     out += &report(&[ok, ok]);
     out + &report(&[])
 }
+
+/// The bytes of a message from a proxy, which are read back as the same message.
+fn from_proxy(title: &str, phase: Option<Phase>, observability_mode: bool) -> String {
+    let request = ProcessingRequest { phase, observability_mode };
+    let bytes = frames::frame(&request);
+    assert_eq!(frames::take(&mut BytesMut::from(&bytes[..]), 1000), Ok(Some(request)));
+    section(title, &bytes.escape_ascii().to_string())
+}
+
+fn messages_from_a_proxy() -> String {
+    let header = |value: &str, raw_value: &[u8]| {
+        let (value, raw_value) = (value.to_string(), raw_value.to_vec());
+        HeaderValue { key: "x-ticket".into(), value, raw_value }
+    };
+    let map = || Some(HeaderMap { headers: vec![header("text", b""), header("", b"raw\xff")] });
+    let headers = |end_of_stream| HttpHeaders { headers: map(), end_of_stream };
+    let body = |end_of_stream| HttpBody { body: (&b"body"[..]).into(), end_of_stream };
+    let trailers = || HttpTrailers { trailers: map() };
+    [
+        from_proxy("request headers", Some(Phase::RequestHeaders(headers(false))), false),
+        from_proxy("request headers, the end", Some(Phase::RequestHeaders(headers(true))), false),
+        from_proxy("response headers", Some(Phase::ResponseHeaders(headers(false))), false),
+        from_proxy("request body", Some(Phase::RequestBody(body(true))), false),
+        from_proxy("response body", Some(Phase::ResponseBody(body(false))), false),
+        from_proxy("request trailers", Some(Phase::RequestTrailers(trailers())), false),
+        from_proxy("response trailers", Some(Phase::ResponseTrailers(trailers())), false),
+        from_proxy("observability mode", Some(Phase::RequestHeaders(headers(false))), true),
+        from_proxy("nothing", None, false),
+    ]
+    .concat()
+}
