--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -110,7 +110,6 @@
     let top = Place(&value, String::new());
     let seed = top.word("seed")?;
     let settings = top.at("settings")?;
-    let engine_settings = tindoor_settings::from_json(settings.0).context("settings")?;
     let (classes, path) = settings.list("request_classes")?;
     let class = |(i, class): (usize, &Value)| {
         let class = Place(class, format!("{path}[{i}]"));
@@ -161,6 +160,7 @@
     let event = |(i, value): (usize, &Value)| {
         serde_json::from_value(value.clone()).with_context(|| format!("{path}[{i}]"))
     };
+    let engine_settings = tindoor_settings::from_json(settings.0).context("settings")?;
     // The change stream moves; where it stood at some start is of no more use than that start's seed.
     let moves = ["changelog", "known", "seed"];
     let fixed = value.as_object().into_iter().flatten().filter(|(key, _)| !moves.contains(&key.as_str()));
--- a/crates/router/src/council.rs
+++ b/crates/router/src/council.rs
@@ -57,7 +57,8 @@
         name: String,
     },
     /// How a proposal ended.
-    ProposalOutcome {
+    #[serde(rename = "end")]
+    Outcome {
         token: u64,
     },
 }
@@ -167,7 +168,7 @@
             fleet.tell(|node, now| node.command(now, Command::Forget { name }))?;
             Ok(json!({}))
         }
-        Ask::ProposalOutcome { token } => Ok(fleet.tell(|node, _| match node.agreed().end_of(token) {
+        Ask::Outcome { token } => Ok(fleet.tell(|node, _| match node.agreed().end_of(token) {
             Some(past) => json!(past),
             None => Value::Null,
         })),
@@ -251,7 +252,7 @@
 fn wait(socket: &Path, token: u64, proposing: &Proposing) -> Result<ExitCode> {
     let begun = Instant::now();
     loop {
-        let end = ask(socket, &Ask::ProposalOutcome { token })?;
+        let end = ask(socket, &Ask::Outcome { token })?;
         if let Ok(PastProposal { generation, end, .. }) = serde_json::from_value(end) {
             return Ok(match end {
                 ProposalOutcome::TookHold => {
--- a/crates/router/tests/unit/council.rs
+++ b/crates/router/tests/unit/council.rs
@@ -36,7 +36,7 @@
         ("request-rollback-current", Ask::Undo { generation: None, by: by() }),
         ("request-withdraw", Ask::Withdraw { generation: 300 }),
         ("request-remove-member", Ask::Forget { name: "router-1".into() }),
-        ("request-outcome", Ask::ProposalOutcome { token: u64::MAX }),
+        ("request-outcome", Ask::Outcome { token: u64::MAX }),
     ]
 }
 
--- a/crates/router/tests/unit/folder.rs
+++ b/crates/router/tests/unit/folder.rs
@@ -188,9 +188,9 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replica-storage.redb")
 }
 
-/// What that file holds: the hard state and snapshot of the golden files of `tindoor-council`, and sample log entries.
+/// What that file holds: the hard state and snapshot of the golden files of `tindoor-consensus`, and sample log entries.
 fn recorded_replica() -> StoredState {
-    let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../council/tests/golden");
+    let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../consensus/tests/golden");
     let read = |name: &str| std::fs::read(directory.join(format!("replica-with-log-{name}.bin"))).unwrap();
     let entry = |index: u64| (index, vec![index as u8; 5]);
     let entries = [2, 3, 255, 256, 0x0102_0304_0506].map(entry).to_vec();
@@ -225,7 +225,8 @@
     let path = folder("record");
     let (open, _) = Folder::open(&path, 0x0123_4567_89ab_cdef, 0xfedc_ba98_7654_3210).unwrap();
     let StoredState { hard, snapshot, entries } = recorded_replica();
-    let write = StorageWrite { hard: Some(hard), snapshot: Some(snapshot), entries, ..StorageWrite::default() };
+    let write =
+        StorageWrite { hard: Some(hard), snapshot: Some(snapshot), entries, ..StorageWrite::default() };
     open.write(&write).unwrap();
     drop(open);
     // As small as the library makes it: a new file is mostly free space.
