--- a/crates/router/src/links.rs
+++ b/crates/router/src/links.rs
@@ -11,16 +11,16 @@
 use tindoor::host::Authorization;
 use tindoor::time::Span;
 use tindoor_extproc::ask::{Headers, RequestClass};
-use tindoor_signed_urls::Format;
-use tindoor_signed_urls::claims::{Asked, Now, Refusal};
-use tindoor_signed_urls::clock::Clock;
-use tindoor_signed_urls::hmac_form::HmacForm;
+use tindoor_signed_urls::TokenFormat;
+use tindoor_signed_urls::claims::{TokenError, VerificationContext, VerificationTime};
+use tindoor_signed_urls::clock::ClockEstimator;
+use tindoor_signed_urls::hmac_format::HmacFormat;
 use tindoor_signed_urls::keys::KeySet;
-use tindoor_signed_urls::normal;
-use tindoor_signed_urls::playback::{Bounds as PlaybackBounds, Playback};
-use tindoor_signed_urls::prefix::PrefixSignature;
-use tindoor_signed_urls::uri_signing::UriSigning;
-use tindoor_signed_urls::verification_cache::{Bounds, Refused, VerificationCache};
+use tindoor_signed_urls::normalize;
+use tindoor_signed_urls::playback::{Playback, PlaybackLimits};
+use tindoor_signed_urls::uri_signing::UriSigningFormat;
+use tindoor_signed_urls::url_prefix::UrlPrefixFormat;
+use tindoor_signed_urls::verification_cache::{Limits, VerificationCache, VerificationError};
 
 use crate::limits::Seldom;
 
@@ -78,7 +78,8 @@
 }
 
 /// What playbacks are held to.
-const PLAYBACK: PlaybackBounds = PlaybackBounds { holds: 60, longest: 7200, after_end: 900, chain: 10_000 };
+const PLAYBACK: PlaybackLimits =
+    PlaybackLimits { renewal_seconds: 60, max_seconds: 7200, grace_seconds: 900, max_renewals: 10_000 };
 /// The furthest that our clock is believed to be off, in milliseconds.
 const LONGEST_OFFSET: u64 = 15_000;
 /// The longest skew that may be allowed: beyond it a link hardly lapses.
@@ -90,13 +91,13 @@
     skew_ms: u64,
     /// Which request classes need a link, by their numbers.
     needed: Vec<bool>,
-    forms: Vec<(Box<dyn Format>, Source)>,
+    forms: Vec<(Box<dyn TokenFormat>, Source)>,
     client: String,
     /// The cookie of renewals, where there are any.
     playback: Option<String>,
     keys: RefCell<KeySet>,
     verdicts: RefCell<VerificationCache>,
-    clock: RefCell<Clock>,
+    clock: RefCell<ClockEstimator>,
     /// How often our clock was found to be off by more than the skew.
     off: Seldom,
 }
@@ -120,7 +121,7 @@
         bail!("{}: others can read it (mode {:o}); allow its owner alone", path.display(), mode & 0o777);
     }
     let text = std::fs::read(path).with_context(|| format!("{}", path.display()))?;
-    KeySet::read(&text).with_context(|| format!("{}", path.display()))
+    KeySet::parse(&text).with_context(|| format!("{}", path.display()))
 }
 
 impl Links {
@@ -139,11 +140,11 @@
                 bail!("links.forms: the key {unknown:?} is not in the set");
             }
         }
-        let form = |form| -> (Box<dyn Format>, Source) {
+        let form = |form| -> (Box<dyn TokenFormat>, Source) {
             match form {
-                Form::Hmac { from, keys } => (Box::new(HmacForm { keys }), from),
-                Form::UriSigning { from, audience } => (Box::new(UriSigning { audience }), from),
-                Form::Prefix { from } => (Box::new(PrefixSignature), from),
+                Form::Hmac { from, keys } => (Box::new(HmacFormat { keys }), from),
+                Form::UriSigning { from, audience } => (Box::new(UriSigningFormat { audience }), from),
+                Form::Prefix { from } => (Box::new(UrlPrefixFormat), from),
             }
         };
         let mut secret = [0; 8];
@@ -157,10 +158,10 @@
             client: told.client,
             playback: told.playback.map(|told| told.cookie),
             keys: RefCell::new(keys),
-            clock: RefCell::new(Clock::new(LONGEST_OFFSET)),
+            clock: RefCell::new(ClockEstimator::new(LONGEST_OFFSET)),
             off: Seldom::default(),
             verdicts: RefCell::new(VerificationCache::new(
-                Bounds::default(),
+                Limits::default(),
                 (seed, u64::from_ne_bytes(secret)),
             )),
         })
@@ -175,25 +176,30 @@
         let keys = read_keys(&self.file)?;
         tracing::info!(keys = keys.iter().count(), "keys read again");
         *self.keys.borrow_mut() = keys;
-        self.verdicts.borrow_mut().forget();
+        self.verdicts.borrow_mut().clear();
         Ok(())
     }
 
     /// Judges a request by its headers, before anybody is asked; a fault where its path has no normal form.
-    pub fn judge(&self, path: &str, headers: &Headers, unix_ms: u64) -> Result<Judged, normal::Fault> {
-        let mut target = normal::target(path)?;
+    pub fn judge(
+        &self,
+        path: &str,
+        headers: &Headers,
+        unix_ms: u64,
+    ) -> Result<Judged, normalize::NormalizeError> {
+        let mut target = normalize::normalize(path)?;
         let mut tokens = Vec::new();
         // Each token is taken out, so that the path that goes on is the one that was checked, whoever signed
         // it.
         for (format, source) in &self.forms {
             let token = match source {
-                Source::Query(key) => target.take(key),
+                Source::Query(key) => target.remove_query_value(key),
                 Source::Cookie(name) => cookie(headers, name),
                 Source::Header(name) => headers.one(name).map(str::to_string),
             };
             tokens.extend(token.map(|token| (format, token)));
         }
-        let path = target.text();
+        let path = target.to_text();
         let client = headers.one(&self.client).and_then(|text| text.parse().ok());
         // Without an address it fits no token that is for one, and shares one budget with all such.
         let client = client.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED));
@@ -204,28 +210,28 @@
         }
         // The renewal of an earlier part, if there is one and it holds.
         let renewal = self.playback.as_ref().and_then(|name| cookie(headers, name));
-        let asked = Asked { base: &self.base, target: &target, client };
-        let held = renewal.and_then(|token| Playback::check(&token, &keys, &asked, now).ok());
-        let mut worst = (Authorization::Denied, Refusal::Missing.to_string());
+        let asked = VerificationContext { base_url: &self.base, target: &target, client };
+        let held = renewal.and_then(|token| Playback::verify(&token, &keys, &asked, now).ok());
+        let mut worst = (Authorization::Denied, TokenError::Missing.to_string());
         for (format, token) in tokens {
-            match verdicts.check(&**format, &keys, &token, &asked, now) {
+            match verdicts.verify(&**format, &keys, &token, &asked, now) {
                 Ok(checked) => {
                     // Each part that its link lets pass may begin anew: what ends is bound to the link either
                     // way.
-                    let begin = || Playback::begin(&checked.claims, &asked, now, &PLAYBACK);
+                    let begin = || Playback::start(&checked.claims, &asked, now, &PLAYBACK);
                     let playback = self.playback.as_ref().and_then(|_| begin());
                     return Ok(Judged { path, authorization: Authorization::Granted, why: None, playback });
                 }
-                Err(Refused::Costs(wait)) => {
+                Err(VerificationError::RateLimited(wait)) => {
                     worst = (
                         Authorization::NotYetValid(Span::millis(wait)),
                         "too many tokens to check".to_string(),
                     );
                 }
-                Err(Refused::Token(refusal)) => {
+                Err(VerificationError::Token(refusal)) => {
                     let authorization = match refusal {
-                        Refusal::Early(wait) => Authorization::NotYetValid(Span::millis(wait)),
-                        Refusal::Lapsed(_) => Authorization::Expired,
+                        TokenError::NotYetValid(wait) => Authorization::NotYetValid(Span::millis(wait)),
+                        TokenError::Expired(_) => Authorization::Expired,
                         _ => Authorization::Denied,
                     };
                     worst = (authorization, refusal.to_string());
@@ -234,13 +240,13 @@
         }
         // It began in time: it goes on, whatever its link says by now. One that was bent, or is for another,
         // does not get better by a renewal.
-        let goes_on = worst.0 == Authorization::Expired || worst.1 == Refusal::Missing.to_string();
+        let goes_on = worst.0 == Authorization::Expired || worst.1 == TokenError::Missing.to_string();
         if let Some(held) = held.filter(|_| goes_on) {
             return Ok(Judged {
                 path,
                 authorization: Authorization::Granted,
                 why: None,
-                playback: held.next(now, &PLAYBACK),
+                playback: held.renew(now, &PLAYBACK),
             });
         }
         Ok(Judged { path, authorization: worst.0, why: Some(worst.1), playback: None })
@@ -248,7 +254,7 @@
 
     /// A party said a time; ours when its word came. Both in Unix milliseconds.
     pub fn heard(&self, participant: u64, theirs: u64, ours: u64) {
-        self.clock.borrow_mut().said(participant, theirs, ours);
+        self.clock.borrow_mut().record(participant, theirs, ours);
     }
 
     /// The same by an answer's `date` (RFC 9110), which is cut to whole seconds: no party is so put ahead of
@@ -263,9 +269,9 @@
 
     /// The time to judge by: ours, moved by what the middle of the others say; the skew stays what was
     /// stated.
-    fn now(&self, unix_ms: u64) -> Now {
+    fn now(&self, unix_ms: u64) -> VerificationTime {
         if without("clock") {
-            return Now { unix_ms, skew_ms: self.skew_ms };
+            return VerificationTime { unix_ms, skew_ms: self.skew_ms };
         }
         let clock = self.clock.borrow();
         if let Some(estimate) = clock.estimate()
@@ -281,7 +287,7 @@
     pub fn renewal(&self, playback: &Playback, unix_ms: u64) -> Option<String> {
         let now = self.now(unix_ms);
         let (name, token) = (self.playback.as_ref()?, playback.sign(&self.keys.borrow(), now)?);
-        let (path, holds) = (playback.path(), playback.holds(now));
+        let (path, holds) = (playback.path(), playback.remaining_seconds(now));
         Some(format!("{name}={token}; Path={path}; Max-Age={holds}; Secure; HttpOnly; SameSite=Lax"))
     }
 
--- a/crates/router/src/operate.rs
+++ b/crates/router/src/operate.rs
@@ -9,11 +9,11 @@
 use anyhow::{Context, Result, bail};
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
-use tindoor_signed_urls::claims::{Asked, Now};
-use tindoor_signed_urls::hmac_form::{Fields, HmacForm};
-use tindoor_signed_urls::prefix::PrefixSignature;
-use tindoor_signed_urls::uri_signing::{Signed, UriSigning};
-use tindoor_signed_urls::{Format, edit, holds, keys as sets, normal};
+use tindoor_signed_urls::claims::{VerificationContext, VerificationTime};
+use tindoor_signed_urls::hmac_format::{HmacFields, HmacFormat};
+use tindoor_signed_urls::uri_signing::{UriSigningClaims, UriSigningFormat};
+use tindoor_signed_urls::url_prefix::UrlPrefixFormat;
+use tindoor_signed_urls::{TokenFormat, check_key, key_set_editor, keys, normalize};
 
 use crate::command::{Algorithm, Form, Keys, Link, NewKey, Of};
 use crate::links::read_keys;
@@ -37,11 +37,11 @@
 
 fn new_key(key: &NewKey) -> Result<serde_json::Value> {
     let algorithm = match key.algorithm {
-        Algorithm::Hs256 => sets::Algorithm::Hs256,
-        Algorithm::Eddsa => sets::Algorithm::EdDsa,
+        Algorithm::Hs256 => keys::Algorithm::Hs256,
+        Algorithm::Eddsa => keys::Algorithm::EdDsa,
     };
     let until = key.days.map_or(u64::MAX, |days| unix().saturating_add(days.saturating_mul(86_400)));
-    edit::new_key(&key.id, algorithm, unix(), until).context("no random numbers")
+    key_set_editor::new_key(&key.id, algorithm, unix(), until).context("no random numbers")
 }
 
 pub fn keys(deed: Keys) -> Result<()> {
@@ -52,19 +52,20 @@
                 Err(error) if error.kind() == std::io::ErrorKind::NotFound => None,
                 Err(error) => return Err(error).with_context(|| format!("{}", key.file.display())),
             };
-            replace(&key.file, &edit::with_key(old.as_deref(), new_key(&key)?)?)
+            replace(&key.file, &key_set_editor::add_key(old.as_deref(), new_key(&key)?)?)
         }
         Keys::Rotate { key, overlap } => {
             let old = std::fs::read(&key.file).with_context(|| format!("{}", key.file.display()))?;
-            replace(&key.file, &edit::rotated(&old, new_key(&key)?, unix(), overlap)?)
+            replace(&key.file, &key_set_editor::rotate(&old, new_key(&key)?, unix(), overlap)?)
         }
         Keys::List { file } => {
             let set = read_keys(&file)?;
             for key in set.iter() {
-                let deed = if key.signs { "signs" } else { "checks" };
-                let now = if key.holds_at(unix()) { "holds" } else { "does not hold now" };
-                let until = if key.until == u64::MAX { "-".to_string() } else { key.until.to_string() };
-                println!("{}\t{}\t{deed}\t{}\t{until}\t{now}", key.id, key.algorithm.name(), key.from);
+                let deed = if key.can_sign { "signs" } else { "checks" };
+                let now = if key.is_valid_at(unix()) { "holds" } else { "does not hold now" };
+                let until =
+                    if key.valid_until == u64::MAX { "-".to_string() } else { key.valid_until.to_string() };
+                println!("{}\t{}\t{deed}\t{}\t{until}\t{now}", key.id, key.algorithm.name(), key.valid_from);
             }
             Ok(())
         }
@@ -84,7 +85,7 @@
             let set = read_keys(&of.file)?;
             let key = match &of.key {
                 Some(id) => set.key(id).with_context(|| format!("no key {id:?}"))?,
-                None => set.signer(unix()).context("no key of the set signs now")?,
+                None => set.signing_key(unix()).context("no key of the set signs now")?,
             };
             let expires = unix().saturating_add(seconds);
             let token = match of.form {
@@ -92,30 +93,30 @@
                     let (_, path) = parts(&of.url)?;
                     let patterned = path.contains(['*', '?']);
                     let patterns = if patterned { vec![path.to_string()] } else { Vec::new() };
-                    let path = if patterned { String::new() } else { normal::target(path)?.path };
+                    let path = if patterned { String::new() } else { normalize::normalize(path)?.path };
                     let (client, not_before, data) = (of.client, None, None);
-                    HmacForm { keys: vec![] }.sign(
+                    HmacFormat { keys: vec![] }.sign(
                         key,
-                        &Fields { not_before, expires, patterns, client, id, data },
+                        &HmacFields { not_before, expires, patterns, client, id, data },
                         &path,
                     )
                 }
                 Form::UriSigning => {
                     let (base, path) = parts(&of.url)?;
-                    let whole = format!("{base}{}", normal::target(path)?.text());
-                    let signed = Signed {
-                        cdniuc: UriSigning::hash_of(&whole),
+                    let whole = format!("{base}{}", normalize::normalize(path)?.to_text());
+                    let signed = UriSigningClaims {
+                        cdniuc: UriSigningFormat::hash_container(&whole),
                         exp: Some(expires),
                         jti: id,
                         cdniip: of.client,
-                        ..Signed::default()
+                        ..UriSigningClaims::default()
                     };
-                    UriSigning::default().sign(key, &signed)
+                    UriSigningFormat::default().sign(key, &signed)
                 }
                 Form::Prefix if of.client.is_some() || id.is_some() => {
                     bail!("the prefix form carries neither a client nor an id")
                 }
-                Form::Prefix => PrefixSignature.sign(key, &of.url, expires),
+                Form::Prefix => UrlPrefixFormat.sign(key, &of.url, expires),
             };
             println!(
                 "{}",
@@ -131,24 +132,24 @@
 fn check(of: &Of, token: &str) -> Result<()> {
     let set = read_keys(&of.file)?;
     let (base, path) = parts(&of.url)?;
-    let target = normal::target(path)?;
+    let target = normalize::normalize(path)?;
     let client = of.client.as_deref().unwrap_or("0.0.0.0");
     let client: IpAddr = client.parse().with_context(|| format!("{client}: no address"))?;
-    let asked = Asked { base, target: &target, client };
+    let asked = VerificationContext { base_url: base, target: &target, client };
     let ids = match &of.key {
         Some(id) => vec![id.clone()],
         None => set.iter().map(|key| key.id.clone()).collect(),
     };
-    let (hmac, uri) = (HmacForm { keys: ids }, UriSigning::default());
-    let format: &dyn Format = match of.form {
+    let (hmac, uri) = (HmacFormat { keys: ids }, UriSigningFormat::default());
+    let format: &dyn TokenFormat = match of.form {
         Form::Hmac => &hmac,
         Form::UriSigning => &uri,
-        Form::Prefix => &PrefixSignature,
+        Form::Prefix => &UrlPrefixFormat,
     };
-    let now = Now { unix_ms: unix() * 1000, skew_ms: 0 };
-    let claims = format.check(token, &set, &asked)?;
-    holds(&claims, &set, now)?;
-    let until = claims.judge(&asked, now)?;
+    let now = VerificationTime { unix_ms: unix() * 1000, skew_ms: 0 };
+    let claims = format.verify(token, &set, &asked)?;
+    check_key(&claims, &set, now)?;
+    let until = claims.authorize(&asked, now)?;
     match until {
         u64::MAX => println!("passes, without an end, by the key {}", claims.key),
         until => println!("passes until {}, by the key {}", until / 1000, claims.key),
--- a/crates/signed-urls/src/claims.rs
+++ b/crates/signed-urls/src/claims.rs
@@ -1,85 +1,98 @@
-//! What a token says once its signature holds, and whether that lets a request pass now. Every format ends
-//! here.
+//! The claims of a verified token, and whether they authorize a request. Every token format yields [`Claims`].
 
 use std::net::IpAddr;
 
 use regex::Regex;
 
-use crate::normal::Target;
+use crate::normalize::Target;
 
-/// Why a token does not let a request pass. Words for operators; never a part of a token.
+/// Why a token does not authorize a request. The texts are for operators and never quote a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Refusal {
+pub enum TokenError {
+    /// The request carries no token.
     #[error("there is no token")]
     Missing,
+    /// The token, or a part of it, is over its size limit.
     #[error("the token is over its limit")]
-    Long,
+    TooLong,
+    /// The token does not have its format's form; says which part.
     #[error("the token can't be read: {0}")]
-    Unreadable(&'static str),
+    Malformed(&'static str),
+    /// No key of the set has the token's key id.
     #[error("no key of that id is known")]
     UnknownKey,
+    /// The token names another algorithm than the key's own.
     #[error("the token names another algorithm than its key's")]
-    Algorithm,
+    AlgorithmMismatch,
+    /// The signature was not made by the key.
     #[error("the signature is not the key's")]
-    Signature,
+    InvalidSignature,
+    /// The key or the token is revoked.
     #[error("the key, or the token, was revoked")]
     Revoked,
+    /// The key is not valid yet, or no longer.
     #[error("the key does not hold at this time")]
-    KeyTime,
+    KeyNotValid,
+    /// A claim that is marked critical is not supported.
     #[error("a claim that must be understood is not known here")]
-    Critical,
+    UnknownCriticalClaim,
+    /// The token is meant for another audience.
     #[error("the token is for another audience")]
-    Audience,
+    AudienceMismatch,
+    /// The token is bound to another client address.
     #[error("the token is for another address of a client")]
-    Client,
+    ClientMismatch,
+    /// The token does not cover the requested path.
     #[error("the token is for another path")]
-    Scope,
+    PathMismatch,
+    /// More clients use the token than one token allows.
     #[error("the token is used from too many addresses")]
-    Shared,
-    /// It begins so many milliseconds from now.
+    TooManyClients,
+    /// The token becomes valid in so many milliseconds.
     #[error("the token is not valid yet, in {0} ms")]
-    Early(u64),
-    /// It ended so many milliseconds ago.
+    NotYetValid(u64),
+    /// The token expired so many milliseconds ago.
     #[error("the token lapsed {0} ms ago")]
-    Lapsed(u64),
+    Expired(u64),
 }
 
-impl Refusal {
-    /// How long to stay away before the same token may pass; none where it never will.
-    pub fn come_back_ms(self) -> Option<u64> {
+impl TokenError {
+    /// After how many milliseconds the same token may be accepted; none where it never will be.
+    pub fn retry_after_ms(self) -> Option<u64> {
         match self {
-            Self::Early(wait) => Some(wait),
+            Self::NotYetValid(wait) => Some(wait),
             _ => None,
         }
     }
 }
 
-/// Addresses of clients.
+/// A network of client addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Prefix {
+pub struct ClientNetwork {
     address: IpAddr,
     bits: u8,
 }
 
-impl Prefix {
-    /// An address, or one with a number of bits.
-    pub fn read(text: &str) -> Option<Self> {
+impl ClientNetwork {
+    /// Parses an address, or a network as `address/bits`.
+    pub fn parse(text: &str) -> Option<Self> {
         let (address, bits) = match text.split_once('/') {
             Some((address, bits)) => (address, Some(bits)),
             None => (text, None),
         };
         let address: IpAddr = address.parse().ok()?;
-        let most = if address.is_ipv4() { 32 } else { 128 };
+        let width = if address.is_ipv4() { 32 } else { 128 };
         let bits = match bits {
             Some(bits) if bits.bytes().all(|byte| byte.is_ascii_digit()) => bits.parse().ok()?,
             Some(_) => return None,
-            None => most,
+            None => width,
         };
-        (bits <= most).then_some(Self { address, bits })
+        (bits <= width).then_some(Self { address, bits })
     }
 
-    pub fn holds(&self, other: IpAddr) -> bool {
-        // A client that comes by IPv4 on a socket of both kinds is the same client.
+    /// Whether the address belongs to the network.
+    pub fn contains(&self, other: IpAddr) -> bool {
+        // An IPv4 client on a dual-stack socket has an IPv4-mapped IPv6 address.
         let same = |a: u128, b: u128, width: u8| self.bits == 0 || (a ^ b) >> (width - self.bits) == 0;
         match (self.address, other.to_canonical()) {
             (IpAddr::V4(a), IpAddr::V4(b)) => same(a.to_bits().into(), b.to_bits().into(), 32),
@@ -89,16 +102,16 @@
     }
 }
 
-/// What a token lets pass.
+/// Which requests a token covers.
 #[derive(Clone, Debug)]
 pub enum Scope {
-    /// The path, as it is.
+    /// Exactly this path.
     Path(String),
-    /// All that begins so: the whole URL, with scheme and host.
+    /// Every URL, with scheme and host, that begins with this prefix.
     UrlPrefix(String),
-    /// Paths by patterns, of which one has to fit.
+    /// Paths that match one of these glob patterns.
     Patterns(Vec<String>),
-    /// The whole URL, by an expression that has to fit all of it.
+    /// URLs that match this expression as a whole.
     Expression(Regex),
     /// The SHA-256 of the whole URL.
     Hash([u8; 32]),
@@ -107,80 +120,89 @@
 /// How a token is renewed (RFC 9246, sections 3 and 4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Renewal {
-    /// Seconds that a renewed one holds.
-    pub holds: u64,
-    /// 1: in a cookie; 2: in the query.
+    /// Lifetime of a renewed token, in seconds.
+    pub lifetime_seconds: u64,
+    /// How a renewed token is sent: 1 in a cookie, 2 in the query.
     pub transport: u8,
-    /// How much of the path the renewed one is for.
+    /// How many path segments a renewed token covers.
     pub depth: u32,
 }
 
-/// What a token says. Times are Unix seconds.
+/// What a verified token claims. Times are in Unix seconds.
 #[derive(Clone, Debug)]
 pub struct Claims {
     /// The id of the key that signed it.
     pub key: String,
+    /// From when the token is valid.
     pub not_before: Option<u64>,
+    /// When the token expires.
     pub expires: Option<u64>,
+    /// Which requests it covers.
     pub scope: Scope,
-    pub client: Option<Prefix>,
+    /// The clients that may use it; any where none is named.
+    pub client: Option<ClientNetwork>,
     /// The token's own id, where it has one.
     pub id: Option<String>,
+    /// How it is renewed, where it is.
     pub renewal: Option<Renewal>,
 }
 
-/// What is asked, by whom.
-pub struct Asked<'a> {
-    /// Scheme and host, as `https://videos.example`.
-    pub base: &'a str,
-    /// Without the token.
+/// The request that a token is verified for.
+pub struct VerificationContext<'a> {
+    /// Scheme and host, such as `https://videos.example`.
+    pub base_url: &'a str,
+    /// Path and query, without the token.
     pub target: &'a Target,
+    /// The client's address.
     pub client: IpAddr,
 }
 
-/// The time, as far as it is known.
+/// The time at which a token is verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Now {
+pub struct VerificationTime {
+    /// Unix time, in milliseconds.
     pub unix_ms: u64,
-    /// How far off it, or the signer's clock, may be: a token that is early or lapsed by no more passes.
+    /// Tolerated clock skew, in milliseconds: a token that is early or expired by no more is valid.
     pub skew_ms: u64,
 }
 
 impl Claims {
-    /// Whether the request may pass now, and until when (Unix milliseconds, the skew included) this holds.
-    pub fn judge(&self, asked: &Asked, now: Now) -> Result<u64, Refusal> {
+    /// Authorizes a request, and says until when that holds (Unix milliseconds, skew included).
+    pub fn authorize(&self, context: &VerificationContext, now: VerificationTime) -> Result<u64, TokenError> {
         if let Some(client) = self.client
-            && !client.holds(asked.client)
+            && !client.contains(context.client)
         {
-            return Err(Refusal::Client);
+            return Err(TokenError::ClientMismatch);
         }
-        if !self.scope.holds(asked) {
-            return Err(Refusal::Scope);
+        if !self.scope.covers(context) {
+            return Err(TokenError::PathMismatch);
         }
-        self.judge_time(now)
+        self.check_validity(now)
     }
 
-    /// The part of it that changes with time, for a verdict that is known.
-    pub fn judge_time(&self, now: Now) -> Result<u64, Refusal> {
+    /// Checks the validity period alone; says until when it lasts (Unix milliseconds, skew included).
+    pub fn check_validity(&self, now: VerificationTime) -> Result<u64, TokenError> {
         let begins = self.not_before.map_or(0, |at| at.saturating_mul(1000));
         let ends = self.expires.map_or(u64::MAX, |at| at.saturating_mul(1000).saturating_add(now.skew_ms));
         if now.unix_ms.saturating_add(now.skew_ms) < begins {
-            return Err(Refusal::Early(begins - now.unix_ms - now.skew_ms));
+            return Err(TokenError::NotYetValid(begins - now.unix_ms - now.skew_ms));
         }
         if now.unix_ms >= ends {
-            return Err(Refusal::Lapsed(now.unix_ms - (ends - now.skew_ms)));
+            return Err(TokenError::Expired(now.unix_ms - (ends - now.skew_ms)));
         }
         Ok(ends)
     }
 }
 
 impl Scope {
-    fn holds(&self, asked: &Asked) -> bool {
-        let whole = || format!("{}{}", asked.base, asked.target.text());
+    fn covers(&self, context: &VerificationContext) -> bool {
+        let whole = || format!("{}{}", context.base_url, context.target.to_text());
         match self {
-            Self::Path(path) => *path == asked.target.path,
+            Self::Path(path) => *path == context.target.path,
             Self::UrlPrefix(prefix) => whole().starts_with(prefix.as_str()),
-            Self::Patterns(patterns) => patterns.iter().any(|pattern| fits(pattern, &asked.target.path)),
+            Self::Patterns(patterns) => {
+                patterns.iter().any(|pattern| glob_matches(pattern, &context.target.path))
+            }
             Self::Expression(expression) => expression.is_match(&whole()),
             Self::Hash(hash) => {
                 let found = ring::digest::digest(&ring::digest::SHA256, whole().as_bytes());
@@ -190,9 +212,9 @@
     }
 }
 
-/// Whether a pattern fits all of a text: `*` stands for any characters, `?` for one. In time of their
-/// product.
-pub fn fits(pattern: &str, text: &str) -> bool {
+/// Whether a glob pattern matches a whole text: `*` matches any characters, `?` matches one. Takes time proportional
+/// to the product of both lengths.
+pub fn glob_matches(pattern: &str, text: &str) -> bool {
     let (pattern, text) = (pattern.as_bytes(), text.as_bytes());
     let (mut at, mut from, mut star) = (0, 0, None);
     while from < text.len() {
--- a/crates/signed-urls/src/clock.rs
+++ b/crates/signed-urls/src/clock.rs
@@ -1,93 +1,92 @@
-//! How far our own clock is off, by what independent parties say of the time: dates in answers of caches and
-//! the origin, times in the change stream. It moves no clock; it says by how much to read ours differently, and
-//! how sure that is.
+//! Estimates the offset of the router's clock from times that independent sources state: `Date` headers of responses, and
+//! events of the change stream. It sets no clock.
 
 use std::collections::BTreeMap;
 
-/// The last samples of one party, and the most parties: further ones are not heard.
-const SAMPLES: usize = 16;
-const PARTIES: usize = 64;
-/// The fewest parties that can outvote a liar.
-const FEWEST: usize = 3;
+/// Samples kept of one source.
+const SAMPLES_PER_SOURCE: usize = 16;
+/// Sources, at most; further ones are ignored.
+const MAX_SOURCES: usize = 64;
+/// Sources needed for an estimate: fewer can't outvote a wrong one.
+const MIN_SOURCES: usize = 3;
 
-/// One party's word: its time less ours at the moment its word came, in milliseconds. A word is old when it
-/// comes, by its way here: so the truth is at least this.
+/// Samples of one source: its time less ours on arrival, in milliseconds. Each is low by the time it took to arrive.
 #[derive(Default)]
-struct Participant {
+struct TimeSource {
     offsets: Vec<i64>,
     next: usize,
 }
 
-impl Participant {
+impl TimeSource {
     fn add(&mut self, offset: i64) {
         match self.offsets.get_mut(self.next) {
             Some(old) => *old = offset,
             None => self.offsets.push(offset),
         }
-        self.next = (self.next + 1) % SAMPLES;
+        self.next = (self.next + 1) % SAMPLES_PER_SOURCE;
     }
 
-    /// Its word that was quickest on its way.
+    /// The sample that took the shortest time to arrive.
     fn best(&self) -> Option<i64> {
         self.offsets.iter().copied().max()
     }
 }
 
-/// What is known of our clock.
+/// The estimated offset of the router's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
     /// To be added to our clock, in milliseconds.
     pub offset_ms: i64,
-    /// How far the parties near the middle are from each other.
+    /// The spread of the middle half of the sources, in milliseconds.
     pub spread_ms: u64,
-    pub parties: usize,
+    /// How many sources it is taken from.
+    pub sources: usize,
 }
 
-/// The estimate of our clock's offset, from samples by party.
-pub struct Clock {
-    parties: BTreeMap<u64, Participant>,
-    /// Beyond this an estimate is not believed: somebody has to look.
-    longest_ms: u64,
+/// Estimates the clock's offset from samples by source.
+pub struct ClockEstimator {
+    sources: BTreeMap<u64, TimeSource>,
+    /// A larger offset is not believed, in milliseconds.
+    max_offset_ms: u64,
 }
 
-impl Clock {
-    pub fn new(longest_ms: u64) -> Self {
-        Self { parties: BTreeMap::new(), longest_ms }
+impl ClockEstimator {
+    /// An estimator that believes offsets up to `max_offset_ms`.
+    pub fn new(max_offset_ms: u64) -> Self {
+        Self { sources: BTreeMap::new(), max_offset_ms }
     }
 
-    /// A party, by a stable number, said a time; both in Unix milliseconds.
-    pub fn said(&mut self, participant: u64, theirs: u64, ours: u64) {
-        if self.parties.len() >= PARTIES && !self.parties.contains_key(&participant) {
+    /// Records the time that a source stated, and ours on arrival; both in Unix milliseconds.
+    pub fn record(&mut self, source: u64, theirs: u64, ours: u64) {
+        if self.sources.len() >= MAX_SOURCES && !self.sources.contains_key(&source) {
             return;
         }
         let offset = i64::try_from(i128::from(theirs) - i128::from(ours)).unwrap_or(0);
-        self.parties.entry(participant).or_default().add(offset);
+        self.sources.entry(source).or_default().add(offset);
     }
 
-    /// The middle party's word; none while too few have spoken, as one of two may lie, nor where it is beyond
-    /// belief. One liar among three moves it to one of the two others' words, never to its own.
+    /// The median of all sources; none while there are too few, or where it is too large. One wrong source among three
+    /// can move it only between the two others.
     pub fn estimate(&self) -> Option<Estimate> {
-        let mut words: Vec<i64> = self.parties.values().filter_map(Participant::best).collect();
-        words.sort_unstable();
-        if words.len() < FEWEST {
+        let mut offsets: Vec<i64> = self.sources.values().filter_map(TimeSource::best).collect();
+        offsets.sort_unstable();
+        if offsets.len() < MIN_SOURCES {
             return None;
         }
-        let middle = words.len() / 2;
-        // Of an even number the two in the middle count alike.
-        let offset_ms = match words.len() % 2 {
-            1 => words[middle],
-            _ => words[middle - 1].midpoint(words[middle]),
+        let middle = offsets.len() / 2;
+        let offset_ms = match offsets.len() % 2 {
+            1 => offsets[middle],
+            _ => offsets[middle - 1].midpoint(offsets[middle]),
         };
-        let near = &words[words.len() / 4..=(3 * words.len() / 4).min(words.len() - 1)];
-        let spread_ms = near.last()?.abs_diff(*near.first()?);
-        let parties = words.len();
-        (offset_ms.unsigned_abs() <= self.longest_ms).then_some(Estimate { offset_ms, spread_ms, parties })
+        let middle_half = &offsets[offsets.len() / 4..=(3 * offsets.len() / 4).min(offsets.len() - 1)];
+        let spread_ms = middle_half.last()?.abs_diff(*middle_half.first()?);
+        let sources = offsets.len();
+        (offset_ms.unsigned_abs() <= self.max_offset_ms).then_some(Estimate { offset_ms, spread_ms, sources })
     }
 
-    /// The time to judge tokens by, with the skew that the settings allow: the estimate moves the time, and
-    /// never widens the skew, which is what a key's owner was told.
-    pub fn now(&self, ours_unix_ms: u64, skew_ms: u64) -> crate::claims::Now {
+    /// The time to verify tokens at: the estimate corrects it and never widens the configured skew.
+    pub fn now(&self, ours_unix_ms: u64, skew_ms: u64) -> crate::claims::VerificationTime {
         let offset = self.estimate().map_or(0, |estimate| estimate.offset_ms);
-        crate::claims::Now { unix_ms: ours_unix_ms.saturating_add_signed(offset), skew_ms }
+        crate::claims::VerificationTime { unix_ms: ours_unix_ms.saturating_add_signed(offset), skew_ms }
     }
 }
--- a/crates/signed-urls/src/keys.rs
+++ b/crates/signed-urls/src/keys.rs
@@ -1,5 +1,5 @@
-//! Keys: a set of them from a JSON key set (RFC 7517), each with its id, its one algorithm, its use and its
-//! time. A set is taken whole or not at all.
+//! Key sets: JSON Web Key Sets (RFC 7517) of keys with an id, one algorithm, permitted operations and a validity
+//! period. A set is accepted as a whole or not at all.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,11 +10,21 @@
 use serde::Deserialize;
 use zeroize::{Zeroize, Zeroizing};
 
-/// The most keys in a set, and the longest text of one.
-pub const MOST: usize = 256;
-pub const LONGEST: usize = 256 << 10;
+/// Keys in a set, at most.
+pub const MAX_KEYS: usize = 256;
+/// Size of a set's text, in bytes, at most.
+pub const MAX_BYTES: usize = 256 << 10;
 
-/// What a key is for; a token that names another algorithm than its key's is refused.
+/// Size of a key's id, in bytes, at most.
+const MAX_KEY_ID_BYTES: usize = 128;
+/// Size of an HMAC secret, in bytes, at least.
+const MIN_SECRET_BYTES: usize = 32;
+/// Size of a P-256 coordinate and of an Ed25519 public key, in bytes.
+const COORDINATE_BYTES: usize = 32;
+/// The first byte of an uncompressed point (SEC 1, section 2.3.3).
+const UNCOMPRESSED_POINT: u8 = 4;
+
+/// A key's signature algorithm. A token that names another algorithm than its key's is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum Algorithm {
     /// HMAC with SHA-256, secrets of 32 bytes or more.
@@ -29,6 +39,7 @@
 }
 
 impl Algorithm {
+    /// The algorithm's name in `alg` (RFC 7518, RFC 8037).
     pub fn name(self) -> &'static str {
         match self {
             Self::Hs256 => "HS256",
@@ -38,47 +49,61 @@
     }
 }
 
-/// A fault of a key set: which key, and what of it. Never a part of a secret.
+/// Why a key set is rejected. The texts never quote a secret.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum KeySetError {
+    /// The text is not a key set; says where it breaks.
     #[error("key set: {0}")]
-    Unreadable(String),
-    #[error("key set: over {MOST} keys or {LONGEST} bytes")]
-    Long,
+    Malformed(String),
+    /// There are too many keys, or too many bytes.
+    #[error("key set: over {MAX_KEYS} keys or {MAX_BYTES} bytes")]
+    TooLong,
+    /// A key can't be used: its id, and why.
     #[error("key {0:?}: {1}")]
     Key(String, &'static str),
 }
 
-enum Material {
+enum KeyMaterial {
     Secret(hmac::Key),
     Public(signature::UnparsedPublicKey<Vec<u8>>),
-    Pair(signature::Ed25519KeyPair),
+    KeyPair(signature::Ed25519KeyPair),
 }
 
+/// One key.
 pub struct Key {
+    /// The id by which tokens name it.
     pub id: String,
+    /// Its one algorithm.
     pub algorithm: Algorithm,
-    /// Whether it may sign; all keys check.
-    pub signs: bool,
-    /// Unix seconds between which what it signed is taken.
-    pub from: u64,
-    pub until: u64,
-    material: Material,
+    /// Whether it may sign; every key may verify.
+    pub can_sign: bool,
+    /// From when its signatures are accepted, in Unix seconds.
+    pub valid_from: u64,
+    /// Until when its signatures are accepted, in Unix seconds.
+    pub valid_until: u64,
+    material: KeyMaterial,
 }
 
 impl fmt::Debug for Key {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        write!(out, "Key({:?}, {}, {} to {})", self.id, self.algorithm.name(), self.from, self.until)
+        write!(
+            out,
+            "Key({:?}, {}, {} to {})",
+            self.id,
+            self.algorithm.name(),
+            self.valid_from,
+            self.valid_until
+        )
     }
 }
 
 impl Key {
-    /// Whether the signature is this key's; compared in constant time.
-    pub fn checks(&self, message: &[u8], signature: &[u8]) -> bool {
+    /// Whether this key made the signature; compares in constant time.
+    pub fn verifies(&self, message: &[u8], signature: &[u8]) -> bool {
         match &self.material {
-            Material::Secret(key) => hmac::verify(key, message, signature).is_ok(),
-            Material::Public(key) => key.verify(message, signature).is_ok(),
-            Material::Pair(pair) => {
+            KeyMaterial::Secret(key) => hmac::verify(key, message, signature).is_ok(),
+            KeyMaterial::Public(key) => key.verify(message, signature).is_ok(),
+            KeyMaterial::KeyPair(pair) => {
                 let key = signature::UnparsedPublicKey::new(
                     &signature::ED25519,
                     signature::KeyPair::public_key(pair),
@@ -88,127 +113,146 @@
         }
     }
 
-    /// The signature of a message; none by a key that may not sign.
+    /// Signs a message; none where the key may not sign.
     pub fn sign(&self, message: &[u8]) -> Option<Vec<u8>> {
         match &self.material {
-            _ if !self.signs => None,
-            Material::Secret(key) => Some(hmac::sign(key, message).as_ref().to_vec()),
-            Material::Pair(pair) => Some(pair.sign(message).as_ref().to_vec()),
-            Material::Public(_) => None,
+            _ if !self.can_sign => None,
+            KeyMaterial::Secret(key) => Some(hmac::sign(key, message).as_ref().to_vec()),
+            KeyMaterial::KeyPair(pair) => Some(pair.sign(message).as_ref().to_vec()),
+            KeyMaterial::Public(_) => None,
         }
     }
 
-    pub fn holds_at(&self, unix: u64) -> bool {
-        (self.from..self.until).contains(&unix)
+    /// Whether the time, in Unix seconds, lies in its validity period.
+    pub fn is_valid_at(&self, unix: u64) -> bool {
+        (self.valid_from..self.valid_until).contains(&unix)
     }
 }
 
 #[derive(Deserialize)]
-struct Set {
-    keys: Vec<Jwk>,
-    /// Ids of keys, and of single tokens, that hold no more.
+struct JsonKeySet {
+    keys: Vec<JsonKey>,
+    /// Ids of revoked keys, and of revoked tokens.
     #[serde(default)]
     revoked_keys: BTreeSet<String>,
     #[serde(default)]
     revoked_tokens: BTreeSet<String>,
 }
 
-/// A key as RFC 7517 and 8037 write it, with the times of ours.
+/// A JSON Web Key (RFC 7517, RFC 8037) with a validity period (`nbf`, `exp`).
 #[derive(Deserialize)]
-struct Jwk {
+struct JsonKey {
     kid: String,
     kty: String,
     alg: Algorithm,
     #[serde(default)]
     crv: String,
     #[serde(default)]
-    k: Wiped,
+    k: SecretText,
     #[serde(default)]
     x: String,
     #[serde(default)]
     y: String,
     #[serde(default)]
-    d: Wiped,
+    d: SecretText,
     #[serde(default)]
     key_ops: Vec<String>,
     #[serde(default)]
     nbf: u64,
-    #[serde(default = "for_ever")]
+    #[serde(default = "no_expiry")]
     exp: u64,
 }
 
-fn for_ever() -> u64 {
+fn no_expiry() -> u64 {
     u64::MAX
 }
 
-/// Text of a secret, wiped when it goes.
+/// The text of a secret, zeroed when dropped.
 #[derive(Default, Deserialize)]
-struct Wiped(String);
+struct SecretText(String);
 
-impl Drop for Wiped {
+impl Drop for SecretText {
     fn drop(&mut self) {
         self.0.zeroize();
     }
 }
 
-fn bytes(text: &str) -> Option<Zeroizing<Vec<u8>>> {
+fn decode_base64url(text: &str) -> Option<Zeroizing<Vec<u8>>> {
     URL_SAFE_NO_PAD.decode(text).ok().map(Zeroizing::new)
 }
 
-impl Jwk {
-    fn key(self) -> Result<Key, Fault> {
-        let fault = |what| Fault::Key(self.kid.clone(), what);
-        if self.kid.is_empty() || self.kid.len() > 128 || !self.kid.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(fault("its id is empty, over 128 bytes or no plain text"));
+impl JsonKey {
+    fn into_key(self) -> Result<Key, KeySetError> {
+        let well_formed = !self.kid.is_empty()
+            && self.kid.len() <= MAX_KEY_ID_BYTES
+            && self.kid.bytes().all(|byte| byte.is_ascii_graphic());
+        if !well_formed {
+            return Err(self.error("its id is empty, over 128 bytes or no plain text"));
         }
-        let part = |text: &str, what| bytes(text).ok_or_else(|| fault(what));
-        let material = match (self.alg, self.kty.as_str(), self.crv.as_str()) {
-            (Algorithm::Hs256, "oct", "") => {
-                let secret = part(&self.k.0, "k is no base64url")?;
-                if secret.len() < 32 {
-                    return Err(fault("k is under 32 bytes"));
-                }
-                Material::Secret(hmac::Key::new(hmac::HMAC_SHA256, &secret))
-            }
-            (Algorithm::Es256, "EC", "P-256") => {
-                let (x, y) = (part(&self.x, "x is no base64url")?, part(&self.y, "y is no base64url")?);
-                if x.len() != 32 || y.len() != 32 {
-                    return Err(fault("x and y are not 32 bytes each"));
-                }
-                let point = [&[4][..], &x, &y].concat();
-                Material::Public(signature::UnparsedPublicKey::new(
-                    &signature::ECDSA_P256_SHA256_FIXED,
-                    point,
-                ))
-            }
-            (Algorithm::EdDsa, "OKP", "Ed25519") => {
-                let public = part(&self.x, "x is no base64url")?;
-                if public.len() != 32 {
-                    return Err(fault("x is not 32 bytes"));
-                }
-                if self.d.0.is_empty() {
-                    Material::Public(signature::UnparsedPublicKey::new(&signature::ED25519, public.to_vec()))
-                } else {
-                    let seed = part(&self.d.0, "d is no base64url")?;
-                    let pair = signature::Ed25519KeyPair::from_seed_and_public_key(&seed, &public);
-                    Material::Pair(pair.map_err(|_| fault("d and x are no pair"))?)
-                }
-            }
-            _ => return Err(fault("kty, crv and alg do not go together")),
-        };
-        let signs = self.key_ops.iter().any(|deed| deed == "sign");
-        if signs && matches!(material, Material::Public(_)) {
-            return Err(fault("it is to sign and has no private part"));
+        let material = self.material()?;
+        let can_sign = self.key_ops.iter().any(|operation| operation == "sign");
+        if can_sign && matches!(material, KeyMaterial::Public(_)) {
+            return Err(self.error("it is to sign and has no private part"));
         }
         if self.nbf >= self.exp {
-            return Err(fault("it ends before it begins"));
+            return Err(self.error("it ends before it begins"));
         }
         let (id, algorithm) = (self.kid.clone(), self.alg);
-        Ok(Key { id, algorithm, signs, from: self.nbf, until: self.exp, material })
+        Ok(Key { id, algorithm, can_sign, valid_from: self.nbf, valid_until: self.exp, material })
+    }
+
+    fn material(&self) -> Result<KeyMaterial, KeySetError> {
+        match (self.alg, self.kty.as_str(), self.crv.as_str()) {
+            (Algorithm::Hs256, "oct", "") => self.hmac_key(),
+            (Algorithm::Es256, "EC", "P-256") => self.ecdsa_key(),
+            (Algorithm::EdDsa, "OKP", "Ed25519") => self.ed25519_key(),
+            _ => Err(self.error("kty, crv and alg do not go together")),
+        }
+    }
+
+    fn hmac_key(&self) -> Result<KeyMaterial, KeySetError> {
+        let secret = self.decode(&self.k.0, "k is no base64url")?;
+        if secret.len() < MIN_SECRET_BYTES {
+            return Err(self.error("k is under 32 bytes"));
+        }
+        Ok(KeyMaterial::Secret(hmac::Key::new(hmac::HMAC_SHA256, &secret)))
+    }
+
+    fn ecdsa_key(&self) -> Result<KeyMaterial, KeySetError> {
+        let x = self.decode(&self.x, "x is no base64url")?;
+        let y = self.decode(&self.y, "y is no base64url")?;
+        if x.len() != COORDINATE_BYTES || y.len() != COORDINATE_BYTES {
+            return Err(self.error("x and y are not 32 bytes each"));
+        }
+        let point = [&[UNCOMPRESSED_POINT][..], &x, &y].concat();
+        let algorithm = &signature::ECDSA_P256_SHA256_FIXED;
+        Ok(KeyMaterial::Public(signature::UnparsedPublicKey::new(algorithm, point)))
+    }
+
+    fn ed25519_key(&self) -> Result<KeyMaterial, KeySetError> {
+        let public = self.decode(&self.x, "x is no base64url")?;
+        if public.len() != COORDINATE_BYTES {
+            return Err(self.error("x is not 32 bytes"));
+        }
+        if self.d.0.is_empty() {
+            let key = signature::UnparsedPublicKey::new(&signature::ED25519, public.to_vec());
+            return Ok(KeyMaterial::Public(key));
+        }
+        let seed = self.decode(&self.d.0, "d is no base64url")?;
+        let pair = signature::Ed25519KeyPair::from_seed_and_public_key(&seed, &public);
+        pair.map(KeyMaterial::KeyPair).map_err(|_| self.error("d and x are no pair"))
+    }
+
+    fn decode(&self, text: &str, reason: &'static str) -> Result<Zeroizing<Vec<u8>>, KeySetError> {
+        decode_base64url(text).ok_or_else(|| self.error(reason))
+    }
+
+    fn error(&self, reason: &'static str) -> KeySetError {
+        KeySetError::Key(self.kid.clone(), reason)
     }
 }
 
-/// Keys by their ids, and what was revoked.
+/// Keys by their ids, and revocations.
 #[derive(Debug, Default)]
 pub struct KeySet {
     keys: BTreeMap<String, Key>,
@@ -217,44 +261,48 @@
 }
 
 impl KeySet {
-    /// Reads a set; a fault in one key refuses all of it.
-    pub fn read(text: &[u8]) -> Result<Self, Fault> {
-        if text.len() > LONGEST {
-            return Err(Fault::Long);
+    /// Parses a set; an unusable key rejects the whole set.
+    pub fn parse(text: &[u8]) -> Result<Self, KeySetError> {
+        if text.len() > MAX_BYTES {
+            return Err(KeySetError::TooLong);
         }
-        let set: Set = serde_json::from_slice(text).map_err(|error| {
-            // The library's words may quote a value: only where it stands is told.
-            Fault::Unreadable(format!("line {}, column {}", error.line(), error.column()))
+        let set: JsonKeySet = serde_json::from_slice(text).map_err(|error| {
+            // The library's message may quote a secret: only the position is given.
+            KeySetError::Malformed(format!("line {}, column {}", error.line(), error.column()))
         })?;
-        if set.keys.len() > MOST {
-            return Err(Fault::Long);
+        if set.keys.len() > MAX_KEYS {
+            return Err(KeySetError::TooLong);
         }
         let (revoked_keys, revoked_tokens) = (set.revoked_keys, set.revoked_tokens);
         let mut keys = BTreeMap::new();
         for jwk in set.keys {
-            let key = jwk.key()?;
+            let key = jwk.into_key()?;
             if let Some(twice) = keys.insert(key.id.clone(), key) {
-                return Err(Fault::Key(twice.id, "two keys have this id"));
+                return Err(KeySetError::Key(twice.id, "two keys have this id"));
             }
         }
         Ok(Self { keys, revoked_keys, revoked_tokens })
     }
 
-    /// The key of that id, unless it was revoked.
+    /// The key with that id, unless it is revoked.
     pub fn key(&self, id: &str) -> Option<&Key> {
         self.keys.get(id).filter(|_| !self.revoked_keys.contains(id))
     }
 
+    /// Whether the key, or the token with that id, is revoked.
     pub fn is_revoked(&self, key: &str, token: Option<&str>) -> bool {
         self.revoked_keys.contains(key) || token.is_some_and(|token| self.revoked_tokens.contains(token))
     }
 
+    /// All keys that are not revoked.
     pub fn iter(&self) -> impl Iterator<Item = &Key> {
         self.keys.values().filter(|key| !self.revoked_keys.contains(&key.id))
     }
 
-    /// The key that signs now: of those that hold, the one that holds for longest.
-    pub fn signer(&self, unix: u64) -> Option<&Key> {
-        self.iter().filter(|key| key.signs && key.holds_at(unix)).max_by_key(|key| (key.until, key.from))
+    /// The key to sign with at that time (Unix seconds): the valid one that stays valid longest.
+    pub fn signing_key(&self, unix: u64) -> Option<&Key> {
+        self.iter()
+            .filter(|key| key.can_sign && key.is_valid_at(unix))
+            .max_by_key(|key| (key.valid_until, key.valid_from))
     }
 }
--- a/crates/signed-urls/src/lib.rs
+++ b/crates/signed-urls/src/lib.rs
@@ -1,42 +1,42 @@
-//! Signed URLs and tokens as content networks use them: their formats, keys, and whether a request may pass.
-//! Nothing here does I/O or reads a clock.
+//! Signed URLs and tokens as content networks use them: formats, keys, claims and a verification cache. Nothing here does
+//! I/O or reads a clock.
 //!
-//! A token goes through four steps, each of which bounds what the next may cost: its size, its signature by a
-//! key of the set, its claims, and time and scope of the request. What comes out is a fact for the decision
-//! module.
+//! A token is verified in four steps, each of which bounds the cost of the next: its size, its signature by a key of the
+//! set, its claims, and the time and scope of the request. The result is an authorization for the routing engine.
 
 pub mod claims;
 pub mod clock;
-pub mod edit;
-pub mod hmac_form;
+pub mod hmac_format;
+pub mod key_set_editor;
 pub mod keys;
-pub mod normal;
+pub mod normalize;
 pub mod playback;
-pub mod prefix;
 pub mod uri_signing;
+pub mod url_prefix;
 pub mod verification_cache;
 
-use claims::{Asked, Claims, Refusal};
+use claims::{Claims, TokenError, VerificationContext};
 use keys::KeySet;
 
-/// One form of tokens.
-pub trait Format {
+/// A token format.
+pub trait TokenFormat {
+    /// The format's name in the configuration.
     fn name(&self) -> &'static str;
-    /// What it is set up with, beside its name: what it says of a token may hang on these.
-    fn terms(&self) -> &[String] {
+    /// Its configuration, which the result of a verification may depend on.
+    fn parameters(&self) -> &[String] {
         &[]
     }
-    /// What a token says, once it is read and its signature holds; time, client and scope are judged by the
-    /// claims.
-    fn check(&self, token: &str, keys: &KeySet, asked: &Asked) -> Result<Claims, Refusal>;
+    /// Parses a token and verifies its signature. Time, client and scope are checked by the claims.
+    fn verify(&self, token: &str, keys: &KeySet, context: &VerificationContext)
+    -> Result<Claims, TokenError>;
 }
 
-/// Whether what the key signed may still be used: revocation and the key's own time, on each use.
-pub fn holds(claims: &Claims, keys: &KeySet, now: claims::Now) -> Result<(), Refusal> {
+/// Checks on each use that neither key nor token is revoked and the key is still valid.
+pub fn check_key(claims: &Claims, keys: &KeySet, now: claims::VerificationTime) -> Result<(), TokenError> {
     if keys.is_revoked(&claims.key, claims.id.as_deref()) {
-        return Err(Refusal::Revoked);
+        return Err(TokenError::Revoked);
     }
-    let key = keys.key(&claims.key).ok_or(Refusal::UnknownKey)?;
-    // The owner of a key said when it ends: no skew of ours widens that.
-    if key.holds_at(now.unix_ms / 1000) { Ok(()) } else { Err(Refusal::KeyTime) }
+    let key = keys.key(&claims.key).ok_or(TokenError::UnknownKey)?;
+    // The key's owner stated its validity: clock skew does not extend it.
+    if key.is_valid_at(now.unix_ms / 1000) { Ok(()) } else { Err(TokenError::KeyNotValid) }
 }
--- a/crates/signed-urls/src/playback.rs
+++ b/crates/signed-urls/src/playback.rs
@@ -1,7 +1,6 @@
-//! A playback that began in time may go on to a stated end. Its parts are tied together by renewals that the
-//! router signs itself, one with each answer, so that any router of the branch, and one that was restarted,
-//! takes them without a state of its own (RFC 9246, section 4, chained tokens; the claims are ours, as its
-//! renewal would move the end each time).
+//! Lets a playback that started under a valid signed URL continue past the URL's expiry, up to a stated end. Each response
+//! carries a renewal token signed by the router, so that any router with the same keys accepts it without shared state
+//! (chained tokens, RFC 9246 section 4; the claims differ, as RFC 9246's renewal would move the end each time).
 
 use std::net::IpAddr;
 
@@ -9,62 +8,68 @@
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use serde::{Deserialize, Serialize};
 
-use crate::claims::{Asked, Claims, Now, Prefix, Refusal};
+use crate::claims::{Claims, ClientNetwork, TokenError, VerificationContext, VerificationTime};
 use crate::keys::KeySet;
 
-/// The longest renewal as text.
-const LONGEST: usize = 2 << 10;
-const KIND: &str = "tindoor-playback";
+/// Size of a renewal token, in bytes, at most.
+const MAX_TOKEN_BYTES: usize = 2 << 10;
+/// The `typ` of renewal tokens.
+const TOKEN_TYPE: &str = "tindoor-playback";
 
-/// What playbacks are held to; seconds.
+/// Limits of playbacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    /// How long one renewal holds: a pause that is longer ends the playback, unless its link still passes.
-    pub holds: u64,
-    /// How long a playback may last from its first part.
-    pub longest: u64,
-    /// How long it may go on past the end of its link.
-    pub after_end: u64,
-    /// How many renewals may follow one another.
-    pub chain: u32,
+pub struct PlaybackLimits {
+    /// Lifetime of one renewal, in seconds: a longer pause ends the playback, unless its URL is still valid.
+    pub renewal_seconds: u64,
+    /// Duration of a playback from its first part, in seconds, at most.
+    pub max_seconds: u64,
+    /// How long it may continue past the expiry of its URL, in seconds.
+    pub grace_seconds: u64,
+    /// Renewals in a row, at most.
+    pub max_renewals: u32,
 }
 
-impl Default for Bounds {
+impl Default for PlaybackLimits {
     fn default() -> Self {
-        Self { holds: 60, longest: 7200, after_end: 900, chain: 10_000 }
+        Self { renewal_seconds: 60, max_seconds: 7200, grace_seconds: 900, max_renewals: 10_000 }
     }
 }
 
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-struct Head {
+struct Header {
     alg: String,
     kid: String,
     typ: String,
 }
 
-/// What a renewal says. Times are Unix seconds.
+/// The claims of a renewal token. Times are in Unix seconds.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Playback {
-    /// Until when this renewal holds, and the playback at the latest.
-    exp: u64,
-    ends: u64,
-    began: u64,
+    /// When this renewal expires.
+    #[serde(rename = "exp")]
+    expires: u64,
+    /// When the playback ends at the latest.
+    #[serde(rename = "ends")]
+    ends_at: u64,
+    #[serde(rename = "began")]
+    started_at: u64,
     /// How many renewals came before.
-    nth: u32,
-    /// The client's address, or its network of 64 bits.
+    #[serde(rename = "nth")]
+    renewals: u32,
+    /// The client's address, or its /64 network with IPv6.
     client: String,
-    /// All parts of one object: a seek within it is part of the playback.
+    /// The path prefix of the object's parts: a seek within it belongs to the playback.
     path: String,
-    /// The link's key and id, which may be revoked meanwhile.
+    /// The key and the token id of the signed URL, which may be revoked meanwhile.
     key: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     id: Option<String>,
 }
 
-/// The prefix by which a client is known again: copied to another, a renewal is of no use.
-fn own(client: IpAddr) -> String {
+/// The network that a renewal is bound to, so that another client can't use a copy.
+fn client_network(client: IpAddr) -> String {
     match client.to_canonical() {
         IpAddr::V4(address) => address.to_string(),
         IpAddr::V6(address) => {
@@ -74,97 +79,110 @@
     }
 }
 
-/// The object that a part belongs to, with its slash.
-fn object(path: &str) -> Option<&str> {
+/// The path prefix of the object that a part belongs to, with its slash.
+fn object_path(path: &str) -> Option<&str> {
     path.rfind('/').map(|at| &path[..=at]).filter(|path| path.len() > 1)
 }
 
 impl Playback {
-    /// Begins with the first part that a link let pass; none for a link that has no end.
-    pub fn begin(claims: &Claims, asked: &Asked, now: Now, bounds: &Bounds) -> Option<Self> {
+    /// Starts a playback with the first part that a signed URL authorized; none for a URL that does not expire.
+    pub fn start(
+        claims: &Claims,
+        context: &VerificationContext,
+        now: VerificationTime,
+        limits: &PlaybackLimits,
+    ) -> Option<Self> {
         let unix = now.unix_ms / 1000;
-        // Of the link's own end, without any skew: a box that is fast must not move it.
-        let ends = claims.expires?.saturating_add(bounds.after_end).min(unix.saturating_add(bounds.longest));
+        // Reckoned from the stated expiry without skew: a fast clock must not extend it.
+        let ends_at =
+            claims.expires?.saturating_add(limits.grace_seconds).min(unix.saturating_add(limits.max_seconds));
         Some(Self {
-            exp: unix.saturating_add(bounds.holds).min(ends),
-            ends,
-            began: unix,
-            nth: 0,
-            client: own(asked.client),
-            path: object(&asked.target.path)?.to_string(),
+            expires: unix.saturating_add(limits.renewal_seconds).min(ends_at),
+            ends_at,
+            started_at: unix,
+            renewals: 0,
+            client: client_network(context.client),
+            path: object_path(&context.target.path)?.to_string(),
             key: claims.key.clone(),
             id: claims.id.clone(),
         })
     }
 
-    /// The next renewal; none once the chain or the playback is at its end.
-    pub fn next(&self, now: Now, bounds: &Bounds) -> Option<Self> {
+    /// The next renewal; none once the playback, or the number of renewals, is at its end.
+    pub fn renew(&self, now: VerificationTime, limits: &PlaybackLimits) -> Option<Self> {
         let unix = now.unix_ms / 1000;
-        let nth = self.nth + 1;
-        // Bounds that became shorter meanwhile hold for what began before, too.
-        let ends = self.ends.min(self.began.saturating_add(bounds.longest));
-        let exp = unix.saturating_add(bounds.holds).min(ends);
-        (nth <= bounds.chain && unix < ends).then(|| Self { exp, ends, nth, ..self.clone() })
+        let renewals = self.renewals + 1;
+        // Limits that were lowered meanwhile apply to running playbacks, too.
+        let ends_at = self.ends_at.min(self.started_at.saturating_add(limits.max_seconds));
+        let expires = unix.saturating_add(limits.renewal_seconds).min(ends_at);
+        let goes_on = renewals <= limits.max_renewals && unix < ends_at;
+        goes_on.then(|| Self { expires, ends_at, renewals, ..self.clone() })
     }
 
-    /// Where parts of it are found.
+    /// The path prefix of its parts.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// How long this renewal holds from now, in seconds.
-    pub fn holds(&self, now: Now) -> u64 {
-        self.exp.saturating_sub(now.unix_ms / 1000)
+    /// The remaining lifetime of this renewal, in seconds.
+    pub fn remaining_seconds(&self, now: VerificationTime) -> u64 {
+        self.expires.saturating_sub(now.unix_ms / 1000)
     }
 
-    /// Signs it by the key that signs now; none where no key does.
-    pub fn sign(&self, keys: &KeySet, now: Now) -> Option<String> {
-        let key = keys.signer(now.unix_ms / 1000)?;
-        let head = Head { alg: key.algorithm.name().into(), kid: key.id.clone(), typ: KIND.into() };
+    /// Signs the renewal with the current signing key; none where there is none.
+    pub fn sign(&self, keys: &KeySet, now: VerificationTime) -> Option<String> {
+        let key = keys.signing_key(now.unix_ms / 1000)?;
+        let head = Header { alg: key.algorithm.name().into(), kid: key.id.clone(), typ: TOKEN_TYPE.into() };
         let [head, body] = [serde_json::to_vec(&head).ok()?, serde_json::to_vec(self).ok()?];
         let text = format!("{}.{}", URL_SAFE_NO_PAD.encode(head), URL_SAFE_NO_PAD.encode(body));
         let signature = key.sign(text.as_bytes())?;
         Some(format!("{text}.{}", URL_SAFE_NO_PAD.encode(signature)))
     }
 
-    /// Reads a renewal and judges whether it lets a request pass now.
-    pub fn check(token: &str, keys: &KeySet, asked: &Asked, now: Now) -> Result<Self, Refusal> {
-        if token.len() > LONGEST {
-            return Err(Refusal::Long);
+    /// Verifies a renewal token for a request.
+    pub fn verify(
+        token: &str,
+        keys: &KeySet,
+        context: &VerificationContext,
+        now: VerificationTime,
+    ) -> Result<Self, TokenError> {
+        if token.len() > MAX_TOKEN_BYTES {
+            return Err(TokenError::TooLong);
         }
-        let unreadable = Refusal::Unreadable("not a renewal");
+        let malformed = TokenError::Malformed("not a renewal");
         let mut parts = token.split('.');
         let (Some(head), Some(body), Some(signature), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(unreadable);
+            return Err(malformed);
         };
-        let part = |text: &str| URL_SAFE_NO_PAD.decode(text).map_err(|_| unreadable);
-        let header: Head = serde_json::from_slice(&part(head)?).map_err(|_| unreadable)?;
-        let key = keys.key(&header.kid).ok_or(Refusal::UnknownKey)?;
-        if header.alg != key.algorithm.name() || header.typ != KIND {
-            return Err(Refusal::Algorithm);
+        let part = |text: &str| URL_SAFE_NO_PAD.decode(text).map_err(|_| malformed);
+        let header: Header = serde_json::from_slice(&part(head)?).map_err(|_| malformed)?;
+        let key = keys.key(&header.kid).ok_or(TokenError::UnknownKey)?;
+        if header.alg != key.algorithm.name() || header.typ != TOKEN_TYPE {
+            return Err(TokenError::AlgorithmMismatch);
         }
-        // Who may only check could else make renewals for everybody: those are signed by our own keys.
-        if !key.signs || !key.checks(&token.as_bytes()[..head.len() + 1 + body.len()], &part(signature)?) {
-            return Err(Refusal::Signature);
+        // Only keys that the router signs with: signers of URLs must not be able to make renewals.
+        if !key.can_sign || !key.verifies(&token.as_bytes()[..head.len() + 1 + body.len()], &part(signature)?)
+        {
+            return Err(TokenError::InvalidSignature);
         }
-        let playback: Self = serde_json::from_slice(&part(body)?).map_err(|_| unreadable)?;
-        if !key.holds_at(now.unix_ms / 1000) {
-            return Err(Refusal::KeyTime);
+        let playback: Self = serde_json::from_slice(&part(body)?).map_err(|_| malformed)?;
+        if !key.is_valid_at(now.unix_ms / 1000) {
+            return Err(TokenError::KeyNotValid);
         }
         if keys.is_revoked(&playback.key, playback.id.as_deref()) {
-            return Err(Refusal::Revoked);
+            return Err(TokenError::Revoked);
         }
-        if !Prefix::read(&playback.client).is_some_and(|client| client.holds(asked.client)) {
-            return Err(Refusal::Client);
+        if !ClientNetwork::parse(&playback.client).is_some_and(|client| client.contains(context.client)) {
+            return Err(TokenError::ClientMismatch);
         }
-        if object(&asked.target.path) != Some(playback.path.as_str()) {
-            return Err(Refusal::Scope);
+        if object_path(&context.target.path) != Some(playback.path.as_str()) {
+            return Err(TokenError::PathMismatch);
         }
-        let ends = playback.exp.saturating_mul(1000).saturating_add(now.skew_ms);
-        if now.unix_ms >= ends {
-            return Err(Refusal::Lapsed(now.unix_ms - (ends - now.skew_ms)));
+        let ends_ms = playback.expires.saturating_mul(1000).saturating_add(now.skew_ms);
+        if now.unix_ms >= ends_ms {
+            return Err(TokenError::Expired(now.unix_ms - (ends_ms - now.skew_ms)));
         }
         Ok(playback)
     }
--- a/crates/signed-urls/src/uri_signing.rs
+++ b/crates/signed-urls/src/uri_signing.rs
@@ -5,19 +5,21 @@
 use regex::RegexBuilder;
 use serde::{Deserialize, Serialize};
 
-use crate::Format;
-use crate::claims::{Asked, Claims, Prefix, Refusal, Renewal, Scope};
+use crate::TokenFormat;
+use crate::claims::{Claims, ClientNetwork, Renewal, Scope, TokenError, VerificationContext};
 use crate::keys::{Key, KeySet};
 
-/// The longest token, the longest expression, and what one may take compiled.
-const LONGEST: usize = 8 << 10;
-const LONGEST_EXPRESSION: usize = 1 << 10;
-const EXPRESSION_SIZE: usize = 256 << 10;
+/// Size of a token, in bytes, at most.
+const MAX_TOKEN_BYTES: usize = 8 << 10;
+/// Size of a regular expression's text, in bytes, at most.
+const MAX_EXPRESSION_BYTES: usize = 1 << 10;
+/// Size of a compiled regular expression, in bytes, at most.
+const MAX_COMPILED_EXPRESSION_BYTES: usize = 256 << 10;
 
-/// A token of one of our own forms of checks: for whom it has to be.
+/// The URI signing format.
 #[derive(Clone, Debug, Default)]
-pub struct UriSigning {
-    /// What `aud` has to name, where a token says for whom it is.
+pub struct UriSigningFormat {
+    /// The audience that a token's `aud` has to name, where it has one.
     pub audience: Option<String>,
 }
 
@@ -36,8 +38,8 @@
     Many(Vec<String>),
 }
 
-/// The claims as RFC 9246 names them. Given twice, one refuses the token; unknown ones count only where
-/// critical.
+/// The claims by their names in RFC 9246. A claim that occurs twice rejects the token; unknown ones matter only where they
+/// are critical.
 #[derive(Deserialize)]
 struct Payload {
     cdniv: Option<u64>,
@@ -53,145 +55,179 @@
     aud: Option<Audience>,
 }
 
-const KNOWN: [&str; 12] = [
+/// The version of the claims (`cdniv`) that is supported.
+const CLAIMS_VERSION: u64 = 1;
+
+const KNOWN_CLAIMS: [&str; 12] = [
     "cdniv", "cdnicrit", "cdniip", "cdniuc", "cdniets", "cdnistt", "cdnistd", "exp", "nbf", "iat", "jti",
     "aud",
 ];
 
-/// What is signed.
+/// The claims to sign, by their names in RFC 9246.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Signed {
+pub struct UriSigningClaims {
+    /// The URI container: which URLs are covered.
     pub cdniuc: String,
+    /// When the token expires, in Unix seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub exp: Option<u64>,
+    /// From when it is valid, in Unix seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub nbf: Option<u64>,
+    /// The token's own id.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub jti: Option<String>,
+    /// The audience.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub aud: Option<String>,
+    /// The client network.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cdniip: Option<String>,
+    /// Lifetime of a renewed token, in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cdniets: Option<u64>,
+    /// How a renewed token is sent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cdnistt: Option<u8>,
+    /// How many path segments a renewed token covers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cdnistd: Option<u32>,
 }
 
-fn part(text: &str) -> Result<Vec<u8>, Refusal> {
-    URL_SAFE_NO_PAD.decode(text).map_err(|_| Refusal::Unreadable("a part that is no base64url"))
+fn decode_part(text: &str) -> Result<Vec<u8>, TokenError> {
+    URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed("a part that is no base64url"))
 }
 
-impl UriSigning {
-    pub fn sign(&self, key: &Key, signed: &Signed) -> Option<String> {
+impl UriSigningFormat {
+    /// Signs the claims; none where the key may not sign.
+    pub fn sign(&self, key: &Key, claims: &UriSigningClaims) -> Option<String> {
         #[derive(Serialize)]
-        struct Head<'a> {
+        struct SignedHeader<'a> {
             alg: &'a str,
             kid: &'a str,
         }
-        let head = serde_json::to_vec(&Head { alg: key.algorithm.name(), kid: &key.id }).ok()?;
-        let body = serde_json::to_vec(signed).ok()?;
+        let head = serde_json::to_vec(&SignedHeader { alg: key.algorithm.name(), kid: &key.id }).ok()?;
+        let body = serde_json::to_vec(claims).ok()?;
         let text = format!("{}.{}", URL_SAFE_NO_PAD.encode(head), URL_SAFE_NO_PAD.encode(body));
         let signature = key.sign(text.as_bytes())?;
         Some(format!("{text}.{}", URL_SAFE_NO_PAD.encode(signature)))
     }
 
-    /// The container of a URL's hash: for one URL alone.
-    pub fn hash_of(url: &str) -> String {
+    /// The container (`cdniuc`) that covers exactly this URL.
+    pub fn hash_container(url: &str) -> String {
         let hash = ring::digest::digest(&ring::digest::SHA256, url.as_bytes());
         format!("hash:sha-256;{}", URL_SAFE_NO_PAD.encode(hash))
     }
 }
 
-fn scope(container: &str) -> Result<Scope, Refusal> {
+fn parse_scope(container: &str) -> Result<Scope, TokenError> {
     if let Some(expression) = container.strip_prefix("regex:") {
-        if expression.len() > LONGEST_EXPRESSION {
-            return Err(Refusal::Long);
+        if expression.len() > MAX_EXPRESSION_BYTES {
+            return Err(TokenError::TooLong);
         }
-        // Of the whole URL: one that fits a part of it would let everything pass that holds that part.
-        let built = RegexBuilder::new(&format!("^(?:{expression})$")).size_limit(EXPRESSION_SIZE).build();
-        return built.map(Scope::Expression).map_err(|_| Refusal::Unreadable("an expression that is none"));
+        // Anchored, so that the expression has to match the whole URL.
+        let built = RegexBuilder::new(&format!("^(?:{expression})$"))
+            .size_limit(MAX_COMPILED_EXPRESSION_BYTES)
+            .build();
+        return built.map(Scope::Expression).map_err(|_| TokenError::Malformed("an expression that is none"));
     }
     let hash = container.strip_prefix("hash:").and_then(|hash| hash.strip_prefix("sha-256;"));
-    let hash = hash.ok_or(Refusal::Unreadable("a container of no known form"))?;
-    let hash = part(hash)?.try_into().map_err(|_| Refusal::Unreadable("a hash that is not 32 bytes"))?;
+    let hash = hash.ok_or(TokenError::Malformed("a container of no known form"))?;
+    let hash =
+        decode_part(hash)?.try_into().map_err(|_| TokenError::Malformed("a hash that is not 32 bytes"))?;
     Ok(Scope::Hash(hash))
 }
 
-impl Format for UriSigning {
+impl TokenFormat for UriSigningFormat {
     fn name(&self) -> &'static str {
         "uri-signing"
     }
 
-    fn terms(&self) -> &[String] {
+    fn parameters(&self) -> &[String] {
         self.audience.as_slice()
     }
 
-    fn check(&self, token: &str, keys: &KeySet, _: &Asked) -> Result<Claims, Refusal> {
-        if token.len() > LONGEST {
-            return Err(Refusal::Long);
-        }
-        let mut parts = token.split('.');
-        let (Some(head), Some(body), Some(signature), None) =
-            (parts.next(), parts.next(), parts.next(), parts.next())
-        else {
-            return Err(Refusal::Unreadable("not three parts"));
-        };
-        let header: Header = serde_json::from_slice(&part(head)?)
-            .map_err(|_| Refusal::Unreadable("a header without alg and kid"))?;
-        let key = keys.key(&header.kid).ok_or(Refusal::UnknownKey)?;
-        // The algorithm is the key's: one that a token chooses may turn a public key into a secret.
-        if header.alg != key.algorithm.name() {
-            return Err(Refusal::Algorithm);
-        }
-        if !key.checks(&token.as_bytes()[..head.len() + 1 + body.len()], &part(signature)?) {
-            return Err(Refusal::Signature);
-        }
-        if !header.crit.is_empty() {
-            return Err(Refusal::Critical);
-        }
-        // Nothing of the claims is read before the signature holds.
-        let payload: Payload = serde_json::from_slice(&part(body)?)
-            .map_err(|_| Refusal::Unreadable("claims that are missing, twice or of the wrong kind"))?;
-        let critical = payload.cdnicrit.as_deref().unwrap_or_default();
-        if critical.split(',').any(|claim| !claim.is_empty() && !KNOWN.contains(&claim)) {
-            return Err(Refusal::Critical);
-        }
-        if payload.cdniv.is_some_and(|version| version != 1) {
-            return Err(Refusal::Critical);
+    fn verify(&self, token: &str, keys: &KeySet, _: &VerificationContext) -> Result<Claims, TokenError> {
+        if token.len() > MAX_TOKEN_BYTES {
+            return Err(TokenError::TooLong);
         }
-        if let (Some(ours), Some(theirs)) = (&self.audience, &payload.aud) {
-            let named = match theirs {
-                Audience::One(one) => one == ours,
-                Audience::Many(many) => many.contains(ours),
-            };
-            if !named {
-                return Err(Refusal::Audience);
-            }
+        let (key, body) = verify_signature(token, keys)?;
+        // Claims are parsed only once the signature is verified.
+        let payload: Payload = serde_json::from_slice(&body)
+            .map_err(|_| TokenError::Malformed("claims that are missing, twice or of the wrong kind"))?;
+        payload.check_critical()?;
+        if let (Some(ours), Some(theirs)) = (&self.audience, &payload.aud)
+            && !theirs.names(ours)
+        {
+            return Err(TokenError::AudienceMismatch);
         }
+        let malformed_address = TokenError::Malformed("an address that is none, or sealed");
         let client = match &payload.cdniip {
-            Some(text) => {
-                Some(Prefix::read(text).ok_or(Refusal::Unreadable("an address that is none, or sealed"))?)
-            }
+            Some(text) => Some(ClientNetwork::parse(text).ok_or(malformed_address)?),
             None => None,
         };
-        let renewal = match (payload.cdniets, payload.cdnistt.unwrap_or(0)) {
-            (_, 0) | (None, _) => None,
-            (Some(holds), transport @ (1 | 2)) => {
-                Some(Renewal { holds, transport, depth: payload.cdnistd.unwrap_or(0) })
-            }
-            _ => return Err(Refusal::Critical),
-        };
         Ok(Claims {
             key: key.id.clone(),
             not_before: payload.nbf,
             expires: payload.exp,
-            scope: scope(&payload.cdniuc)?,
+            renewal: payload.renewal()?,
+            scope: parse_scope(&payload.cdniuc)?,
             client,
             id: payload.jti,
-            renewal,
         })
     }
 }
+
+/// Verifies the signature of a token; returns its key and its decoded payload.
+fn verify_signature<'k>(token: &str, keys: &'k KeySet) -> Result<(&'k Key, Vec<u8>), TokenError> {
+    let mut parts = token.split('.');
+    let (Some(header), Some(body), Some(signature), None) =
+        (parts.next(), parts.next(), parts.next(), parts.next())
+    else {
+        return Err(TokenError::Malformed("not three parts"));
+    };
+    let signed = &token.as_bytes()[..header.len() + 1 + body.len()];
+    let header: Header = serde_json::from_slice(&decode_part(header)?)
+        .map_err(|_| TokenError::Malformed("a header without alg and kid"))?;
+    let key = keys.key(&header.kid).ok_or(TokenError::UnknownKey)?;
+    // The algorithm is the key's: a token that chooses its own may turn a public key into a secret.
+    if header.alg != key.algorithm.name() {
+        return Err(TokenError::AlgorithmMismatch);
+    }
+    if !key.verifies(signed, &decode_part(signature)?) {
+        return Err(TokenError::InvalidSignature);
+    }
+    if !header.crit.is_empty() {
+        return Err(TokenError::UnknownCriticalClaim);
+    }
+    Ok((key, decode_part(body)?))
+}
+
+impl Payload {
+    /// Rejects critical claims that are not supported, and other versions of the claims.
+    fn check_critical(&self) -> Result<(), TokenError> {
+        let critical = self.cdnicrit.as_deref().unwrap_or_default();
+        let unknown = critical.split(',').any(|claim| !claim.is_empty() && !KNOWN_CLAIMS.contains(&claim));
+        let other_version = self.cdniv.is_some_and(|version| version != CLAIMS_VERSION);
+        if unknown || other_version { Err(TokenError::UnknownCriticalClaim) } else { Ok(()) }
+    }
+
+    fn renewal(&self) -> Result<Option<Renewal>, TokenError> {
+        match (self.cdniets, self.cdnistt.unwrap_or(0)) {
+            (_, 0) | (None, _) => Ok(None),
+            (Some(lifetime_seconds), transport @ (1 | 2)) => {
+                Ok(Some(Renewal { lifetime_seconds, transport, depth: self.cdnistd.unwrap_or(0) }))
+            }
+            _ => Err(TokenError::UnknownCriticalClaim),
+        }
+    }
+}
+
+impl Audience {
+    fn names(&self, audience: &String) -> bool {
+        match self {
+            Self::One(one) => one == audience,
+            Self::Many(many) => many.contains(audience),
+        }
+    }
+}
--- a/crates/signed-urls/src/prefix.rs
+++ b/crates/signed-urls/src/url_prefix.rs
@@ -1,22 +1,22 @@
-//! The Ed25519 prefix signature: `URLPrefix=..&Expires=..&KeyName=..&Signature=..`, over the text before the
-//! signature.
+//! The URL prefix format, `URLPrefix=..&Expires=..&KeyName=..&Signature=..`: an Ed25519 signature of the text before it.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE;
 
-use crate::Format;
-use crate::claims::{Asked, Claims, Refusal, Scope};
+use crate::TokenFormat;
+use crate::claims::{Claims, Scope, TokenError, VerificationContext};
 use crate::keys::{Algorithm, Key, KeySet};
 
-const LONGEST: usize = 4 << 10;
+/// Size of a token, in bytes, at most.
+const MAX_TOKEN_BYTES: usize = 4 << 10;
 
-/// For a prefix of URLs, until a time.
+/// The URL prefix format.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PrefixSignature;
+pub struct UrlPrefixFormat;
 
-impl PrefixSignature {
-    /// Signs for all URLs that begin so; it should end with a slash, or names that begin alike are let in
-    /// too.
+impl UrlPrefixFormat {
+    /// Signs a URL prefix; none where the key may not sign. The prefix should end with a slash, or it covers every name that
+    /// begins alike.
     pub fn sign(&self, key: &Key, prefix: &str, expires: u64) -> Option<String> {
         let prefix = URL_SAFE.encode(prefix);
         let text = format!("URLPrefix={prefix}&Expires={expires}&KeyName={}", key.id);
@@ -25,16 +25,16 @@
     }
 }
 
-impl Format for PrefixSignature {
+impl TokenFormat for UrlPrefixFormat {
     fn name(&self) -> &'static str {
         "prefix"
     }
 
-    fn check(&self, token: &str, keys: &KeySet, _: &Asked) -> Result<Claims, Refusal> {
-        if token.len() > LONGEST {
-            return Err(Refusal::Long);
+    fn verify(&self, token: &str, keys: &KeySet, _: &VerificationContext) -> Result<Claims, TokenError> {
+        if token.len() > MAX_TOKEN_BYTES {
+            return Err(TokenError::TooLong);
         }
-        let order = Refusal::Unreadable("not URLPrefix, Expires, KeyName and Signature, in this order");
+        let order = TokenError::Malformed("not URLPrefix, Expires, KeyName and Signature, in this order");
         let (text, signature) = token.split_once("&Signature=").ok_or(order)?;
         let mut fields = text.split('&');
         let mut field = |name: &str| fields.next()?.strip_prefix(name)?.strip_prefix('=');
@@ -47,22 +47,25 @@
             return Err(order);
         }
         let signature =
-            URL_SAFE.decode(signature).map_err(|_| Refusal::Unreadable("a signature that is no base64"))?;
-        let key = keys.key(key).ok_or(Refusal::UnknownKey)?;
+            URL_SAFE.decode(signature).map_err(|_| TokenError::Malformed("a signature that is no base64"))?;
+        let key = keys.key(key).ok_or(TokenError::UnknownKey)?;
         if key.algorithm != Algorithm::EdDsa {
-            return Err(Refusal::Algorithm);
+            return Err(TokenError::AlgorithmMismatch);
         }
-        if !key.checks(text.as_bytes(), &signature) {
-            return Err(Refusal::Signature);
+        if !key.verifies(text.as_bytes(), &signature) {
+            return Err(TokenError::InvalidSignature);
         }
         let plain = expires.len() <= 12 && expires.bytes().all(|byte| byte.is_ascii_digit());
-        let expires =
-            expires.parse().ok().filter(|_| plain).ok_or(Refusal::Unreadable("an end that is no number"))?;
+        let expires = expires
+            .parse()
+            .ok()
+            .filter(|_| plain)
+            .ok_or(TokenError::Malformed("an end that is no number"))?;
         let prefix = URL_SAFE.decode(prefix).ok().and_then(|bytes| String::from_utf8(bytes).ok());
-        let prefix = prefix.ok_or(Refusal::Unreadable("a prefix that is no base64 of text"))?;
-        // Without a slash behind its host, a prefix would let in every host that begins alike.
+        let prefix = prefix.ok_or(TokenError::Malformed("a prefix that is no base64 of text"))?;
+        // Without a slash behind the host it would cover every host that begins alike.
         if !prefix.split_once("://").is_some_and(|(_, rest)| rest.contains('/')) {
-            return Err(Refusal::Unreadable("a prefix without a path"));
+            return Err(TokenError::Malformed("a prefix without a path"));
         }
         Ok(Claims {
             key: key.id.clone(),
--- a/crates/signed-urls/src/verification_cache.rs
+++ b/crates/signed-urls/src/verification_cache.rs
@@ -1,5 +1,5 @@
-//! Tokens that were checked before, and what checks may cost a client. Both tables are bounded: two
-//! generations, of which the older is dropped whole once the younger is full.
+//! Caches verified tokens, and limits how many verifications a client may cause. Both tables are bounded: they have two
+//! generations, and the older one is dropped when the newer one is full.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hash, Hasher};
@@ -8,15 +8,15 @@
 
 use siphasher::sip128::{Hasher128, SipHasher24};
 
-use crate::claims::{Asked, Claims, Now, Refusal};
+use crate::claims::{Claims, TokenError, VerificationContext, VerificationTime};
 use crate::keys::KeySet;
-use crate::{Format, holds};
+use crate::{TokenFormat, check_key};
 
-/// Keys of the maps are even bits already.
+/// Passes hashes through: the keys of the maps are hashes already.
 #[derive(Default)]
-struct Even(u64);
+struct IdentityHasher(u64);
 
-impl Hasher for Even {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -30,107 +30,121 @@
     }
 }
 
-/// A map of so many entries at most: those not used for a generation go.
-struct Generations<V> {
-    young: HashMap<u128, V, BuildHasherDefault<Even>>,
-    old: HashMap<u128, V, BuildHasherDefault<Even>>,
-    most: usize,
+/// A map with a bounded number of entries, which drops those that were not used for a generation.
+struct GenerationalMap<V> {
+    current: HashMap<u128, V, BuildHasherDefault<IdentityHasher>>,
+    previous: HashMap<u128, V, BuildHasherDefault<IdentityHasher>>,
+    capacity: usize,
 }
 
-impl<V> Generations<V> {
-    fn new(most: usize) -> Self {
-        Self { young: HashMap::default(), old: HashMap::default(), most: most.max(2) }
+impl<V> GenerationalMap<V> {
+    fn new(capacity: usize) -> Self {
+        Self { current: HashMap::default(), previous: HashMap::default(), capacity: capacity.max(2) }
     }
 
     fn get(&mut self, key: u128) -> Option<&mut V> {
-        if !self.young.contains_key(&key) {
-            let value = self.old.remove(&key)?;
-            self.put(key, value);
+        if !self.current.contains_key(&key) {
+            let value = self.previous.remove(&key)?;
+            self.insert(key, value);
         }
-        self.young.get_mut(&key)
+        self.current.get_mut(&key)
     }
 
-    fn put(&mut self, key: u128, value: V) {
-        if self.young.len() >= self.most / 2 && !self.young.contains_key(&key) {
-            self.old = std::mem::take(&mut self.young);
+    fn insert(&mut self, key: u128, value: V) {
+        if self.current.len() >= self.capacity / 2 && !self.current.contains_key(&key) {
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.young.insert(key, value);
+        self.current.insert(key, value);
     }
 
     fn remove(&mut self, key: u128) {
-        self.young.remove(&key);
-        self.old.remove(&key);
+        self.current.remove(&key);
+        self.previous.remove(&key);
     }
 
     fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.current.len() + self.previous.len()
     }
 }
 
-/// Every size and rate that checks keep to.
+/// Tokens that a failed verification takes from a client's budget; a successful one takes one.
+const FAILED_VERIFICATION_COST: f64 = 4.0;
+
+/// Limits of the cache and of the verifications that a client may cause.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Verdicts known at once.
-    pub verdicts: usize,
-    /// How long one is known at most, in milliseconds.
-    pub known_ms: u64,
-    /// Clients whose costs are known at once.
+pub struct Limits {
+    /// Cached tokens, at most.
+    pub entries: usize,
+    /// How long a token stays cached, in milliseconds, at most.
+    pub entry_lifetime_ms: u64,
+    /// Clients whose verifications are counted, at most.
     pub clients: usize,
-    /// Signatures that a client may have checked at once, and a second. One that fails counts as four.
+    /// Verifications that a client may cause at once.
     pub burst: f64,
+    /// Verifications that a client may cause a second.
     pub rate: f64,
-    /// Clients that may use one token while its verdict is known: a link that is passed round is used from
-    /// many.
-    pub addresses: usize,
+    /// Clients that may use one token while it is cached.
+    pub clients_per_token: usize,
 }
 
-impl Default for Bounds {
+impl Default for Limits {
     fn default() -> Self {
-        Self { verdicts: 1 << 17, known_ms: 60_000, clients: 1 << 16, burst: 200.0, rate: 50.0, addresses: 8 }
+        Self {
+            entries: 1 << 17,
+            entry_lifetime_ms: 60_000,
+            clients: 1 << 16,
+            burst: 200.0,
+            rate: 50.0,
+            clients_per_token: 8,
+        }
     }
 }
 
-struct AttemptStatus {
-    /// What the signature's check said: time, client and scope are judged anew each time.
-    said: Result<Arc<Claims>, Refusal>,
-    until: u64,
-    /// Who used it since it is known, as keys of clients.
+struct Entry {
+    /// The result of the signature check; time, client and scope are checked on each use.
+    verification: Result<Arc<Claims>, TokenError>,
+    expires_ms: u64,
+    /// The clients that used it since, by their keys.
     clients: Vec<u128>,
 }
 
-struct Cost {
-    left: f64,
-    at: u64,
+/// A token bucket of verifications.
+struct ClientBudget {
+    tokens: f64,
+    refilled_ms: u64,
 }
 
-/// What came of a check.
+/// A verified token.
 #[derive(Clone, Debug)]
-pub struct Checked {
+pub struct Verified {
+    /// The token's claims.
     pub claims: Arc<Claims>,
-    /// Until when, in Unix milliseconds, the request may go on as it is.
-    pub until: u64,
+    /// Until when the request is authorized, in Unix milliseconds.
+    pub expires_ms: u64,
 }
 
-/// Why nothing came of it.
+/// Why a token was not verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    Token(Refusal),
-    /// This client had too much checked: to come back after so many milliseconds.
-    Costs(u64),
+pub enum VerificationError {
+    /// The token does not authorize the request.
+    Token(TokenError),
+    /// The client caused too many verifications; may retry after so many milliseconds.
+    RateLimited(u64),
 }
 
-/// Checks tokens, remembers what their signatures said, and holds each client to its share of checks.
+/// Verifies tokens, caches the results, and limits the verifications of each client.
 pub struct VerificationCache {
-    bounds: Bounds,
+    limits: Limits,
     seed: (u64, u64),
-    known: Generations<AttemptStatus>,
-    costs: Generations<Cost>,
+    entries: GenerationalMap<Entry>,
+    budgets: GenerationalMap<ClientBudget>,
+    /// Tokens found in the cache so far.
     pub hits: u64,
+    /// Signatures checked so far.
     pub checks: u64,
 }
 
-/// A client's own prefix: an address of IPv4, a network of 64 bits of IPv6, as one client holds many of
-/// those.
+/// Identifies a client: by its IPv4 address, or its /64 network with IPv6.
 fn client_key(client: IpAddr) -> u128 {
     match client.to_canonical() {
         IpAddr::V4(address) => u128::from(address.to_bits()).wrapping_mul(0x9E37_79B9_7F4A_7C15),
@@ -139,107 +153,113 @@
 }
 
 impl VerificationCache {
-    /// `seed` is secret: who knows it could write tokens that share an entry.
-    pub fn new(bounds: Bounds, seed: (u64, u64)) -> Self {
-        let (known, costs) = (Generations::new(bounds.verdicts), Generations::new(bounds.clients));
-        Self { bounds, seed, known, costs, hits: 0, checks: 0 }
+    /// `seed` must be secret: it prevents tokens made to share an entry.
+    pub fn new(limits: Limits, seed: (u64, u64)) -> Self {
+        let (known, budgets) = (GenerationalMap::new(limits.entries), GenerationalMap::new(limits.clients));
+        Self { limits, seed, entries: known, budgets, hits: 0, checks: 0 }
     }
 
-    /// Keys were read anew: nothing is known any more.
-    pub fn forget(&mut self) {
-        self.known = Generations::new(self.bounds.verdicts);
+    /// Drops all cached tokens, as after the keys were read again.
+    pub fn clear(&mut self) {
+        self.entries = GenerationalMap::new(self.limits.entries);
     }
 
-    pub fn known(&self) -> usize {
-        self.known.len()
+    /// Cached tokens.
+    pub fn entry_count(&self) -> usize {
+        self.entries.len()
     }
 
-    /// Of the form as it is set up: two of one name may want other audiences or keys, and what one said of a
-    /// token must not pass for the other's word.
-    fn digest(&self, format: &dyn Format, token: &str, path: &str) -> u128 {
+    /// The key of a cache entry. It covers the format's configuration, as two formats of one name may accept other keys or
+    /// audiences.
+    fn digest(&self, format: &dyn TokenFormat, token: &str, path: &str) -> u128 {
         let mut hasher = SipHasher24::new_with_keys(self.seed.0, self.seed.1);
-        (format.name(), format.terms(), token, path).hash(&mut hasher);
+        (format.name(), format.parameters(), token, path).hash(&mut hasher);
         hasher.finish128().as_u128()
     }
 
-    /// Whether the request may pass.
-    pub fn check(
+    /// Verifies a token for a request.
+    pub fn verify(
         &mut self,
-        format: &dyn Format,
+        format: &dyn TokenFormat,
         keys: &KeySet,
         token: &str,
-        asked: &Asked,
-        now: Now,
-    ) -> Result<Checked, Refused> {
-        // Some forms sign the path without naming it: a verdict is for both.
-        let digest = self.digest(format, token, &asked.target.path);
-        let said = match self.known.get(digest).filter(|known| known.until > now.unix_ms) {
+        context: &VerificationContext,
+        now: VerificationTime,
+    ) -> Result<Verified, VerificationError> {
+        // Some formats sign the path without naming it, so an entry is for token and path.
+        let digest = self.digest(format, token, &context.target.path);
+        let verification = match self.entries.get(digest).filter(|known| known.expires_ms > now.unix_ms) {
             Some(known) => {
                 self.hits += 1;
-                known.said.clone()
+                known.verification.clone()
             }
-            None => self.check_anew(format, keys, token, asked, now, digest)?,
+            None => self.verify_uncached(format, keys, token, context, now, digest)?,
         };
-        let claims = said.map_err(Refused::Token)?;
-        holds(&claims, keys, now).map_err(Refused::Token)?;
-        match claims.judge(asked, now) {
-            // Counted only once it would pass: who may not use it takes no place of those who may.
-            Ok(_) if !self.is_one_of_few(digest, client_key(asked.client)) => {
-                Err(Refused::Token(Refusal::Shared))
+        let claims = verification.map_err(VerificationError::Token)?;
+        check_key(&claims, keys, now).map_err(VerificationError::Token)?;
+        match claims.authorize(context, now) {
+            // Counted only when the token would be accepted, so that others take no place.
+            Ok(_) if !self.admit_client(digest, client_key(context.client)) => {
+                Err(VerificationError::Token(TokenError::TooManyClients))
             }
-            Ok(until) => Ok(Checked { claims, until }),
+            Ok(expires_ms) => Ok(Verified { claims, expires_ms }),
             Err(refusal) => {
-                if matches!(refusal, Refusal::Lapsed(_)) {
-                    self.known.remove(digest);
+                if matches!(refusal, TokenError::Expired(_)) {
+                    self.entries.remove(digest);
                 }
-                Err(Refused::Token(refusal))
+                Err(VerificationError::Token(refusal))
             }
         }
     }
 
-    fn is_one_of_few(&mut self, digest: u128, client: u128) -> bool {
-        let most = self.bounds.addresses;
-        let Some(known) = self.known.get(digest) else { return true };
+    fn admit_client(&mut self, digest: u128, client: u128) -> bool {
+        let capacity = self.limits.clients_per_token;
+        let Some(known) = self.entries.get(digest) else { return true };
         if known.clients.contains(&client) {
             return true;
         }
-        let room = known.clients.len() < most;
-        if room {
+        let has_capacity = known.clients.len() < capacity;
+        if has_capacity {
             known.clients.push(client);
         }
-        room
+        has_capacity
     }
 
-    fn check_anew(
+    fn verify_uncached(
         &mut self,
-        format: &dyn Format,
+        format: &dyn TokenFormat,
         keys: &KeySet,
         token: &str,
-        asked: &Asked,
-        now: Now,
+        context: &VerificationContext,
+        now: VerificationTime,
         digest: u128,
-    ) -> Result<Result<Arc<Claims>, Refusal>, Refused> {
-        let Bounds { burst, rate, known_ms, .. } = self.bounds;
-        let client = client_key(asked.client);
-        if self.costs.get(client).is_none() {
-            self.costs.put(client, Cost { left: burst, at: now.unix_ms });
+    ) -> Result<Result<Arc<Claims>, TokenError>, VerificationError> {
+        let Limits { burst, rate, entry_lifetime_ms, .. } = self.limits;
+        let client = client_key(context.client);
+        if self.budgets.get(client).is_none() {
+            self.budgets.insert(client, ClientBudget { tokens: burst, refilled_ms: now.unix_ms });
         }
-        let Some(cost) = self.costs.get(client) else { return Err(Refused::Costs(1000)) };
-        cost.left = (cost.left + now.unix_ms.saturating_sub(cost.at) as f64 * rate / 1000.0).min(burst);
-        cost.at = now.unix_ms;
-        if cost.left < 1.0 {
-            return Err(Refused::Costs(((1.0 - cost.left) * 1000.0 / rate).ceil() as u64));
+        let Some(budget) = self.budgets.get(client) else { return Err(VerificationError::RateLimited(1000)) };
+        budget.tokens = (budget.tokens
+            + now.unix_ms.saturating_sub(budget.refilled_ms) as f64 * rate / 1000.0)
+            .min(burst);
+        budget.refilled_ms = now.unix_ms;
+        if budget.tokens < 1.0 {
+            return Err(
+                VerificationError::RateLimited(((1.0 - budget.tokens) * 1000.0 / rate).ceil() as u64),
+            );
         }
         self.checks += 1;
-        let said = format.check(token, keys, asked).map(Arc::new);
-        cost.left -= if said.is_ok() { 1.0 } else { 4.0 };
-        let mut until = now.unix_ms.saturating_add(known_ms);
-        if let Ok(claims) = &said {
+        let verification = format.verify(token, keys, context).map(Arc::new);
+        budget.tokens -= if verification.is_ok() { 1.0 } else { FAILED_VERIFICATION_COST };
+        let mut expires_ms = now.unix_ms.saturating_add(entry_lifetime_ms);
+        if let Ok(claims) = &verification {
             let ends =
                 claims.expires.map_or(u64::MAX, |at| at.saturating_mul(1000).saturating_add(now.skew_ms));
-            until = until.min(ends);
+            expires_ms = expires_ms.min(ends);
         }
-        self.known.put(digest, AttemptStatus { said: said.clone(), until, clients: Vec::new() });
-        Ok(said)
+        self.entries
+            .insert(digest, Entry { verification: verification.clone(), expires_ms, clients: Vec::new() });
+        Ok(verification)
     }
 }
--- a/crates/signed-urls/tests/golden.rs
+++ b/crates/signed-urls/tests/golden.rs
@@ -10,14 +10,14 @@
 use std::net::IpAddr;
 use std::path::PathBuf;
 
-use tindoor_signed_urls::claims::{Asked, Claims, Now, Refusal};
-use tindoor_signed_urls::hmac_form::{Fields, HmacForm};
+use tindoor_signed_urls::claims::{Claims, TokenError, VerificationContext, VerificationTime};
+use tindoor_signed_urls::hmac_format::{HmacFields, HmacFormat};
 use tindoor_signed_urls::keys::{Key, KeySet};
-use tindoor_signed_urls::normal::{self, Target};
-use tindoor_signed_urls::playback::{Bounds, Playback};
-use tindoor_signed_urls::prefix::PrefixSignature;
-use tindoor_signed_urls::uri_signing::{Signed, UriSigning};
-use tindoor_signed_urls::{Format, holds};
+use tindoor_signed_urls::normalize::{self, Target};
+use tindoor_signed_urls::playback::{Playback, PlaybackLimits};
+use tindoor_signed_urls::uri_signing::{UriSigningClaims, UriSigningFormat};
+use tindoor_signed_urls::url_prefix::UrlPrefixFormat;
+use tindoor_signed_urls::{TokenFormat, check_key};
 
 /// Unix seconds at which tokens are verified, and at which they end.
 const NOW: u64 = 1_700_000_000;
@@ -30,45 +30,45 @@
 }
 
 fn keys() -> KeySet {
-    KeySet::read(&fs::read(file("keys.json")).unwrap()).unwrap()
+    KeySet::parse(&fs::read(file("keys.json")).unwrap()).unwrap()
 }
 
 fn target() -> Target {
-    normal::target(PATH).unwrap()
+    normalize::normalize(PATH).unwrap()
 }
 
-fn request(target: &Target) -> Asked<'_> {
-    Asked { base: BASE, target, client: IpAddr::from([10, 1, 2, 3]) }
+fn request(target: &Target) -> VerificationContext<'_> {
+    VerificationContext { base_url: BASE, target, client: IpAddr::from([10, 1, 2, 3]) }
 }
 
-fn at(unix: u64) -> Now {
-    Now { unix_ms: unix * 1000, skew_ms: 0 }
+fn at(unix: u64) -> VerificationTime {
+    VerificationTime { unix_ms: unix * 1000, skew_ms: 0 }
 }
 
-fn hmac_form() -> HmacForm {
-    HmacForm { keys: vec!["hmac-key".into()] }
+fn hmac_format() -> HmacFormat {
+    HmacFormat { keys: vec!["hmac-key".into()] }
 }
 
-fn uri_signing() -> UriSigning {
-    UriSigning { audience: Some("edge".into()) }
+fn uri_signing() -> UriSigningFormat {
+    UriSigningFormat { audience: Some("edge".into()) }
 }
 
 /// The form that a token's name says.
-fn format_of(name: &str) -> Box<dyn Format> {
+fn format_of(name: &str) -> Box<dyn TokenFormat> {
     match name {
-        _ if name.starts_with("hmac") => Box::new(hmac_form()),
+        _ if name.starts_with("hmac") => Box::new(hmac_format()),
         _ if name.starts_with("uri-signing") => Box::new(uri_signing()),
-        _ if name.starts_with("url-prefix") => Box::new(PrefixSignature),
+        _ if name.starts_with("url-prefix") => Box::new(UrlPrefixFormat),
         _ => panic!("{name}: no such form"),
     }
 }
 
 fn hmac_for_one_path(key: &Key) -> Option<String> {
-    hmac_form().sign(key, &Fields { expires: END, ..Fields::default() }, PATH)
+    hmac_format().sign(key, &HmacFields { expires: END, ..HmacFields::default() }, PATH)
 }
 
 fn hmac_for_patterns(key: &Key) -> Option<String> {
-    let fields = Fields {
+    let fields = HmacFields {
         not_before: Some(NOW - 60),
         expires: END,
         patterns: vec!["/lessons/*".into(), "/maps/?".into()],
@@ -76,18 +76,18 @@
         id: Some("token-1".into()),
         data: Some("student".into()),
     };
-    hmac_form().sign(key, &fields, PATH)
+    hmac_format().sign(key, &fields, PATH)
 }
 
-fn uri_claims() -> Signed {
-    Signed {
+fn uri_claims() -> UriSigningClaims {
+    UriSigningClaims {
         cdniuc: "regex:https://videos\\.example/lessons/[0-9]+/.*".into(),
         exp: Some(END),
         nbf: Some(NOW - 60),
         jti: Some("token-2".into()),
         aud: Some("edge".into()),
         cdniip: Some("10.1.2.3".into()),
-        ..Signed::default()
+        ..UriSigningClaims::default()
     }
 }
 
@@ -99,17 +99,17 @@
         ("hmac-patterns", hmac_for_patterns(hmac)),
         ("uri-signing-hs256", uri_signing().sign(hmac, &uri_claims())),
         ("uri-signing-eddsa", uri_signing().sign(ed25519, &uri_claims())),
-        ("url-prefix-ed25519", PrefixSignature.sign(ed25519, "https://videos.example/lessons/", END)),
+        ("url-prefix-ed25519", UrlPrefixFormat.sign(ed25519, "https://videos.example/lessons/", END)),
     ];
     tokens.map(|(name, token)| (name, token.unwrap())).to_vec()
 }
 
 /// What a token says, once its signature, key, time and scope are verified.
-fn verify(name: &str, token: &str, now: Now) -> Result<Claims, Refusal> {
+fn verify(name: &str, token: &str, now: VerificationTime) -> Result<Claims, TokenError> {
     let (keys, target) = (keys(), target());
-    let claims = format_of(name).check(token, &keys, &request(&target))?;
-    holds(&claims, &keys, now)?;
-    claims.judge(&request(&target), now)?;
+    let claims = format_of(name).verify(token, &keys, &request(&target))?;
+    check_key(&claims, &keys, now)?;
+    claims.authorize(&request(&target), now)?;
     Ok(claims)
 }
 
@@ -118,8 +118,8 @@
     let (keys, target) = (keys(), target());
     let (name, link) = link_tokens().swap_remove(0);
     let claims = verify(name, &link, at(NOW)).unwrap();
-    let first = Playback::begin(&claims, &request(&target), at(NOW), &Bounds::default()).unwrap();
-    let next = first.next(at(NOW + 10), &Bounds::default()).unwrap();
+    let first = Playback::start(&claims, &request(&target), at(NOW), &PlaybackLimits::default()).unwrap();
+    let next = first.renew(at(NOW + 10), &PlaybackLimits::default()).unwrap();
     vec![
         ("session-first", first.sign(&keys, at(NOW)).unwrap()),
         ("session-next", next.sign(&keys, at(NOW + 10)).unwrap()),
@@ -149,7 +149,7 @@
     for (name, token) in links {
         let claims = verify(&name, &token, at(NOW)).unwrap();
         assert_eq!(claims.expires, Some(END), "{name}");
-        assert_eq!(verify(&name, &token, at(END)).unwrap_err(), Refusal::Lapsed(0), "{name}");
+        assert_eq!(verify(&name, &token, at(END)).unwrap_err(), TokenError::Expired(0), "{name}");
         verified += 1;
     }
     assert_eq!(verified, 5);
@@ -161,7 +161,7 @@
     let sessions = recorded_tokens().into_iter().filter(|(name, _)| name.starts_with("session"));
     let mut verified = 0;
     for (name, token) in sessions {
-        let session = Playback::check(&token, &keys, &request(&target), at(NOW + 10)).unwrap();
+        let session = Playback::verify(&token, &keys, &request(&target), at(NOW + 10)).unwrap();
         assert_eq!(session.path(), "/lessons/3/", "{name}");
         verified += 1;
     }
@@ -171,7 +171,7 @@
 #[test]
 fn recorded_keys_are_read() {
     let keys = keys();
-    let described: Vec<String> = keys.iter().map(|key| format!("{key:?} signs {}", key.signs)).collect();
+    let described: Vec<String> = keys.iter().map(|key| format!("{key:?} signs {}", key.can_sign)).collect();
     assert_eq!(
         described,
         [
