--- a/crates/router/tests/policy.rs
+++ b/crates/router/tests/policy.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 
 use serde_json::{Value, json};
+use tindoor_testbed::cluster::{control_request, free_address};
 use tindoor_testbed::peer;
-use tindoor_testbed::several::{ask, free};
 use tindoor_testbed::stand_in::*;
 
 /// A router that is a fleet of its own, whose caches never answer.
@@ -25,7 +25,7 @@
             member("o-1", parent.address, "origin", "active"),
         ];
         let fleet = json!({
-            "name": "alone", "listen": free(), "votes": true, "operator": operator, "voters": 1, "lease_ms": 200,
+            "name": "alone", "listen": free_address(), "votes": true, "operator": operator, "voters": 1, "lease_ms": 200,
             "hold_out_ms": 1000, "clock_bound_ms": 20, "beat_ms": 25, "probation_ms": 50,
         });
         let fronts = json!({ "fleet": fleet, "external_processing": {"listen": "127.0.0.1:0"} });
@@ -35,26 +35,27 @@
         told["settings"]["family_info"]["gone_everywhere"] = json!(3_600_000_000u64);
         let alone = Self { router: Router::start_with(&told, &start), operator, cache };
         until("the operator to be heard", || alone.operator.exists());
-        ask(&alone.operator, &json!({"found": {}})).unwrap();
+        control_request(&alone.operator, &json!({"found": {}})).unwrap();
         let mut client = Client::connect(&alone.router);
         until("the router to be good", || client.healthy(1));
         alone
     }
 
-    fn ask(&self, what: &Value) -> Option<Value> {
-        ask(&self.operator, what).ok()
+    fn control_request(&self, what: &Value) -> Option<Value> {
+        control_request(&self.operator, what).ok()
     }
 
     /// Proposes until it is taken, and waits until it is in force.
     fn change(&self, changes: Value) {
         let propose = json!({"propose": {"changes": changes, "from": null, "by": "story", "note": ""}});
         until("a change to take hold", || {
-            let Some(token) = self.ask(&propose).and_then(|answer| answer["token"].as_u64()) else {
+            let Some(token) = self.control_request(&propose).and_then(|answer| answer["token"].as_u64())
+            else {
                 return false;
             };
             let mut end = Value::Null;
             until("a change to end", || {
-                end = self.ask(&json!({"end": {"token": token}})).unwrap_or_default();
+                end = self.control_request(&json!({"end": {"token": token}})).unwrap_or_default();
                 !end.is_null()
             });
             end["end"] == json!("TookHold")
--- a/crates/testbed/src/budgets.rs
+++ b/crates/testbed/src/budgets.rs
@@ -12,11 +12,11 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
 
+pub use crate::cluster::Plan;
+use crate::cluster::{CallResult, ClientConnection, Cluster, FaultInjector, wait_until};
 use crate::figures::Figures;
 use crate::fleet::Fleet;
-use crate::relay::Passed;
-pub use crate::several::Plan;
-use crate::several::{Came, Line, World, ail, settle, wait_for};
+use crate::relay::RecordedMessage;
 use crate::stand_in::Reply;
 
 /// Faults of its own.
@@ -69,7 +69,7 @@
         // All caches are in one location, and all routers are to reach them.
         told["settings"]["zone"] = json!(0);
     };
-    let (world, ready) = World::begin(plan, FAULTS, GUARDS, fleet, change)?;
+    let (cluster, ready) = Cluster::start(plan, FAULTS, GUARDS, fleet, change)?;
     // A burst is two for each router that may belong, at least.
     let burst = |burst: f64| burst.max(2.0 * (plan.routers + 4) as f64);
     let [fills, fills_burst, in_hand] = plan.fills;
@@ -80,40 +80,40 @@
         "budget.accounts.per_s": ACCOUNT[0], "budget.accounts.burst": burst(ACCOUNT[1]),
         "budget.connections.per_s": CONNECTIONS[0], "budget.connections.burst": burst(CONNECTIONS[1]),
     });
-    propose(&world, 0, 0, &first).context("budgets are proposed")?;
+    propose(&cluster, 0, 0, &first).context("budgets are proposed")?;
     let settled = |no: usize| {
-        let status = world.ask(no, &json!("status")).unwrap_or_default();
+        let status = cluster.control(no, &json!("status")).unwrap_or_default();
         status["generation"] == json!(2) && status["on_probation"].is_null() && status["out"].is_null()
     };
-    wait_for(Duration::from_secs(60), "budgets in force", || (0..plan.routers).all(settled))?;
-    if world.has("join") {
-        world.kill(plan.routers - 1);
+    wait_until(Duration::from_secs(60), "budgets in force", || (0..plan.routers).all(settled))?;
+    if cluster.has_fault("join") {
+        cluster.kill(plan.routers - 1);
     }
-    world.relay.keep();
+    cluster.relay.record();
     let begun = Instant::now();
     let counts = Arc::new(Mutex::new(Counts::default()));
     let clients: Vec<_> = (0..plan.routers * CLIENTS)
         .map(|no| {
-            let (world, counts) = (Arc::clone(&world), Arc::clone(&counts));
-            thread::spawn(move || client(&world, &counts, no))
+            let (cluster, counts) = (Arc::clone(&cluster), Arc::clone(&counts));
+            thread::spawn(move || client(&cluster, &counts, no))
         })
         .collect();
-    let sleeping = Arc::clone(&world);
+    let sleeping = Arc::clone(&cluster);
     let overslept = thread::spawn(move || {
         let mut most = 0f64;
-        while !sleeping.over.load(Ordering::SeqCst) {
+        while !sleeping.finished.load(Ordering::SeqCst) {
             let slept = Instant::now();
             thread::sleep(Duration::from_millis(5));
             most = most.max(slept.elapsed().as_secs_f64() - 0.005);
         }
         most
     });
-    let ailing = Arc::clone(&world);
-    let faults = thread::spawn(move || ail(&ailing));
-    let told = lower(&world, begun);
-    world.quiet.store(true, Ordering::SeqCst);
+    let injected = Arc::clone(&cluster);
+    let faults = thread::spawn(move || FaultInjector::new(&injected).run());
+    let told = lower(&cluster, begun);
+    cluster.faults_finished.store(true, Ordering::SeqCst);
     faults.join().expect("faults end");
-    let stuck = settle(&world);
+    let stuck = cluster.settle();
     // Without a guard use is not looked at.
     let calm_lasts = if plan.without.is_some() { Duration::ZERO } else { CALM };
     if plan.without.is_none() {
@@ -122,53 +122,56 @@
     let calm = Instant::now();
     // What use is held against, and who takes no requests as its clock is off: asked of the routers, as nothing is
     // forgiven by it.
-    let in_force = (0..plan.routers).find_map(|no| world.ask(no, &json!("policy"))).unwrap_or_default();
+    let in_force = (0..plan.routers).find_map(|no| cluster.control(no, &json!("policy"))).unwrap_or_default();
     let whole = in_force["policy"]["budget.origin_fills.per_s"].as_f64().unwrap_or(fills);
     thread::sleep(calm_lasts);
     let ended = Instant::now();
-    let out = |no: &usize| !world.ask(*no, &json!("status")).unwrap_or_default()["out"].is_null();
+    let out = |no: &usize| !cluster.control(*no, &json!("status")).unwrap_or_default()["out"].is_null();
     let out: Vec<usize> = (0..plan.routers).filter(out).collect();
-    world.over.store(true, Ordering::SeqCst);
+    cluster.finished.store(true, Ordering::SeqCst);
     for client in clients {
         let _ = client.join();
     }
     let slack = SLACK + overslept.join().unwrap_or_default();
     let mut counts = std::mem::take(&mut *counts.lock().unwrap());
     counts.wanted.retain(|(router, ..)| !out.contains(router));
-    let told = in_order(&world, &told);
-    let mut figures = audit(&world, counts, &told, [whole, slack], [begun, calm, ended], stuck, ready);
-    world.end(&mut figures);
+    let told = in_order(&cluster, &told);
+    let mut figures = audit(&cluster, counts, &told, [whole, slack], [begun, calm, ended], stuck, ready);
+    cluster.end(&mut figures);
     Ok(figures)
 }
 
-fn propose(world: &World, no: usize, note: usize, what: &Value) -> Option<u64> {
+fn propose(cluster: &Cluster, no: usize, note: usize, what: &Value) -> Option<u64> {
     let ask = json!({"propose": {"changes": what, "from": null, "by": "lab", "note": note.to_string()}});
-    world.ask(no, &ask)?["token"].as_u64()
+    cluster.control(no, &ask)?["token"].as_u64()
 }
 
 /// While faults are made: the whole is lowered and raised again, where that is asked for, and one more router comes.
-fn lower(world: &World, begun: Instant) -> Vec<Told> {
+fn lower(cluster: &Cluster, begun: Instant) -> Vec<Told> {
     // The first is how it begins; the number of each is its note.
-    let fills = world.plan.fills[0];
+    let fills = cluster.plan.fills[0];
     let mut told = vec![Told { to: fills, asked: begun, held: Some(begun) }];
     let mut tokens: Vec<Option<u64>> = vec![None];
-    let end = begun + Duration::from_secs(world.plan.seconds);
+    let end = begun + Duration::from_secs(cluster.plan.seconds);
     let (mut next, mut joined) = (begun, false);
     while Instant::now() < end {
         thread::sleep(Duration::from_millis(100));
-        world.find_leader();
-        if world.has("join") && !joined && begun.elapsed() * 3 > Duration::from_secs(world.plan.seconds) {
+        cluster.find_leader();
+        if cluster.has_fault("join")
+            && !joined
+            && begun.elapsed() * 3 > Duration::from_secs(cluster.plan.seconds)
+        {
             joined = true;
-            if !world.runs(world.replica_ids.len() - 1) {
-                world.start(world.replica_ids.len() - 1, None);
+            if !cluster.is_running(cluster.nodes.len() - 1) {
+                cluster.start_node(cluster.nodes.len() - 1, None);
             }
         }
-        let Some(no) = (0..world.replica_ids.len()).find(|no| world.runs(*no)) else { continue };
-        ended(world, no, &mut told, &mut tokens);
-        if world.has("lower") && Instant::now() >= next {
+        let Some(no) = (0..cluster.nodes.len()).find(|no| cluster.is_running(*no)) else { continue };
+        ended(cluster, no, &mut told, &mut tokens);
+        if cluster.has_fault("lower") && Instant::now() >= next {
             let (nth, asked) = (told.len(), Instant::now());
             let to = if nth % 2 == 1 { fills / 2.0 } else { fills };
-            let token = propose(world, no, nth, &json!({"budget.origin_fills.per_s": to}));
+            let token = propose(cluster, no, nth, &json!({"budget.origin_fills.per_s": to}));
             if let Some(token) = token {
                 told.push(Told { to, asked, held: None });
                 tokens.push(Some(token));
@@ -180,10 +183,11 @@
 }
 
 /// Asks which of those that were asked for hold by now.
-fn ended(world: &World, no: usize, told: &mut [Told], tokens: &mut [Option<u64>]) {
+fn ended(cluster: &Cluster, no: usize, told: &mut [Told], tokens: &mut [Option<u64>]) {
     for (told, token) in told.iter_mut().zip(tokens) {
         let Some(known) = *token else { continue };
-        let Some(end) = world.ask(no, &json!({"end": {"token": known}})).filter(|end| !end.is_null()) else {
+        let Some(end) = cluster.control(no, &json!({"end": {"token": known}})).filter(|end| !end.is_null())
+        else {
             continue;
         };
         *token = None;
@@ -192,8 +196,8 @@
 }
 
 /// Those that took hold, in the order in which they did, as the fleet's history has it.
-fn in_order(world: &World, told: &[Told]) -> Vec<Told> {
-    let history = (0..world.replica_ids.len()).filter_map(|no| world.ask(no, &json!("history")));
+fn in_order(cluster: &Cluster, told: &[Told]) -> Vec<Told> {
+    let history = (0..cluster.nodes.len()).filter_map(|no| cluster.control(no, &json!("history")));
     let history = history.max_by_key(|past| past.as_array().map_or(0, Vec::len)).unwrap_or_default();
     let past = history.as_array().cloned().unwrap_or_default();
     let held = past.iter().filter(|past| past["end"] == json!("TookHold"));
@@ -211,18 +215,18 @@
 }
 
 /// One client of one router: most of what it asks for nobody holds.
-fn client(world: &World, counts: &Mutex<Counts>, no: usize) {
-    let router = no % world.replica_ids.len();
+fn client(cluster: &Cluster, counts: &Mutex<Counts>, no: usize) {
+    let router = no % cluster.nodes.len();
     let mut chance =
-        Pcg64Mcg::seed_from_u64(world.plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add(no as u64));
-    let mut line = Line::new(world, router);
-    while !world.over.load(Ordering::SeqCst) {
+        Pcg64Mcg::seed_from_u64(cluster.plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add(no as u64));
+    let mut connection = ClientConnection::new(cluster, router);
+    while !cluster.finished.load(Ordering::SeqCst) {
         let kind = chance.random_range(0..20);
         let object = match kind {
             0 | 1 => format!("ee{:014x}", chance.random::<u64>() >> 8),
             2..6 => format!("00000000000010{:02x}", chance.random_range(0..16)),
             // Where few may be under way at once each lasts: what is at the origin is then what routers have in hand.
-            _ if world.plan.fills[2] < 20.0 => format!("f2{:014x}", chance.random::<u64>() >> 8),
+            _ if cluster.plan.fills[2] < 20.0 => format!("f2{:014x}", chance.random::<u64>() >> 8),
             _ => format!("f1{:014x}", chance.random::<u64>() >> 8),
         };
         let ticket = format!("{}{:015x}", router % 2, chance.random::<u64>() >> 4);
@@ -230,16 +234,16 @@
             [("route", "pages"), ("trace", ticket.as_str()), ("patience", "2500"), ("entity", &object)];
         let fields = [&fields[..], &[("chunk", "0"), ("tag", "17")]].concat();
         let asked = Instant::now();
-        let Some(came) = line.ask(&fields) else { continue };
-        if world.asked.fetch_add(1, Ordering::Relaxed) >= world.plan.requests {
+        let Some(came) = connection.call(&fields) else { continue };
+        if cluster.requests_sent.fetch_add(1, Ordering::Relaxed) >= cluster.plan.requests {
             thread::sleep(Duration::from_millis(50));
         }
         let mut counts = counts.lock().unwrap();
         counts.figures.requests += 1;
         match came {
-            Came::Lost => counts.lost_with_router += 1,
-            Came::Nothing => counts.figures.answered_none += 1,
-            Came::Answer { own, reply, .. } => {
+            CallResult::LostWithRouter => counts.lost_with_router += 1,
+            CallResult::NoAnswer => counts.figures.answered_none += 1,
+            CallResult::Answered { is_own: own, reply, .. } => {
                 counts.figures.answered_twice += u64::from(!own);
                 let done = matches!(reply, Reply::Served { .. });
                 match reply {
@@ -254,14 +258,14 @@
         }
         drop(counts);
         // Demand moves, less often than it is forgotten: then others want much, and the rest little.
-        let shifts = world.has("shift") && !world.quiet.load(Ordering::SeqCst);
-        let little = shifts && !world.wants_much(router);
+        let shifts = cluster.has_fault("shift") && !cluster.faults_finished.load(Ordering::SeqCst);
+        let little = shifts && !cluster.has_high_demand(router);
         let most = if little { 4000 } else { 12 };
         let due = Instant::now() + Duration::from_millis(chance.random_range(most / 4..most));
         // Not beyond the end of the spell.
         while Instant::now() < due
-            && !world.over.load(Ordering::SeqCst)
-            && !(little && world.wants_much(router))
+            && !cluster.finished.load(Ordering::SeqCst)
+            && !(little && cluster.has_high_demand(router))
         {
             thread::sleep((due - Instant::now()).min(Duration::from_millis(30)));
         }
@@ -317,19 +321,24 @@
 
 /// From what passed between routers: at how many moments more fills were lent than the whole allows beside the floors
 /// of all that may belong, and the most of it that was. What the leader keeps for itself passes nobody.
-fn granted(passed: &[Passed], routers: usize, burst: f64, whole: impl Fn(Instant) -> f64) -> (u64, f64) {
+fn granted(
+    passed: &[RecordedMessage],
+    routers: usize,
+    burst: f64,
+    whole: impl Fn(Instant) -> f64,
+) -> (u64, f64) {
     // By router its start, question and when; by start what it holds until when.
     let mut asked: HashMap<&str, (u64, u64, Instant)> = HashMap::new();
     let mut holds: HashMap<u64, ((u64, u64), Instant)> = HashMap::new();
     let (mut over, mut most) = (0, 0f64);
-    let mut sorted: Vec<&Passed> = passed.iter().collect();
+    let mut sorted: Vec<&RecordedMessage> = passed.iter().collect();
     sorted.sort_by_key(|passed| passed.at);
     let floors = (routers + 4) as f64;
     let burst = (burst - floors) * 1000.0;
-    for Passed { at, went_on, from, to, message } in sorted {
+    for RecordedMessage { at, forwarded, from, to, message } in sorted {
         match read(message) {
-            Some(Says::Asks(start, nonce)) if !went_on => drop(asked.insert(from, (start, nonce, *at))),
-            Some(Says::Lends(nonce, shares)) if *went_on => {
+            Some(Says::Asks(start, nonce)) if !forwarded => drop(asked.insert(from, (start, nonce, *at))),
+            Some(Says::Lends(nonce, shares)) if *forwarded => {
                 let Some((start, _, from)) = asked.get(to.as_str()).filter(|asked| asked.1 == nonce) else {
                     continue;
                 };
@@ -351,7 +360,7 @@
 
 /// Reckons from what caches and clients saw.
 fn audit(
-    world: &World,
+    cluster: &Cluster,
     counts: Counts,
     told: &[Told],
     [in_calm, slack]: [f64; 2],
@@ -359,12 +368,12 @@
     stuck: u64,
     ready: Duration,
 ) -> Figures {
-    let shared = world.fleet.lock().unwrap().shared();
+    let shared = cluster.fleet.lock().unwrap().shared();
     let mut figures = counts.figures;
-    world.fleet.lock().unwrap().audit(&mut figures);
+    cluster.fleet.lock().unwrap().audit(&mut figures);
     // A lowered whole counts from when it was known to hold, a raised one from when it was asked for.
     let whole = |at: Instant| {
-        let mut whole = world.plan.fills[0];
+        let mut whole = cluster.plan.fills[0];
         for pair in told.windows(2) {
             let [old, new] = [pair[0].to, pair[1].to];
             let from = if new < old { pair[1].held } else { Some(pair[1].asked) };
@@ -372,10 +381,10 @@
         }
         whole
     };
-    let burst = |burst: f64| burst.max(2.0 * (world.replica_ids.len() + 4) as f64);
+    let burst = |burst: f64| burst.max(2.0 * (cluster.nodes.len() + 4) as f64);
     let from = |times: &[Instant]| times.iter().copied().filter(|at| *at >= begun).collect::<Vec<_>>();
     let began: Vec<Instant> = shared.fills.iter().map(|fill| fill.0).collect();
-    let (fills_over, most) = windows(&from(&began), burst(world.plan.fills[1]), slack, whole);
+    let (fills_over, most) = windows(&from(&began), burst(cluster.plan.fills[1]), slack, whole);
     let (further_over, most_further) =
         windows(&from(&shared.further), burst(FURTHER[1]), slack, |_| FURTHER[0]);
     let (requests_over, most_requests) =
@@ -395,7 +404,7 @@
         in_hand += edge;
         most_in_hand = most_in_hand.max(in_hand);
     }
-    let in_hand_over = (most_in_hand - world.plan.fills[2] as i64).max(0) as u64;
+    let in_hand_over = (most_in_hand - cluster.plan.fills[2] as i64).max(0) as u64;
     let used = began.iter().filter(|at| (calm..ended).contains(*at)).count() as f64;
     let allowed: f64 = in_calm * (ended - calm).as_secs_f64();
     // In two seconds of calm one that wants much gets something.
@@ -406,7 +415,7 @@
     }
     let starved = spells.values().filter(|(wanted, had)| *wanted >= 10 && *had == 0).count();
     // After most were killed: until the others fill as much as the whole allows.
-    let kills = world.made.lock().unwrap().clone();
+    let kills = cluster.injected.lock().unwrap().clone();
     let again = |at: Instant| {
         let step = Duration::from_millis(100);
         let full = |from: Instant| {
@@ -420,12 +429,12 @@
     let mut regrant: Vec<u64> = killed.filter_map(|(at, _)| again(*at)).collect();
     regrant.sort_unstable();
     let part = |of: f64| regrant.get((of * regrant.len() as f64) as usize).copied();
-    let (messages, bytes) = world.relay.carried();
+    let (messages, bytes) = cluster.relay.carried();
     let (granted_over, most_granted) =
-        granted(&world.relay.passed(), world.replica_ids.len(), burst(world.plan.fills[1]), whole);
+        granted(&cluster.relay.recorded(), cluster.nodes.len(), burst(cluster.plan.fills[1]), whole);
     let over = granted_over + fills_over + further_over + requests_over + connections_over + in_hand_over;
     let more: Vec<(&str, Value)> = vec![
-        ("routers", json!(world.plan.routers)),
+        ("routers", json!(cluster.plan.routers)),
         ("budgets", json!(5)),
         ("windows_over", json!(over)),
         ("fills_over", json!(fills_over)),
--- a/crates/testbed/src/called.rs
+++ b/crates/testbed/src/called.rs
@@ -79,7 +79,7 @@
 /// Runs the experiment: its figures.
 pub fn run(plan: &Plan) -> Result<Figures> {
     if let Some(guard) = &plan.without {
-        crate::several::known_guard(guard, &["marks", "tickets", "withdraw", "leases"])?;
+        crate::cluster::ensure_check_is_known(guard, &["marks", "tickets", "withdraw", "leases"])?;
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
     let mut fleet = Fleet::start(6);
--- /dev/null
+++ b/crates/testbed/src/cluster/faults.rs
@@ -0,0 +1,375 @@
+//! Injects faults into a cluster: lossy and severed links, killed, stopped and restarted processes, torn storage, wrong
+//! clocks, draining endpoints, purges.
+
+use std::sync::atomic::Ordering;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use serde_json::{Value, json};
+
+use super::{Cluster, Node};
+use crate::relay::LinkFaults;
+
+/// Faults that are injected one at a time, at random moments.
+const RANDOM_FAULTS: [&str; 16] = [
+    "voters", "oneway", "split", "island", "kill", "killmost", "pause", "restart", "torn", "leader", "deaf",
+    "heir", "doze", "drain", "purge", "clock",
+];
+
+/// How often the injector looks for what is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Endpoints that are drained, at most.
+const MAX_DRAINED: usize = 2;
+
+/// How a router that was disturbed comes back.
+#[derive(Clone, Copy)]
+enum Recovery {
+    Start,
+    Resume,
+}
+
+/// A router that is to come back.
+struct Pending {
+    due: Instant,
+    node: usize,
+    recovery: Recovery,
+}
+
+/// The draws of one moment: which router, and until when it is disturbed.
+#[derive(Clone, Copy)]
+struct Draw {
+    now: Instant,
+    node: usize,
+    until: Instant,
+}
+
+/// Injects faults until it is told to stop, and repairs all of them then.
+pub struct FaultInjector<'a> {
+    cluster: &'a Cluster,
+    random: Pcg64Mcg,
+    pending: Vec<Pending>,
+    /// Until when links stay severed.
+    links_repaired: Instant,
+    links_severed: bool,
+    /// When the next fault is injected.
+    next: Instant,
+    drained: usize,
+    clock_changed: bool,
+}
+
+impl<'a> FaultInjector<'a> {
+    /// An injector for the cluster's faults.
+    pub fn new(cluster: &'a Cluster) -> Self {
+        Self {
+            cluster,
+            random: Pcg64Mcg::seed_from_u64(cluster.plan.seed ^ 0xfa17),
+            pending: Vec::new(),
+            links_repaired: Instant::now(),
+            links_severed: false,
+            next: Instant::now() + Duration::from_millis(500),
+            drained: 0,
+            clock_changed: false,
+        }
+    }
+
+    /// Injects faults until [`Cluster::faults_finished`] is set.
+    pub fn run(mut self) {
+        self.set_message_faults();
+        let faults: Vec<&str> =
+            RANDOM_FAULTS.into_iter().filter(|fault| self.cluster.has_fault(fault)).collect();
+        while !self.cluster.faults_finished.load(Ordering::SeqCst) {
+            thread::sleep(POLL_INTERVAL);
+            let now = Instant::now();
+            self.recover_due(now);
+            self.repair_links(now);
+            if now < self.next || faults.is_empty() {
+                continue;
+            }
+            self.next = now + self.random_millis(500..3000);
+            let node = self.random.random_range(0..self.cluster.nodes.len());
+            let until = now + self.random_millis(200..4000);
+            let fault = faults[self.random.random_range(0..faults.len())];
+            self.cluster.injected.lock().unwrap().push((now, fault));
+            self.inject(fault, Draw { now, node, until });
+        }
+        for Pending { node, recovery, .. } in std::mem::take(&mut self.pending) {
+            self.recover(node, recovery);
+        }
+        self.cluster.relay.change_faults(|faults| *faults = LinkFaults::default());
+    }
+
+    fn inject(&mut self, fault: &str, draw: Draw) {
+        match fault {
+            "oneway" => self.sever_one_way(draw),
+            "split" => self.split_network(draw),
+            "voters" => self.sever_voters(draw),
+            "island" => self.isolate_one(draw),
+            "deaf" => self.sever_leader_from_high_demand(draw),
+            "heir" => self.kill_leader_unheard(draw),
+            "doze" if self.cluster.all_running() => self.pause_non_voters(draw),
+            "kill" | "restart" if self.cluster.is_running(draw.node) => self.kill_one(draw),
+            "torn" if self.cluster.all_running() && can_lose_a_replica(self.cluster) => {
+                self.tear_storage(draw)
+            }
+            "killmost" => self.kill_most(draw),
+            "pause" if self.cluster.is_running(draw.node) => self.pause_one(draw),
+            "leader" => self.kill_leader(draw),
+            "drain" if self.drained < MAX_DRAINED => self.drain_endpoint(),
+            "purge" => self.purge_object(),
+            "clock" if !self.clock_changed && self.cluster.all_running() => self.change_clock(draw),
+            _ => {}
+        }
+    }
+
+    /// Loss, delay, reordering and duplication last for as long as faults are injected.
+    fn set_message_faults(&self) {
+        let has = |fault| self.cluster.has_fault(fault);
+        self.cluster.relay.change_faults(|faults| {
+            faults.loss = if has("drop") { 0.1 } else { 0.0 };
+            faults.delayed = if has("delay") { 0.1 } else { 0.0 };
+            faults.delayed += if has("reorder") { 0.2 } else { 0.0 };
+            faults.duplicated = if has("duplicate") { 0.1 } else { 0.0 };
+            faults.max_delay = Duration::from_millis(if has("delay") { 400 } else { 30 });
+        });
+    }
+
+    fn random_millis(&mut self, range: std::ops::Range<u64>) -> Duration {
+        Duration::from_millis(self.random.random_range(range))
+    }
+
+    fn lease(&self) -> Duration {
+        Duration::from_millis(self.cluster.plan.lease)
+    }
+
+    fn recover_due(&mut self, now: Instant) {
+        let due = |index: &usize| self.pending[*index].due <= now;
+        for index in (0..self.pending.len()).rev().filter(due).collect::<Vec<_>>() {
+            let Pending { node, recovery, .. } = self.pending.swap_remove(index);
+            self.recover(node, recovery);
+        }
+    }
+
+    fn recover(&self, node: usize, recovery: Recovery) {
+        match recovery {
+            Recovery::Start => self.cluster.start_node(node, None),
+            Recovery::Resume => self.cluster.pause(node, false),
+        }
+    }
+
+    fn recover_at(&mut self, due: Instant, node: usize, recovery: Recovery) {
+        self.pending.push(Pending { due, node, recovery });
+    }
+
+    /// Repairs links that this injector severed; those that an experiment severed are its own.
+    fn repair_links(&mut self, now: Instant) {
+        if self.links_severed && self.links_repaired <= now {
+            self.cluster.relay.change_faults(|faults| faults.severed.clear());
+        }
+        self.links_severed = self.links_repaired > now;
+    }
+
+    fn keep_links_severed(&mut self, until: Instant) {
+        self.links_repaired = self.links_repaired.max(until);
+    }
+
+    /// Severs every link between two nodes for which `separated` holds.
+    fn sever_where(&self, separated: impl Fn(usize, usize) -> bool) {
+        let nodes = &self.cluster.nodes;
+        let count = nodes.len();
+        self.cluster.relay.change_faults(|faults| {
+            for (a, b) in (0..count * count).map(|pair| (pair / count, pair % count)) {
+                if separated(a, b) {
+                    faults.severed.insert((nodes[a].name.clone(), nodes[b].name.clone()));
+                }
+            }
+        });
+    }
+
+    fn sever_one_way(&mut self, draw: Draw) {
+        let other = self.random.random_range(0..self.cluster.nodes.len());
+        let nodes = &self.cluster.nodes;
+        let link = (nodes[draw.node].name.clone(), nodes[other].name.clone());
+        self.cluster.relay.change_faults(|faults| faults.severed.extend([link]));
+        self.keep_links_severed(draw.until);
+    }
+
+    fn split_network(&mut self, draw: Draw) {
+        let parts = self.random.random_range(2..4u32);
+        let count = self.cluster.nodes.len();
+        let sides: Vec<u32> = (0..count).map(|_| self.random.random_range(0..parts)).collect();
+        self.sever_where(|a, b| sides[a] != sides[b]);
+        self.keep_links_severed(draw.until);
+    }
+
+    /// Severs the voters from all others, of which there is a majority that goes on without them.
+    fn sever_voters(&mut self, draw: Draw) {
+        let voters = self.cluster.voters();
+        let votes = |index: usize| voters.contains(&self.cluster.nodes[index].name);
+        self.sever_where(|a, b| votes(a) != votes(b));
+        self.keep_links_severed(draw.now + 3 * self.lease());
+        self.next = self.links_repaired + Duration::from_millis(500);
+    }
+
+    /// Isolates one router for longer than a policy change takes.
+    fn isolate_one(&mut self, draw: Draw) {
+        isolate(self.cluster, draw.node);
+        self.keep_links_severed(draw.now + 3 * self.lease());
+        self.next = self.links_repaired + Duration::from_millis(500);
+    }
+
+    /// Messages of the leader do not reach the routers whose clients want much now and will soon want little: they go on
+    /// with what they were granted, and the leader hears that they want less.
+    fn sever_leader_from_high_demand(&mut self, draw: Draw) {
+        let late_in_period = self.cluster.rest_of_demand_period() < Duration::from_millis(500);
+        if self.cluster.has_fault("shift") && !late_in_period {
+            self.next = draw.now;
+            return;
+        }
+        let cluster = self.cluster;
+        let count = cluster.nodes.len();
+        let Some(leader) = (0..count).find(|index| cluster.is_leader(*index)) else { return };
+        // No more voters than the leader can do without.
+        let mut spare_voters = (cluster.voters().len().max(1) - 1) / 2;
+        let mut severed: Vec<usize> =
+            (0..count).filter(|index| *index != leader && cluster.has_high_demand(*index)).collect();
+        severed.retain(|index| {
+            let votes = cluster.voters().contains(&cluster.nodes[*index].name);
+            let allowed = !votes || spare_voters > 0;
+            spare_voters -= usize::from(votes && allowed);
+            allowed
+        });
+        cluster.relay.change_faults(|faults| {
+            let link = |index: usize| (cluster.nodes[leader].name.clone(), cluster.nodes[index].name.clone());
+            faults.severed.extend(severed.into_iter().map(link));
+        });
+        // Shorter than a lease, or another router would become leader.
+        self.keep_links_severed(draw.now + self.lease() * 4 / 5);
+        self.next = self.links_repaired + Duration::from_millis(100);
+    }
+
+    /// Kills the leader, and isolates a router with high demand, so that it does not hear of the next leader.
+    fn kill_leader_unheard(&mut self, draw: Draw) {
+        let cluster = self.cluster;
+        let count = cluster.nodes.len();
+        let Some(leader) = (0..count).find(|index| cluster.is_leader(*index)) else { return };
+        let voters = cluster.voters();
+        let is_candidate = |index: &usize| {
+            *index != leader
+                && cluster.has_high_demand(*index)
+                && !voters.contains(&cluster.nodes[*index].name)
+        };
+        let Some(other) = (0..count).find(is_candidate) else {
+            self.next = draw.now + Duration::from_millis(50);
+            return;
+        };
+        if cluster.kill(leader) {
+            self.recover_at(draw.until, leader, Recovery::Start);
+            isolate(cluster, other);
+            self.keep_links_severed(draw.now + self.lease());
+            self.next = self.links_repaired + Duration::from_millis(500);
+        }
+    }
+
+    /// Stops all routers that don't vote until their grants have expired.
+    fn pause_non_voters(&mut self, draw: Draw) {
+        let voters = self.cluster.voters();
+        let until = draw.now + self.lease() + Duration::from_millis(4500);
+        let count = self.cluster.nodes.len();
+        for index in (0..count).filter(|index| !voters.contains(&self.cluster.nodes[*index].name)) {
+            self.cluster.pause(index, true);
+            self.recover_at(until, index, Recovery::Resume);
+        }
+        self.next = until + Duration::from_millis(1500);
+    }
+
+    fn kill_one(&mut self, draw: Draw) {
+        if self.cluster.kill(draw.node) {
+            self.recover_at(draw.until, draw.node, Recovery::Start);
+        }
+    }
+
+    /// Kills one router and truncates its replica's storage at a random byte.
+    fn tear_storage(&mut self, draw: Draw) {
+        if !self.cluster.kill(draw.node) {
+            return;
+        }
+        let file = self.cluster.nodes[draw.node].storage.join("seat.redb");
+        if let Ok(bytes) = std::fs::read(&file) {
+            let length = self.random.random_range(0..bytes.len().max(1));
+            let _ = std::fs::write(&file, &bytes[..length]);
+        }
+        self.recover_at(draw.until, draw.node, Recovery::Start);
+    }
+
+    fn kill_most(&mut self, draw: Draw) {
+        if !self.random.random_bool(0.3) {
+            return;
+        }
+        for index in 0..self.cluster.nodes.len() {
+            let chosen = self.random.random_bool(0.7);
+            if chosen && self.cluster.is_running(index) && self.cluster.kill(index) {
+                let later = self.random_millis(0..1500);
+                self.recover_at(draw.until + later, index, Recovery::Start);
+            }
+        }
+    }
+
+    fn pause_one(&mut self, draw: Draw) {
+        self.cluster.pause(draw.node, true);
+        self.recover_at(draw.until + self.lease(), draw.node, Recovery::Resume);
+    }
+
+    fn kill_leader(&mut self, draw: Draw) {
+        let leader = (0..self.cluster.nodes.len()).find(|index| self.cluster.is_leader(*index));
+        if let Some(leader) = leader.filter(|index| self.cluster.kill(*index)) {
+            self.recover_at(draw.until, leader, Recovery::Start);
+        }
+    }
+
+    fn drain_endpoint(&mut self) {
+        self.cluster.fleet.lock().unwrap().drain(self.drained);
+        self.drained += 1;
+    }
+
+    fn purge_object(&mut self) {
+        let object = format!("00000000000010{:02x}", self.random.random_range(0..64));
+        self.cluster.fleet.lock().unwrap().purge(&object);
+    }
+
+    /// Restarts one router, once in a run, with a clock that runs at a wrong rate and jumps.
+    fn change_clock(&mut self, draw: Draw) {
+        if !self.cluster.kill(draw.node) {
+            return;
+        }
+        self.clock_changed = true;
+        let jump = self.random.random_range(-1500..1500);
+        let rate = if self.random.random_bool(0.5) { 1.0 } else { self.random.random_range(0.9..1.1) };
+        let clock = format!("{rate}:{}:{jump}", self.random.random_range(500..5000));
+        self.cluster.start_node(draw.node, Some(clock));
+    }
+}
+
+/// Severs one router from all others, both ways.
+pub fn isolate(cluster: &Cluster, index: usize) {
+    let own = &cluster.nodes[index].name;
+    cluster.relay.change_faults(|faults| {
+        for other in cluster.nodes.iter().map(|node: &Node| &node.name).filter(|name| *name != own) {
+            faults.severed.insert((other.clone(), own.clone()));
+            faults.severed.insert((own.clone(), other.clone()));
+        }
+    });
+}
+
+/// Whether all routers are well and there are voters enough for one to lose its storage: no more is promised.
+fn can_lose_a_replica(cluster: &Cluster) -> bool {
+    let is_well = |status: Value| {
+        let voters = status["voters"].as_array().cloned().unwrap_or_default();
+        // A replica without a router shows as a number, and is being replaced.
+        let is_held = |voter: &Value| voter.as_str().is_some_and(|name| name.starts_with('n'));
+        status["out"].is_null() && voters.len() >= 3 && voters.iter().all(is_held)
+    };
+    (0..cluster.nodes.len()).all(|index| cluster.control(index, &json!("status")).is_some_and(is_well))
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,6 +5,7 @@
 pub mod budgets;
 pub mod called;
 pub mod choices;
+pub mod cluster;
 pub mod demo;
 pub mod figures;
 pub mod fleet;
@@ -13,7 +14,6 @@
 pub mod policy;
 pub mod proxy;
 pub mod relay;
-pub mod several;
 pub mod signed;
 pub mod simulated;
 pub mod stand_in;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -5,8 +5,8 @@
 
 use clap::{Args, Parser, Subcommand};
 use tindoor_testbed::called;
+use tindoor_testbed::cluster::Plan;
 use tindoor_testbed::figures::Figures;
-use tindoor_testbed::several::Plan;
 use tindoor_testbed::ways::Way;
 use tindoor_testbed::{budgets, choices, demo, plots, policy, signed, simulated};
 
--- a/crates/testbed/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -13,10 +13,10 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
 
+pub use crate::cluster::Plan;
+use crate::cluster::{CLOCK_BOUND_MS, CallResult, ClientConnection, Cluster, FaultInjector, isolate};
 use crate::figures::Figures;
 use crate::fleet::Fleet;
-pub use crate::several::Plan;
-use crate::several::{BOUND, Came, Line, World, ail, cut_off, settle};
 use crate::stand_in::Reply;
 
 /// Faults of its own.
@@ -67,33 +67,33 @@
     let mut fleet = Fleet::start(4);
     fleet.keep_ages();
     let guards = ["lease", "staged", "compare", "incarnation", "pinned", "synced"];
-    let (world, ready) = World::begin(plan, FAULTS, &guards, fleet, |_| ())?;
+    let (cluster, ready) = Cluster::start(plan, FAULTS, &guards, fleet, |_| ())?;
     let counts = Arc::new(Mutex::new(Counts::default()));
     let clients: Vec<_> = (0..plan.routers * 2)
         .map(|no| {
-            let (world, counts) = (Arc::clone(&world), Arc::clone(&counts));
-            thread::spawn(move || client(&world, &counts, no))
+            let (cluster, counts) = (Arc::clone(&cluster), Arc::clone(&counts));
+            thread::spawn(move || client(&cluster, &counts, no))
         })
         .collect();
-    let changes = propose_and_ail(&world);
-    let stuck = settle(&world);
-    world.over.store(true, Ordering::SeqCst);
+    let changes = propose_under_faults(&cluster);
+    let stuck = cluster.settle();
+    cluster.finished.store(true, Ordering::SeqCst);
     for client in clients {
         let _ = client.join();
     }
     let counts = std::mem::take(&mut *counts.lock().unwrap());
-    let mut figures = audit(&world, counts, &changes, stuck, ready);
-    world.end(&mut figures);
+    let mut figures = audit(&cluster, counts, &changes, stuck, ready);
+    cluster.end(&mut figures);
     Ok(figures)
 }
 
 /// One client of one router.
-fn client(world: &World, counts: &Mutex<Counts>, no: usize) {
-    let router = no % world.replica_ids.len();
+fn client(cluster: &Cluster, counts: &Mutex<Counts>, no: usize) {
+    let router = no % cluster.nodes.len();
     let mut chance =
-        Pcg64Mcg::seed_from_u64(world.plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add(no as u64));
-    let mut line = Line::new(world, router);
-    while !world.over.load(Ordering::SeqCst) {
+        Pcg64Mcg::seed_from_u64(cluster.plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add(no as u64));
+    let mut connection = ClientConnection::new(cluster, router);
+    while !cluster.finished.load(Ordering::SeqCst) {
         let kind = chance.random_range(0..20);
         let prefix = match kind {
             0 => "ee00000000000000",
@@ -106,21 +106,21 @@
         let fields =
             [("route", "pages"), ("trace", ticket.as_str()), ("patience", "2500"), ("entity", &object)];
         let fields = [&fields[..], &[("chunk", "0"), ("tag", "17")]].concat();
-        let Some(came) = line.ask(&fields) else { continue };
+        let Some(came) = connection.call(&fields) else { continue };
         let answered = Instant::now();
-        if world.asked.fetch_add(1, Ordering::Relaxed) >= world.plan.requests {
+        if cluster.requests_sent.fetch_add(1, Ordering::Relaxed) >= cluster.plan.requests {
             // Enough was asked; a request now and then still shows what holds.
             thread::sleep(Duration::from_millis(50));
         }
         let mut counts = counts.lock().unwrap();
         counts.figures.requests += 1;
         let (sent, own, reply) = match came {
-            Came::Answer { sent, own, reply } => (sent, own, reply),
-            Came::Lost => {
+            CallResult::Answered { sent_at: sent, is_own: own, reply } => (sent, own, reply),
+            CallResult::LostWithRouter => {
                 counts.lost_with_router += 1;
                 continue;
             }
-            Came::Nothing => {
+            CallResult::NoAnswer => {
                 counts.figures.answered_none += 1;
                 continue;
             }
@@ -139,7 +139,7 @@
         if kind > 1 {
             counts.latency_us.push((answered - sent).as_micros() as u64);
         }
-        let good_since = line.good_since;
+        let good_since = connection.healthy_since;
         counts.seen.push(Seen { router, ticket, sent, answered, pause, good_since });
         drop(counts);
         thread::sleep(Duration::from_millis(chance.random_range(4..20)));
@@ -147,70 +147,72 @@
 }
 
 /// Proposes changes and makes faults until the time is over; what was proposed.
-fn propose_and_ail(world: &Arc<World>) -> Vec<Change> {
-    let ailing = Arc::clone(world);
-    let faults = thread::spawn(move || ail(&ailing));
-    let mut chance = Pcg64Mcg::seed_from_u64(world.plan.seed ^ 0x0090_11c7);
+fn propose_under_faults(cluster: &Arc<Cluster>) -> Vec<Change> {
+    let injected = Arc::clone(cluster);
+    let faults = thread::spawn(move || FaultInjector::new(&injected).run());
+    let mut chance = Pcg64Mcg::seed_from_u64(cluster.plan.seed ^ 0x0090_11c7);
     let (mut changes, mut old) = (Vec::<Change>::new(), None);
-    let end = Instant::now() + Duration::from_secs(world.plan.seconds);
+    let end = Instant::now() + Duration::from_secs(cluster.plan.seconds);
     while Instant::now() < end {
         // Among other faults not each time, as it waits for a change to be possible.
-        let strands = world.has("strand") && (world.faults.len() == 1 || chance.random_bool(0.3));
-        let stranded = if strands { strand(world, &mut chance, end) } else { None };
-        let proposers = if world.has("proposers") { 2 } else { 1 };
+        let strands = cluster.has_fault("strand") && (cluster.faults.len() == 1 || chance.random_bool(0.3));
+        let stranded = if strands { strand(cluster, &mut chance, end) } else { None };
+        let proposers = if cluster.has_fault("proposers") { 2 } else { 1 };
         // One in a while made its change from what was in force some time ago.
-        let mut made_from = old.filter(|_| world.has("proposers") && chance.random_bool(0.4));
+        let mut made_from = old.filter(|_| cluster.has_fault("proposers") && chance.random_bool(0.4));
         for _ in 0..proposers {
-            let no = (chance.random_range(1..world.replica_ids.len().max(2)) + stranded.unwrap_or(0))
-                % world.replica_ids.len();
+            let no = (chance.random_range(1..cluster.nodes.len().max(2)) + stranded.unwrap_or(0))
+                % cluster.nodes.len();
             let mark = changes.len() as u64 % MARKS + 1;
-            let in_force = world.ask(no, &json!("policy")).and_then(|policy| policy["generation"].as_u64());
+            let in_force =
+                cluster.control(no, &json!("policy")).and_then(|policy| policy["generation"].as_u64());
             made_from = made_from.or(in_force);
             old = old.or(in_force);
             let mut new = json!({"offering.pages.fresh_ms": fresh_ms(mark), "longest_come_back_ms": mark});
             // One that some router must refuse, as it has more in hand.
-            let refused = world.has("badchange") && chance.random_bool(0.2);
+            let refused = cluster.has_fault("badchange") && chance.random_bool(0.2);
             if refused {
                 new["limit.open_views"] = json!(1);
             }
             // One that makes the requests of one location fail.
-            let bad = world.has("badchange") && !refused && chance.random_bool(0.25);
+            let bad = cluster.has_fault("badchange") && !refused && chance.random_bool(0.25);
             let failing = if bad { fresh_ms(mark) } else { 0 };
             let propose = json!({"propose": {"changes": new, "from": made_from, "by": format!("lab-{no}"), "note": mark.to_string()}});
             let at = Instant::now();
-            let Some(token) = world.ask(no, &propose).and_then(|answer| answer["token"].as_u64()) else {
+            let Some(token) = cluster.control(no, &propose).and_then(|answer| answer["token"].as_u64())
+            else {
                 continue;
             };
             if bad {
-                world.fleet.lock().unwrap().fail(failing, "1");
+                cluster.fleet.lock().unwrap().fail(failing, "1");
             }
             changes.push(Change { mark, token, at, ended: None });
         }
         let mut next = Instant::now() + Duration::from_millis(chance.random_range(1500..4500));
         if stranded.is_some() {
-            next = next.max(Instant::now() + Duration::from_millis(3 * world.plan.lease));
+            next = next.max(Instant::now() + Duration::from_millis(3 * cluster.plan.lease));
         }
         while Instant::now() < next.min(end) {
-            ends(world, &mut changes);
+            ends(cluster, &mut changes);
             thread::sleep(Duration::from_millis(100));
         }
         if stranded.is_some() {
-            world.relay.ail(|ails| ails.cut.clear());
+            cluster.relay.change_faults(|faults| faults.severed.clear());
         }
     }
-    world.quiet.store(true, Ordering::SeqCst);
+    cluster.faults_finished.store(true, Ordering::SeqCst);
     faults.join().expect("faults end");
     changes
 }
 
 /// Cuts one that does not lead off from all others, while nothing stands in the way of the change that is proposed next.
-fn strand(world: &World, chance: &mut Pcg64Mcg, end: Instant) -> Option<usize> {
+fn strand(cluster: &Cluster, chance: &mut Pcg64Mcg, end: Instant) -> Option<usize> {
     while Instant::now() < end {
-        let no = chance.random_range(0..world.replica_ids.len());
-        let status = world.ask(no, &json!("status")).unwrap_or_default();
+        let no = chance.random_range(0..cluster.nodes.len());
+        let status = cluster.control(no, &json!("status")).unwrap_or_default();
         let free = status["under_way"].is_null() && status["on_probation"].is_null();
-        if free && status["leader"].is_string() && status["leader"] != json!(world.address(no)) {
-            cut_off(world, no);
+        if free && status["leader"].is_string() && status["leader"] != json!(cluster.peer_address(no)) {
+            isolate(cluster, no);
             return Some(no);
         }
         thread::sleep(Duration::from_millis(50));
@@ -219,10 +221,10 @@
 }
 
 /// Asks how changes ended that are not known to have.
-fn ends(world: &World, changes: &mut [Change]) {
-    let Some(no) = (0..world.replica_ids.len()).find(|no| world.runs(*no)) else { return };
+fn ends(cluster: &Cluster, changes: &mut [Change]) {
+    let Some(no) = (0..cluster.nodes.len()).find(|no| cluster.is_running(*no)) else { return };
     for change in changes.iter_mut().filter(|change| change.ended.is_none()) {
-        if let Some(end) = world.ask(no, &json!({"end": {"token": change.token}}))
+        if let Some(end) = cluster.control(no, &json!({"end": {"token": change.token}}))
             && !end.is_null()
         {
             change.ended = Some(end["end"].to_string());
@@ -240,10 +242,10 @@
 }
 
 /// Reckons from what clients and caches saw.
-fn audit(world: &World, mut counts: Counts, changes: &[Change], stuck: u64, ready: Duration) -> Figures {
-    let ages = world.fleet.lock().unwrap().take_ages();
+fn audit(cluster: &Cluster, mut counts: Counts, changes: &[Change], stuck: u64, ready: Duration) -> Figures {
+    let ages = cluster.fleet.lock().unwrap().take_ages();
     let mut figures = std::mem::take(&mut counts.figures);
-    world.fleet.lock().unwrap().audit(&mut figures);
+    cluster.fleet.lock().unwrap().audit(&mut figures);
     let mark_of_age: HashMap<u64, u64> = (0..=MARKS).map(|mark| (fresh_ms(mark), mark)).collect();
     let (mut shown, mut half_applied, mut unknown) = (Vec::new(), 0u64, 0u64);
     for Seen { router, ticket, sent, answered, pause, good_since } in &counts.seen {
@@ -270,7 +272,7 @@
         }));
     }
     // In which order changes took hold, as the fleet's history has it; what is shown must fit it.
-    let history = (0..world.replica_ids.len()).filter_map(|no| world.ask(no, &json!("history")));
+    let history = (0..cluster.nodes.len()).filter_map(|no| cluster.control(no, &json!("history")));
     let history = history.max_by_key(|past| past.as_array().map_or(0, Vec::len)).unwrap_or_default();
     let (mut order, mut refused, mut undone, mut cancelled) = (vec![0u64], 0u64, 0u64, 0u64);
     let (mut overwritten, mut in_force) = (0u64, 1u64);
@@ -291,7 +293,7 @@
             None => order.push(order.len().checked_sub(2).map_or(0, |at| order[at])),
         }
     }
-    let bound = Duration::from_millis(2 * BOUND);
+    let bound = Duration::from_millis(2 * CLOCK_BOUND_MS);
     let moments = moments(&order, &shown, bound);
     let (mut mixed, mut nowhere, mut forgot) = (0u64, 0u64, 0u64);
     let first = counts.seen.iter().map(|seen| seen.sent).min();
@@ -334,9 +336,9 @@
     let undo_ms = (2..order.len()).filter(|at| order[*at] == order[*at - 2] && order[*at] != order[*at - 1]);
     let undo_ms = undo_ms.filter_map(|at| Some((moments[at]? - moments[at - 1]?).as_millis() as u64)).max();
     let at = |sorted: &[u64], part: f64| sorted.get((part * sorted.len() as f64) as usize).copied();
-    let (messages, bytes) = world.relay.carried();
+    let (messages, bytes) = cluster.relay.carried();
     let more: Vec<(&str, Value)> = vec![
-        ("routers", json!(world.plan.routers)),
+        ("routers", json!(cluster.plan.routers)),
         ("changes", json!(changes.len())),
         ("took_hold", json!(order.len() - 1)),
         ("refused", json!(refused + cancelled)),
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,9 +1,9 @@
-//! The only way between routers under test: a relay on loopback that drops, delays, doubles and reorders messages,
-//! and cuts some from others, one way or both. It carries by a message's length and by who sent it alone; what passes
-//! may be kept for an audit, which reads it by itself.
+//! The relay that carries all messages between routers under test: it loses, delays, duplicates and reorders them, and
+//! severs links. It reads only a message's length and its sender; messages can be recorded for an audit.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
@@ -12,61 +12,79 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What ails the ways now.
+/// The faults of the links between routers.
 #[derive(Clone, Debug, Default)]
-pub struct Ails {
-    /// The share of messages that are lost, late and doubled.
-    pub drop: f64,
-    pub late: f64,
-    pub double: f64,
-    /// How late at most.
-    pub most: Duration,
-    /// Whose messages don't reach whom, by names.
-    pub cut: BTreeSet<(String, String)>,
+pub struct LinkFaults {
+    /// The share of messages that are lost.
+    pub loss: f64,
+    /// The share of messages that are delayed.
+    pub delayed: f64,
+    /// The share of messages that are duplicated.
+    pub duplicated: f64,
+    /// The longest delay.
+    pub max_delay: Duration,
+    /// Links that carry nothing, by the names of sender and receiver.
+    pub severed: BTreeSet<(String, String)>,
 }
 
 struct State {
-    ails: Ails,
-    chance: Pcg64Mcg,
+    faults: LinkFaults,
+    random: Pcg64Mcg,
     messages: u64,
     bytes: u64,
-    /// What passed, where that is kept.
-    kept: Option<Vec<Passed>>,
+    /// None where messages are not recorded.
+    recorded: Option<Vec<RecordedMessage>>,
 }
 
-/// A message that came to the relay, or went on from it.
+impl State {
+    fn record(&mut self, forwarded: bool, link: &Link, frame: &[u8]) {
+        let Some(recorded) = &mut self.recorded else { return };
+        recorded.push(RecordedMessage {
+            at: Instant::now(),
+            forwarded,
+            from: link.from.clone(),
+            to: link.to.clone(),
+            message: frame[FRAME_HEADER_BYTES..].to_vec(),
+        });
+    }
+}
+
+/// Size of the length in front of each message, in bytes.
+const FRAME_HEADER_BYTES: usize = 4;
+
+/// A message that arrived at the relay, or that it forwarded.
 #[derive(Clone, Debug)]
-pub struct Passed {
+pub struct RecordedMessage {
+    /// When it arrived, or was forwarded.
     pub at: Instant,
-    pub went_on: bool,
+    /// Whether this records that it was forwarded.
+    pub forwarded: bool,
+    /// The sender's name.
     pub from: String,
+    /// The receiver's name.
     pub to: String,
+    /// The message without its length.
     pub message: Vec<u8>,
 }
 
-/// The relay: one address for each router, at which its peers reach it.
+/// The relay, with one address for each router at which its peers reach it.
 #[derive(Clone)]
 pub struct Relay {
     state: Arc<Mutex<State>>,
+    /// The addresses by the routers' names.
     pub addresses: BTreeMap<String, SocketAddr>,
 }
 
-/// A whole message, when it is due, and its number among those of its connection.
-type Due = std::cmp::Reverse<(Instant, u64, Vec<u8>)>;
-
-/// Messages that wait for their time on one connection.
-#[derive(Default)]
-struct Waiting {
-    queue: Mutex<(BinaryHeap<Due>, bool)>,
-    more: Condvar,
-}
-
 impl Relay {
-    /// Stands between routers that listen at these addresses, by their names.
+    /// Starts a relay for routers that listen at these addresses, by their names.
     pub fn start(seed: u64, routers: &BTreeMap<String, SocketAddr>) -> Self {
-        let chance = Pcg64Mcg::seed_from_u64(seed);
-        let state =
-            Arc::new(Mutex::new(State { ails: Ails::default(), chance, messages: 0, bytes: 0, kept: None }));
+        let state = Arc::new(Mutex::new(State {
+            faults: LinkFaults::default(),
+            random: Pcg64Mcg::seed_from_u64(seed),
+            messages: 0,
+            bytes: 0,
+            recorded: None,
+        }));
         let mut addresses = BTreeMap::new();
         for (name, to) in routers {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
@@ -75,113 +93,157 @@
             thread::spawn(move || {
                 for stream in listener.incoming().map_while(Result::ok) {
                     let (state, name) = (Arc::clone(&state), name.clone());
-                    thread::spawn(move || drop(carry(&state, stream, &name, to)));
+                    thread::spawn(move || drop(carry(&state, stream, name, to)));
                 }
             });
         }
         Self { state, addresses }
     }
 
-    pub fn ail(&self, change: impl FnOnce(&mut Ails)) {
-        change(&mut self.state.lock().unwrap().ails);
+    /// Changes the faults of the links.
+    pub fn change_faults(&self, change: impl FnOnce(&mut LinkFaults)) {
+        change(&mut self.state.lock().unwrap().faults);
     }
 
-    /// Has all that passes be kept from now on.
-    pub fn keep(&self) {
-        self.state.lock().unwrap().kept = Some(Vec::new());
+    /// Records all messages from now on.
+    pub fn record(&self) {
+        self.state.lock().unwrap().recorded = Some(Vec::new());
     }
 
-    pub fn passed(&self) -> Vec<Passed> {
-        self.state.lock().unwrap().kept.clone().unwrap_or_default()
+    /// The messages recorded so far.
+    pub fn recorded(&self) -> Vec<RecordedMessage> {
+        self.state.lock().unwrap().recorded.clone().unwrap_or_default()
     }
 
-    /// Messages and bytes that came to it.
+    /// How many messages, and bytes, arrived so far.
     pub fn carried(&self) -> (u64, u64) {
         let state = self.state.lock().unwrap();
         (state.messages, state.bytes)
     }
 }
 
-/// Carries one connection's messages, each as it fares.
-fn carry(state: &Arc<Mutex<State>>, from: TcpStream, target: &str, to: SocketAddr) -> std::io::Result<()> {
-    from.set_nodelay(true)?;
-    let mut reader = BufReader::new(from);
+/// The names of a connection's sender and receiver.
+struct Link {
+    from: String,
+    to: String,
+}
+
+/// A frame that waits until it is due. Frames that are due at the same time keep their order.
+type DueFrame = Reverse<(Instant, u64, Vec<u8>)>;
+
+#[derive(Default)]
+struct DelayQueueState {
+    frames: BinaryHeap<DueFrame>,
+    count: u64,
+    closed: bool,
+}
+
+/// The frames that wait on one connection.
+#[derive(Default)]
+struct DelayQueue {
+    state: Mutex<DelayQueueState>,
+    changed: Condvar,
+}
+
+impl DelayQueue {
+    fn push(&self, due: Instant, frame: Vec<u8>) {
+        let mut state = self.state.lock().unwrap();
+        state.count += 1;
+        let order = state.count;
+        state.frames.push(Reverse((due, order, frame)));
+        drop(state);
+        self.changed.notify_one();
+    }
+
+    fn close(&self) {
+        self.state.lock().unwrap().closed = true;
+        self.changed.notify_one();
+    }
+
+    /// Waits for the next frame that is due; none once the queue is closed and empty.
+    fn next(&self) -> Option<Vec<u8>> {
+        let mut state = self.state.lock().unwrap();
+        loop {
+            let now = Instant::now();
+            let due = state.frames.peek().map(|Reverse((due, ..))| *due);
+            match due {
+                Some(due) if due <= now => return state.frames.pop().map(|Reverse((_, _, frame))| frame),
+                Some(due) => state = self.changed.wait_timeout(state, due - now).unwrap().0,
+                None if state.closed => return None,
+                None => state = self.changed.wait(state).unwrap(),
+            }
+        }
+    }
+}
+
+/// Carries the messages of one connection.
+fn carry(
+    state: &Arc<Mutex<State>>,
+    downstream: TcpStream,
+    to: String,
+    address: SocketAddr,
+) -> io::Result<()> {
+    downstream.set_nodelay(true)?;
+    let mut reader = BufReader::new(downstream);
     let mut hello = String::new();
     reader.read_line(&mut hello)?;
-    let sender = hello.trim().rsplit(' ').next().unwrap_or_default().to_string();
-    let mut onward = TcpStream::connect_timeout(&to, Duration::from_millis(500))?;
-    onward.set_nodelay(true)?;
-    onward.set_write_timeout(Some(Duration::from_secs(30)))?;
-    onward.write_all(hello.as_bytes())?;
-    let waiting = Arc::new(Waiting::default());
-    let writes = Arc::clone(&waiting);
-    let (passes, names) = (Arc::clone(state), [sender.clone(), target.to_string()]);
-    let went_on = move |message: &[u8]| keep(&mut passes.lock().unwrap(), true, &names, message);
-    let writer = thread::spawn(move || write(&writes, onward, went_on));
-    let mut nth = 0;
-    let mut put = |at: Instant, whole: Vec<u8>| {
-        nth += 1;
-        waiting.queue.lock().unwrap().0.push(std::cmp::Reverse((at, nth, whole)));
-        waiting.more.notify_one();
+    let from = hello.trim().rsplit(' ').next().unwrap_or_default().to_string();
+    let link = Arc::new(Link { from, to });
+    let mut upstream = TcpStream::connect_timeout(&address, Duration::from_millis(500))?;
+    upstream.set_nodelay(true)?;
+    upstream.set_write_timeout(Some(Duration::from_secs(30)))?;
+    upstream.write_all(hello.as_bytes())?;
+    let queue = Arc::new(DelayQueue::default());
+    let writer = {
+        let (queue, state, link) = (Arc::clone(&queue), Arc::clone(state), Arc::clone(&link));
+        thread::spawn(move || forward(&queue, upstream, &state, &link))
     };
-    let mut size = [0; 4];
-    while reader.read_exact(&mut size).is_ok() && !writer.is_finished() {
-        let mut whole = size.to_vec();
-        whole.resize(4 + u32::from_be_bytes(size) as usize, 0);
-        if reader.read_exact(&mut whole[4..]).is_err() {
+    while let Ok(frame) = read_frame(&mut reader) {
+        if writer.is_finished() {
             break;
         }
-        let now = Instant::now();
-        let mut state = state.lock().unwrap();
-        state.messages += 1;
-        state.bytes += whole.len() as u64;
-        keep(&mut state, false, &[sender.clone(), target.to_string()], &whole);
-        let State { ails, chance, .. } = &mut *state;
-        if ails.cut.contains(&(sender.clone(), target.to_string())) || chance.random_bool(ails.drop) {
-            continue;
-        }
-        let mut late = |share: f64| match chance.random_bool(share) {
-            true => ails.most.mul_f64(chance.random()),
-            false => Duration::ZERO,
-        };
-        if ails.double > 0.0 && late(ails.double) > Duration::ZERO {
-            let again = late(1.0);
-            put(now + again, whole.clone());
-        }
-        let wait = late(ails.late);
-        drop(state);
-        put(now + wait, whole);
+        deliver(&mut state.lock().unwrap(), &queue, &link, frame);
     }
-    waiting.queue.lock().unwrap().1 = true;
-    waiting.more.notify_one();
+    queue.close();
     Ok(())
 }
 
-fn keep(state: &mut State, went_on: bool, [from, to]: &[String; 2], whole: &[u8]) {
-    if let Some(kept) = &mut state.kept {
-        let (from, to, message) = (from.clone(), to.clone(), whole[4..].to_vec());
-        kept.push(Passed { at: Instant::now(), went_on, from, to, message });
+fn read_frame(reader: &mut impl Read) -> io::Result<Vec<u8>> {
+    let mut header = [0; FRAME_HEADER_BYTES];
+    reader.read_exact(&mut header)?;
+    let mut frame = header.to_vec();
+    frame.resize(FRAME_HEADER_BYTES + u32::from_be_bytes(header) as usize, 0);
+    reader.read_exact(&mut frame[FRAME_HEADER_BYTES..])?;
+    Ok(frame)
+}
+
+/// Queues a frame, as often and as late as the link's faults have it.
+fn deliver(state: &mut State, queue: &DelayQueue, link: &Link, frame: Vec<u8>) {
+    let now = Instant::now();
+    state.messages += 1;
+    state.bytes += frame.len() as u64;
+    state.record(false, link, &frame);
+    let State { faults, random, .. } = state;
+    let is_severed = faults.severed.contains(&(link.from.clone(), link.to.clone()));
+    if is_severed || random.random_bool(faults.loss) {
+        return;
     }
+    let mut delay = |share: f64| match random.random_bool(share) {
+        true => faults.max_delay.mul_f64(random.random()),
+        false => Duration::ZERO,
+    };
+    if faults.duplicated > 0.0 && delay(faults.duplicated) > Duration::ZERO {
+        queue.push(now + delay(1.0), frame.clone());
+    }
+    queue.push(now + delay(faults.delayed), frame);
 }
 
-/// Writes what is due, in the order of its time.
-fn write(waiting: &Waiting, mut onward: TcpStream, went_on: impl Fn(&[u8])) {
-    loop {
-        let mut queue = waiting.queue.lock().unwrap();
-        let whole = loop {
-            let now = Instant::now();
-            let due = queue.0.peek().map(|next| next.0.0);
-            match due {
-                Some(at) if at <= now => break queue.0.pop().expect("it was there").0.2,
-                Some(at) => queue = waiting.more.wait_timeout(queue, at - now).unwrap().0,
-                None if queue.1 => return,
-                None => queue = waiting.more.wait(queue).unwrap(),
-            }
-        };
-        drop(queue);
-        // Kept before it goes: what its receiver does with it comes after it, however long this thread waits.
-        went_on(&whole);
-        if onward.write_all(&whole).is_err() {
+/// Forwards frames as they become due.
+fn forward(queue: &DelayQueue, mut upstream: TcpStream, state: &Mutex<State>, link: &Link) {
+    while let Some(frame) = queue.next() {
+        // Recorded before it is sent, so that whatever the receiver does with it comes later.
+        state.lock().unwrap().record(true, link, &frame);
+        if upstream.write_all(&frame).is_err() {
             return;
         }
     }
--- a/crates/testbed/src/signed.rs
+++ b/crates/testbed/src/signed.rs
@@ -190,7 +190,7 @@
 /// Runs the experiment: half of the requests before the old key is revoked, half after.
 pub fn run(plan: &Plan) -> Result<Figures> {
     if let Some(guard) = &plan.without {
-        crate::several::known_guard(guard, &["links", "revoked", "clock"])?;
+        crate::cluster::ensure_check_is_known(guard, &["links", "revoked", "clock"])?;
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
     let fleet = Fleet::start(4);
@@ -338,29 +338,48 @@
             let linked = |nth| format!("{}?t={link}", path(nth));
             let next = part(linked(1), &own, &cookie).await;
             let renewed = next.as_ref().is_some_and(|next| next.1.starts_with("play="));
+            let without_link = status(part(path(9), &own, &cookie).await);
+            let without_renewal = status(part(linked(2), &own, "").await);
+            let copied = status(part(linked(2), "10.1.8.1", &cookie).await);
+            let other_object = status(part("/v1/store/pages/00000000000000aa/1".into(), &own, &cookie).await);
+            let renewal_missing = if renewed { "" } else { ", no renewal" };
             vec![
-                ("began", status(first) == 200),
-                ("goes on", status(next) == 200 && renewed),
-                ("goes on without its link", status(part(path(9), &own, &cookie).await) == 200),
-                ("lapsed without a renewal", status(part(linked(2), &own, "").await) == 403),
-                ("copied renewal", status(part(linked(2), "10.1.8.1", &cookie).await) == 403),
-                (
-                    "renewal of another object",
-                    status(part("/v1/store/pages/00000000000000aa/1".into(), &own, &cookie).await) == 403,
-                ),
+                PlaybackCheck::new("began", 200, status(first), ""),
+                PlaybackCheck::new("goes on", 200, status(next), renewal_missing),
+                PlaybackCheck::new("goes on without its link", 200, without_link, ""),
+                PlaybackCheck::new("lapsed without a renewal", 403, without_renewal, ""),
+                PlaybackCheck::new("copied renewal", 403, copied, ""),
+                PlaybackCheck::new("renewal of another object", 403, other_object, ""),
             ]
         }));
     }
     let mut counts = BTreeMap::<_, [u64; 2]>::new();
     for task in tasks {
-        for (kind, good) in task.await.expect("a video that ends") {
-            let count = counts.entry(kind).or_default();
-            *count = [count[0] + u64::from(good), count[1] + 1];
+        for check in task.await.expect("a video that ends") {
+            let count = counts.entry(check.kind).or_default();
+            *count = [count[0] + u64::from(check.passed), count[1] + 1];
+            if !check.passed {
+                eprintln!("{}: {}", check.kind, check.seen);
+            }
         }
     }
     counts
 }
 
+/// One request of a playback, and whether it got what it must.
+struct PlaybackCheck {
+    kind: &'static str,
+    passed: bool,
+    /// The status that came, 0 where none did, and what else was wrong.
+    seen: String,
+}
+
+impl PlaybackCheck {
+    fn new(kind: &'static str, wanted: u16, got: u16, also_wrong: &str) -> Self {
+        Self { kind, passed: got == wanted && also_wrong.is_empty(), seen: format!("{got}{also_wrong}") }
+    }
+}
+
 /// The status that a client got, with the cookie that was set; none without a whole answer.
 async fn ask(address: SocketAddr, target: &str, headers: &str, ticket: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(address).await.ok()?;
