--- a/crates/request-runtime/src/desk.rs
+++ b/crates/request-runtime/src/desk.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use futures_lite::future;
-use tindoor::control::RoutingEngine;
+use tindoor::engine::RoutingEngine;
 use tindoor::host::{EndpointId, FillDirectives, Host, Outcome, QuotaCharge, RequestMeta, RequestSlot};
 use tindoor::settings::Settings;
 use tindoor::time::{Moment, Span};
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the simulator's wire on standard input and output for [`tindoor::control::RoutingEngine`].
+//! Speaks the simulator's wire on standard input and output for [`tindoor::engine::RoutingEngine`].
 //!
 //! Here is framing ([`wire`]) and the mapping of ids; settings are translated by [`tindoor_settings`]. It
 //! decides nothing. Instances share nothing but the process.
@@ -9,7 +9,7 @@
 use std::io::{self, BufWriter, Read, Write};
 
 use anyhow::{Context, Result, bail, ensure};
-use tindoor::control::RoutingEngine;
+use tindoor::engine::RoutingEngine;
 use tindoor::host::{
     AttemptStatus, EndpointState, EndpointUpdate, ListUpdateKind, Outcome, OutcomeDetail, RequestMeta,
 };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! tindoor decides where objects are served, kept and filled from.
 //!
-//! [`control::RoutingEngine`] holds every decision; [`host::Host`] is what it acts through.
+//! [`engine::RoutingEngine`] holds every decision; [`host::Host`] is what it acts through.
 //!
 //! ```
-//! use tindoor::{control::RoutingEngine, host::*, settings::*, time::*};
+//! use tindoor::{engine::RoutingEngine, host::*, settings::*, time::*};
 //! struct Printer;
 //! impl Host for Printer {
 //!     fn send_cache_only(&mut self, request: RequestSlot, endpoint: EndpointId, _: Span) {
@@ -27,7 +27,7 @@
 //! engine.request_received(RequestSlot(0), meta, Span::millis(900)); // no endpoint is listed: rejected
 //! ```
 
-pub mod control;
+pub mod engine;
 pub mod host;
 pub mod settings;
 pub mod time;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use tindoor::control::RoutingEngine;
+use tindoor::engine::RoutingEngine;
 use tindoor::host::*;
 use tindoor::settings::*;
 use tindoor::time::{Moment, Span};
