--- a/crates/policy/src/budgets.rs
+++ b/crates/policy/src/budgets.rs
@@ -86,9 +86,9 @@
 
     /// All lines that a attempt draws on, and how many they are: kept in place, as it is on the path of a request.
     pub fn draws(&self, draw: &QuotaCharge) -> ([BudgetKey; 6], usize) {
-        let fills = self.fills(draw.class).map(|line| draw.fills.then_some(line));
-        let look = draw.look.then(|| Budget::Looks.of(draw.cache));
-        let further = draw.further.then(|| Budget::Further.of(0));
+        let fills = self.fills(draw.class).map(|line| draw.may_fill_from_origin.then_some(line));
+        let look = draw.cache_only.then(|| Budget::Looks.of(draw.endpoint));
+        let further = draw.is_retry.then(|| Budget::Further.of(0));
         let (mut lines, mut count) = ([BudgetKey::default(); 6], 0);
         for line in fills.into_iter().chain([look, further]).flatten() {
             lines[count] = line;
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -68,17 +68,23 @@
         let (lines, count) = place.draws(&draw);
         lines[..count].to_vec()
     };
-    let plain = QuotaCharge { cache: 9, class: 1, look: false, fills: false, further: false };
+    let plain = QuotaCharge {
+        endpoint: 9,
+        class: 1,
+        cache_only: false,
+        may_fill_from_origin: false,
+        is_retry: false,
+    };
     assert!(drawn(plain).is_empty(), "what is only held costs nothing of these");
-    assert_eq!(drawn(QuotaCharge { look: true, ..plain }), [Budget::Looks.of(9)]);
+    assert_eq!(drawn(QuotaCharge { cache_only: true, ..plain }), [Budget::Looks.of(9)]);
     let fills = [
         Budget::OriginFills.of(0),
         Budget::LocationFills.of(3),
         Budget::OfferingFills.of(number("saves")),
         Budget::FillsInHand.of(0),
     ];
-    assert_eq!(drawn(QuotaCharge { fills: true, ..plain }), fills);
-    let further = drawn(QuotaCharge { fills: true, further: true, ..plain });
+    assert_eq!(drawn(QuotaCharge { may_fill_from_origin: true, ..plain }), fills);
+    let further = drawn(QuotaCharge { may_fill_from_origin: true, is_retry: true, ..plain });
     assert_eq!(further, [&fills[..], &[Budget::Further.of(0)]].concat());
 }
 
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -135,18 +135,18 @@
         let named = |no| router.engine.is_referenced(no);
         let Some(cache) = router.caches.listed(&member.id, address, standing, named) else { continue };
         lines.push(EndpointUpdate {
-            cache,
-            stable: stable(&member.id),
-            standing,
-            started: Some(member.up_since_ms).filter(|at| *at > 0).map(Clock::unix_ms),
+            endpoint: cache,
+            stable_id: stable(&member.id),
+            state: standing,
+            started_at: Some(member.up_since_ms).filter(|at| *at > 0).map(Clock::unix_ms),
             location: place(&router.locations, &member.locality),
-            size: member.size,
+            capacity: member.size,
             kind: place(&router.kinds, &member.flavor),
             cell: member.cell,
         });
     }
     if fleet.complete {
-        let named: Vec<_> = lines.iter().map(|line| line.cache).collect();
+        let named: Vec<_> = lines.iter().map(|line| line.endpoint).collect();
         router.caches.gone_but(&named);
     }
     let form = if fleet.complete { ListUpdateKind::Full } else { ListUpdateKind::Delta };
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -478,22 +478,22 @@
 
     fn charge_quota(&self, draw: &QuotaCharge) -> Option<FillCharge> {
         let further = self.further.get();
-        if draw.further && further.is_some_and(|further| !further.affords()) {
+        if draw.is_retry && further.is_some_and(|further| !further.affords()) {
             return None;
         }
         let (lines, count) = self.place.draws(draw);
         let at = self.shares(|participant, now| {
             // One that is sent without a fill, as none is to be had, would have wanted it.
             let fills = self.place.fills(draw.class);
-            if !draw.fills && !draw.further && !participant.affords(now, &fills) {
+            if !draw.may_fill_from_origin && !draw.is_retry && !participant.affords(now, &fills) {
                 participant.refused(now, &fills);
             }
             participant.spend(now, &lines[..count]).then_some(now)
         })?;
-        if draw.further {
+        if draw.is_retry {
             self.further.set(further.map(RetryBudget::spent));
         }
-        Some(FillCharge { at, class: draw.class, fills: draw.fills })
+        Some(FillCharge { at, class: draw.class, fills: draw.may_fill_from_origin })
     }
 
     fn settle(&self, drawn: FillCharge, end: Outcome) {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -181,12 +181,12 @@
         };
         let address = record.address()?;
         lines.push(EndpointUpdate {
-            cache: control.host().cache_no(address),
-            stable: address,
-            standing,
-            started: Some(record.u64()?).filter(|at| *at > 0).map(Moment::at_micros),
+            endpoint: control.host().cache_no(address),
+            stable_id: address,
+            state: standing,
+            started_at: Some(record.u64()?).filter(|at| *at > 0).map(Moment::at_micros),
             location: record.u8()?,
-            size: record.f32()?,
+            capacity: record.f32()?,
             kind: record.u8()?,
             cell: record.u16()?,
         });
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -1,105 +1,202 @@
 //! The endpoint table, its tiers, and the rendezvous ranking of endpoints.
 
-use super::*;
+use std::collections::VecDeque;
+use std::ops::{Index, IndexMut, Range};
 
-#[derive(Clone, Copy, PartialEq)]
+use rand::Rng;
+
+use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, ListUpdateKind};
+use crate::settings::Topology;
+use crate::time::{Moment, Span};
+
+use super::RoutingEngine;
+use super::hashing::{mix, unit_interval};
+use super::load::LoadSample;
+use super::samples::Samples;
+use super::slow_start::SlowStartCharge;
+
+/// The pause after which a list that could not be fetched is asked for again, in seconds.
+const LIST_RETRY_SECS: Range<f64> = 0.5..1.5;
+/// The least capacity that is counted, which keeps divisors above 0.
+const MIN_CAPACITY: f64 = 1e-3;
+
+/// What an endpoint is to this router.
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Tier {
-    Cache, // of the own location
+    /// A cache of the router's own location.
+    Cache,
+    /// A parent of caches in any location.
     Parent,
+    /// The origin.
     Origin,
-    Elsewhere,
+    /// A cache of another location, which gets nothing from this router.
+    Remote,
+}
+
+impl Tier {
+    fn of(update: &EndpointUpdate, topology: &Topology) -> Self {
+        match Some(update.kind) {
+            kind if kind == topology.parent_kind => Self::Parent,
+            kind if kind == topology.origin_kind => Self::Origin,
+            _ if u16::from(update.location) == topology.location => Self::Cache,
+            _ => Self::Remote,
+        }
+    }
 }
 
 /// A cache, a parent or the origin, as this router knows it.
-pub(super) struct Member {
-    pub(super) listed: EndpointUpdate,
+pub(super) struct Endpoint {
+    /// Its newest entry in the endpoint list.
+    pub(super) entry: EndpointUpdate,
     pub(super) tier: Tier,
-    /// How its last attempts ended: whether well.
-    pub(super) signs: Samples<bool, 16>,
-    pub(super) loads: Samples<Load, 40>,
-    pub(super) out: u32,
-    /// When it last answered, or last got a request with none in hand.
-    pub(super) heard: Moment,
-    pub(super) gaps: Samples<Span, 16>,
-    /// Set while it is left out for what it did; a few trial requests go to it after that moment.
-    pub(super) out_until: Option<Moment>,
-    pub(super) outages: i32,
-    /// Work wanted of it while it was cold, by time; with request and attempt where it was sent.
-    pub(super) drawn: VecDeque<FillCharge>,
+    /// Outcome window: whether its last attempts succeeded.
+    pub(super) outcomes: Samples<bool, 16>,
+    pub(super) loads: Samples<LoadSample, 40>,
+    /// Attempts of this router in flight there.
+    pub(super) in_flight: u32,
+    /// When it last answered, or last was sent an attempt with none in flight.
+    pub(super) last_active: Moment,
+    /// Times between its answers while attempts were in flight.
+    pub(super) response_gaps: Samples<Span, 16>,
+    /// Set while it is ejected; trial requests are sent to it after that moment.
+    pub(super) ejected_until: Option<Moment>,
+    pub(super) ejection_count: i32,
+    /// Work sent to it, or wanted of it, while it was warming up; oldest first.
+    pub(super) slow_start_charges: VecDeque<SlowStartCharge>,
 }
 
-impl Member {
-    pub(super) fn new(listed: EndpointUpdate, tier: Tier, out: u32, heard: Moment) -> Self {
-        let (signs, gaps, loads, drawn, out_until) = Default::default();
-        Self { listed, tier, signs, loads, out, heard, gaps, out_until, outages: 0, drawn }
+impl Endpoint {
+    fn new(entry: EndpointUpdate, tier: Tier, in_flight: u32, now: Moment) -> Self {
+        Self {
+            entry,
+            tier,
+            outcomes: Samples::default(),
+            loads: Samples::default(),
+            in_flight,
+            last_active: now,
+            response_gaps: Samples::default(),
+            ejected_until: None,
+            ejection_count: 0,
+            slow_start_charges: VecDeque::new(),
+        }
+    }
+
+    pub(super) fn id(&self) -> EndpointId {
+        self.entry.endpoint
     }
 
     pub(super) fn is_ready(&self) -> bool {
-        self.listed.standing == EndpointState::Ready
+        self.entry.state == EndpointState::Ready
     }
-}
 
-impl<H: Host> RoutingEngine<H> {
-    pub(super) fn member(&self, cache: EndpointId) -> &Member {
-        &self.members[cache.0 as usize]
+    pub(super) fn capacity(&self) -> f64 {
+        f64::from(self.entry.capacity)
     }
 
-    pub(super) fn member_mut(&mut self, cache: EndpointId) -> &mut Member {
-        &mut self.members[cache.0 as usize]
+    /// Whether an update is about the same process that was listed before, in the same role.
+    fn is_same_process(&self, update: &EndpointUpdate, tier: Tier) -> bool {
+        self.entry.started_at == update.started_at
+            && self.entry.stable_id == update.stable_id
+            && self.tier == tier
     }
+}
+
+/// All endpoints ever listed, by their ids.
+#[derive(Default)]
+pub(super) struct EndpointTable {
+    endpoints: Vec<Endpoint>,
+    tiers: [Vec<EndpointId>; 4],
+}
 
-    pub(super) fn tier(&self, tier: Tier) -> impl Iterator<Item = &Member> {
-        self.tiers[tier as usize].iter().map(|no| self.member(*no))
+impl Index<EndpointId> for EndpointTable {
+    type Output = Endpoint;
+    fn index(&self, id: EndpointId) -> &Endpoint {
+        &self.endpoints[id.0 as usize]
     }
+}
 
-    /// How much those of a tier could do together that are ready or have answered since.
-    pub(super) fn size(&self, tier: Tier, since: Moment) -> f64 {
-        let counted = |m: &&Member| m.is_ready() || m.heard >= since;
-        self.tier(tier).filter(counted).map(|m| f64::from(m.listed.size)).sum::<f64>().max(1e-3)
+impl IndexMut<EndpointId> for EndpointTable {
+    fn index_mut(&mut self, id: EndpointId) -> &mut Endpoint {
+        &mut self.endpoints[id.0 as usize]
     }
+}
 
-    /// News of the list of caches.
-    pub fn endpoints_changed(&mut self, form: ListUpdateKind, lines: &[EndpointUpdate]) {
-        if form == ListUpdateKind::Failed {
-            let pause = Span::secs(self.chance.random_range(0.5..1.5));
-            self.alarm(self.now + pause, RequestSlot(u32::MAX));
+impl EndpointTable {
+    fn mark_all_removed(&mut self) {
+        for endpoint in &mut self.endpoints {
+            endpoint.entry.state = EndpointState::Removed;
         }
-        if form == ListUpdateKind::Full {
-            // What the list does not name is gone; what it names is set below.
-            self.members.iter_mut().for_each(|member| member.listed.standing = EndpointState::Removed);
-        }
-        for line in lines {
-            let topology = &self.settings.topology;
-            let tier = match Some(line.kind) {
-                kind if kind == topology.parent_kind => Tier::Parent,
-                kind if kind == topology.origin_kind => Tier::Origin,
-                _ if u16::from(line.location) == topology.location => Tier::Cache,
-                _ => Tier::Elsewhere,
-            };
-            let known = self.members.get(line.cache.0 as usize);
-            let fresh = Member::new(*line, tier, known.map_or(0, |member| member.out), self.now);
-            let EndpointUpdate { cache, stable, started, standing, .. } = *line;
-            match known.map(|known| (known.listed.started, known.listed.stable, known.tier)) {
-                None => self.members.push(fresh),
-                // Gone; its size and place still tell how the load was shared.
-                Some(_) if standing == EndpointState::Removed => {
-                    self.member_mut(cache).listed.standing = standing
-                }
-                // The same life goes on: what was learned of its health stays.
-                Some(same) if same == (started, stable, tier) => self.member_mut(cache).listed = *line,
-                Some(_) => *self.member_mut(cache) = fresh,
-            }
+    }
+
+    fn apply(&mut self, update: &EndpointUpdate, tier: Tier, now: Moment) {
+        let Some(known) = self.endpoints.get_mut(update.endpoint.0 as usize) else {
+            self.endpoints.push(Endpoint::new(*update, tier, 0, now));
+            return;
+        };
+        if update.state == EndpointState::Removed {
+            // Its capacity and tier still tell how the load was divided.
+            known.entry.state = update.state;
+        } else if known.is_same_process(update, tier) {
+            known.entry = *update;
+        } else {
+            *known = Endpoint::new(*update, tier, known.in_flight, now);
         }
+    }
+
+    fn index_tiers(&mut self) {
         self.tiers.iter_mut().for_each(Vec::clear);
-        self.members.iter().for_each(|member| self.tiers[member.tier as usize].push(member.listed.cache));
+        for endpoint in &self.endpoints {
+            self.tiers[endpoint.tier as usize].push(endpoint.id());
+        }
+    }
+
+    pub(super) fn tier(&self, tier: Tier) -> impl Iterator<Item = &Endpoint> {
+        self.tiers[tier as usize].iter().map(|id| &self[*id])
+    }
+
+    pub(super) fn ready(&self, tier: Tier) -> impl Iterator<Item = &Endpoint> {
+        self.tier(tier).filter(|endpoint| endpoint.is_ready())
+    }
+
+    /// The capacity of a tier's ready endpoints.
+    pub(super) fn ready_capacity(&self, tier: Tier) -> f64 {
+        self.ready(tier).map(Endpoint::capacity).sum::<f64>().max(MIN_CAPACITY)
+    }
+
+    /// The capacity of a tier's endpoints that are ready or have been active since that moment.
+    pub(super) fn capacity_active_since(&self, tier: Tier, since: Moment) -> f64 {
+        let counted = |endpoint: &&Endpoint| endpoint.is_ready() || endpoint.last_active >= since;
+        self.tier(tier).filter(counted).map(Endpoint::capacity).sum::<f64>().max(MIN_CAPACITY)
     }
 
-    /// Members of one tier in the order of the weighted rendezvous hash, best first.
-    pub(super) fn order(&self, hash: u64, tier: Tier) -> Vec<EndpointId> {
-        let ready = self.tier(tier).filter(|m| m.is_ready());
-        let score = |m: &Member| -unit(mix(m.listed.stable, hash)).ln() / f64::from(m.listed.size.max(1e-3));
-        let mut scored: Vec<_> = ready.map(|m| (score(m), m.listed.cache)).collect();
+    /// A tier's ready endpoints in the order of weighted rendezvous hashing, best first.
+    pub(super) fn rank(&self, hash: u64, tier: Tier) -> Vec<EndpointId> {
+        let score = |endpoint: &Endpoint| {
+            -unit_interval(mix(endpoint.entry.stable_id, hash)).ln()
+                / f64::from(endpoint.entry.capacity.max(MIN_CAPACITY as f32))
+        };
+        let mut scored: Vec<_> = self.ready(tier).map(|endpoint| (score(endpoint), endpoint.id())).collect();
         scored.sort_by(|a, b| a.partial_cmp(b).expect("hashes are numbers"));
-        scored.into_iter().map(|scored| scored.1).collect()
+        scored.into_iter().map(|(_, id)| id).collect()
+    }
+}
+
+impl<H: Host> RoutingEngine<H> {
+    /// The endpoint list, or a part of it, changed, or could not be fetched.
+    pub fn endpoints_changed(&mut self, kind: ListUpdateKind, updates: &[EndpointUpdate]) {
+        match kind {
+            ListUpdateKind::Failed => {
+                let pause = Span::secs(self.rng.random_range(LIST_RETRY_SECS));
+                self.schedule_list_request(pause);
+            }
+            // What the list still names is set below.
+            ListUpdateKind::Full => self.endpoints.mark_all_removed(),
+            ListUpdateKind::Delta => {}
+        }
+        for update in updates {
+            let tier = Tier::of(update, &self.settings.topology);
+            self.endpoints.apply(update, tier, self.now);
+        }
+        self.endpoints.index_tiers();
     }
 }
--- a/src/engine/load.rs
+++ b/src/engine/load.rs
@@ -1,104 +1,337 @@
 //! Load samples, service time, lateness and congestion.
+//!
+//! Lateness is the time that responses took over their objectives. Congestion is the number in flight over the number
+//! up to which responses come in time: at 1 or more, another request would be late.
 
-use super::*;
+use crate::host::{Host, RequestMeta};
+use crate::time::{Moment, Span};
 
-/// A hit as a sign of how full a cache is, or a fill as one of how full the way to it is.
+use super::RoutingEngine;
+use super::endpoints::Endpoint;
+use super::hashing::unit_interval;
+use super::requests::{FillMode, Request};
+use super::samples::Samples;
+
+/// The lateness assumed where nothing was sampled.
+const DEFAULT_LATENESS: f64 = 0.3;
+/// How many samples' worth of evidence the assumed lateness counts for.
+const PRIOR_SAMPLES: f64 = 2.0;
+/// A sample counts as at most this many times its objective.
+const MAX_SAMPLE_LATENESS: f64 = 3.0;
+/// The least time that one sample stands for, in seconds.
+const MIN_SAMPLE_SPACING_SECS: f64 = 0.001;
+/// Keeps divisors above 0.
+const EPSILON: f64 = 1e-6;
+/// Load samples count for this many times the longest deadline, ever less.
+const SAMPLE_LIFETIME_DEADLINES: f64 = 2.0;
+/// Service times needed before their mean is used.
+const MIN_SERVICE_TIMES: usize = 4;
+/// Below this lateness an endpoint is calm: a request is sent there without a look at congestion.
+pub(super) const CALM_LATENESS: f64 = 0.45;
+/// Congested where lateness reaches half of the objective.
+const CONGESTED_LATENESS: f64 = 0.5;
+/// The least service time assumed of one request, in seconds.
+const MIN_WORK_SECS: f64 = 0.001;
+/// The least objective of a request over its work, relative to that of the samples.
+const MIN_RELATIVE_ALLOWANCE: f64 = 0.5;
+/// All samples of a window.
+const ALL_SAMPLES: usize = 40;
+/// The last fills of a parent that tell its lateness.
+pub(super) const PARENT_SAMPLES: usize = 12;
+
+/// Where an endpoint, or the fills of a path, count as congested.
+#[derive(Clone, Copy)]
+struct CongestionLimits {
+    /// Below this lateness there is no congestion.
+    calm_lateness: f64,
+    /// A single router's requests up to this number in flight are not congestion.
+    min_in_flight: f64,
+}
+
+/// Limits of the hits of one endpoint.
+const ENDPOINT_LIMITS: CongestionLimits =
+    CongestionLimits { calm_lateness: CALM_LATENESS, min_in_flight: 2.0 };
+/// Limits of fills from copies that sources hold.
+const SOURCE_FILL_LIMITS: CongestionLimits =
+    CongestionLimits { calm_lateness: CALM_LATENESS, min_in_flight: 6.0 };
+/// Limits of fills by the origin.
+const ORIGIN_FILL_LIMITS: CongestionLimits = CongestionLimits { calm_lateness: 0.6, min_in_flight: 4.0 };
+
+/// A completed hit or fill as a measure of load.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Load {
+pub(super) struct LoadSample {
     pub(super) at: Moment,
-    /// How many more like it were in hand here at the attempt, with this one.
-    pub(super) held: f64,
+    /// How many like it were in flight when it was sent, itself included.
+    pub(super) in_flight: f64,
+    /// Its service time, in seconds.
     pub(super) work: f64,
-    pub(super) goal: f64,
+    /// Its latency objective, in seconds.
+    pub(super) objective: f64,
     pub(super) took: Span,
 }
 
+/// What load samples show together.
+#[derive(Clone, Copy)]
+pub(super) struct Pressure {
+    /// Mean number in flight, weighted by work.
+    in_flight: f64,
+    pub(super) lateness: f64,
+    /// The mean objective over the mean work.
+    allowance: f64,
+}
+
+/// Where a fill comes from.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum FillPath {
+    /// From a copy that the source holds.
+    Source,
+    /// From the origin, through the source if there is one.
+    Origin,
+}
+
+/// Where a response came from.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum ResponsePath {
+    /// From the endpoint's own copy.
+    Hit,
+    Fill(FillPath),
+}
+
+/// A response to an attempt that fills misses.
+#[derive(Clone, Copy)]
+pub(super) struct ResponseSample {
+    pub(super) path: ResponsePath,
+    pub(super) took: Span,
+}
+
+/// Numbers of fills by their path.
+#[derive(Clone, Copy)]
+pub(super) struct FillCounts {
+    from_source: f64,
+    from_origin: f64,
+}
+
+impl FillCounts {
+    pub(super) fn get(self, path: FillPath) -> f64 {
+        match path {
+            FillPath::Source => self.from_source,
+            FillPath::Origin => self.from_origin,
+        }
+    }
+}
+
+/// Attempts in flight by how they treat a miss.
+#[derive(Default)]
+pub(super) struct FillModeCounts {
+    on_miss: f64,
+    cache_only: f64,
+    only_if_cached: f64,
+    known_miss: f64,
+}
+
+impl FillModeCounts {
+    pub(super) fn of(&mut self, mode: FillMode) -> &mut f64 {
+        match mode {
+            FillMode::OnMiss => &mut self.on_miss,
+            FillMode::CacheOnly => &mut self.cache_only,
+            FillMode::OnlyIfCached => &mut self.only_if_cached,
+            FillMode::KnownMiss => &mut self.known_miss,
+        }
+    }
+}
+
+/// What this router has measured of its load.
+#[derive(Default)]
+pub(super) struct LoadStatistics {
+    /// By request class, the times of hits at endpoints with little else in flight.
+    service_times: Vec<Samples<Span, 64>>,
+    /// The last hits of all caches.
+    pub(super) hits: Samples<LoadSample, 40>,
+    source_fills: Samples<LoadSample, 40>,
+    origin_fills: Samples<LoadSample, 40>,
+    /// The last responses to attempts that fill misses as they occur.
+    pub(super) responses: Samples<ResponseSample, 64>,
+    pub(super) in_flight: FillModeCounts,
+    /// How long load samples count, ever less.
+    sample_lifetime: Span,
+}
+
+impl LoadStatistics {
+    /// Prepares for that many request classes with that longest deadline.
+    pub(super) fn configure(&mut self, class_count: usize, longest_deadline: Span) {
+        self.sample_lifetime = longest_deadline * SAMPLE_LIFETIME_DEADLINES;
+        self.service_times.resize_with(class_count, Samples::default);
+    }
+
+    pub(super) fn has_class(&self, class: u16) -> bool {
+        usize::from(class) < self.service_times.len()
+    }
+
+    pub(super) fn add_service_time(&mut self, class: u16, took: Span) {
+        self.service_times[usize::from(class)].add(took);
+    }
+
+    pub(super) fn fills(&self, path: FillPath) -> &Samples<LoadSample, 40> {
+        match path {
+            FillPath::Source => &self.source_fills,
+            FillPath::Origin => &self.origin_fills,
+        }
+    }
+
+    pub(super) fn add_fill(&mut self, path: FillPath, sample: LoadSample) {
+        match path {
+            FillPath::Source => self.source_fills.add(sample),
+            FillPath::Origin => self.origin_fills.add(sample),
+        }
+    }
+
+    /// Fills in flight by estimate. Attempts that fill misses as they occur count by the share of their time that
+    /// recently went to fills.
+    pub(super) fn fills_in_flight(&self, path: FillPath) -> f64 {
+        let (mut hit_secs, mut source_secs, mut origin_secs) = (MIN_SAMPLE_SPACING_SECS, 0.0, 0.0);
+        for response in self.responses.iter() {
+            let total = match response.path {
+                ResponsePath::Hit => &mut hit_secs,
+                ResponsePath::Fill(FillPath::Source) => &mut source_secs,
+                ResponsePath::Fill(FillPath::Origin) => &mut origin_secs,
+            };
+            *total += response.took.as_secs();
+        }
+        let (only_if_cached, fill_secs) = match path {
+            FillPath::Source => (self.in_flight.only_if_cached, source_secs),
+            FillPath::Origin => (0.0, origin_secs),
+        };
+        let all_secs = hit_secs + source_secs + origin_secs;
+        self.in_flight.known_miss + only_if_cached + self.in_flight.on_miss * fill_secs / all_secs
+    }
+
+    pub(super) fn fill_counts(&self) -> FillCounts {
+        FillCounts {
+            from_source: self.fills_in_flight(FillPath::Source),
+            from_origin: self.fills_in_flight(FillPath::Origin),
+        }
+    }
+}
+
 impl<H: Host> RoutingEngine<H> {
-    /// What a request will cost in sending time: by its size where that is told, else by its request class's hits.
-    pub(super) fn work(&self, asked: &RequestMeta) -> f64 {
-        let told = asked.size_kb.map(|size_kb| f64::from(size_kb) / self.settings.topology.client_kb_per_s);
-        told.filter(|work| work.is_finite()).unwrap_or_else(|| self.mean_work(asked.class))
+    /// The service time of a request in seconds: by its size where that is known, else by its request class.
+    pub(super) fn work(&self, meta: &RequestMeta) -> f64 {
+        let client_kb_per_s = self.settings.topology.client_kb_per_s;
+        meta.size_kb
+            .map(|size_kb| f64::from(size_kb) / client_kb_per_s)
+            .filter(|work| work.is_finite())
+            .unwrap_or_else(|| self.mean_work(meta.class))
     }
 
-    /// The mean sending time of an request class, as its easy hits show it; before there are any, its goal, and no
-    /// more than that, as a day that begins crowded has none. Could harm where goals are short.
+    /// The mean service time of a request class in seconds.
+    ///
+    /// It is never above the latency objective, which also stands in for it until there are samples: under load from
+    /// the start no sample shows the service time alone.
     pub(super) fn mean_work(&self, class: u16) -> f64 {
-        let (easy, goal) = (&self.easy[class as usize].0, self.class(class).latency_objective.as_secs());
-        let mean = easy.iter().map(|took| took.as_secs()).sum::<f64>() / easy.len() as f64;
-        if easy.len() < 4 { goal } else { mean.min(goal) }
-    }
-
-    /// What the last samples say together, the less the older: how much was in hand, how late answers were
-    /// against their own goals, leaning on what is `usual` where there are few, and what goal work had.
-    pub(super) fn strain(&self, loads: &Samples<Load, 40>, last: usize, usual: f64) -> [f64; 3] {
-        let [mut count, mut took, mut work, mut held, mut goal, mut due] = [0.0, 0.0, 1e-6, 1e-6, 1e-6, 1e-6];
-        for (load, before) in loads.0.iter().rev().zip(loads.0.iter().rev().skip(1)).take(last) {
-            let fresh = (1.0 - self.now.since(load.at).as_secs() / self.memory.as_secs()).max(0.0);
-            count += fresh;
-            work += fresh * load.work;
-            held += fresh * load.held * load.work;
-            goal += fresh * load.goal;
-            // Each stands for the time since the one before: the few let in after a rush outweigh it.
-            let spell = fresh * load.at.since(before.at).as_secs().max(0.001);
-            took += spell * load.took.as_secs().min(3.0 * load.goal);
-            due += spell * load.goal;
+        let service_times = &self.load.service_times[usize::from(class)];
+        let objective = self.class(class).latency_objective.as_secs();
+        if service_times.len() < MIN_SERVICE_TIMES {
+            return objective;
+        }
+        let total = service_times.iter().map(|took| took.as_secs()).sum::<f64>();
+        (total / service_times.len() as f64).min(objective)
+    }
+
+    /// The latency objective of a request of that service time, in seconds.
+    pub(super) fn objective(&self, class: u16, work: f64) -> f64 {
+        self.class(class).objective_for(work)
+    }
+
+    /// What the last `count` samples show together, older ones counting less; where there are few, lateness leans on
+    /// `usual_lateness`.
+    fn pressure(&self, loads: &Samples<LoadSample, 40>, count: usize, usual_lateness: f64) -> Pressure {
+        let (mut weight, mut took, mut due) = (0.0, 0.0, EPSILON);
+        let (mut work, mut in_flight, mut objective) = (EPSILON, EPSILON, EPSILON);
+        for (load, previous) in loads.iter().rev().zip(loads.iter().rev().skip(1)).take(count) {
+            let age = self.now.since(load.at).as_secs();
+            let freshness = (1.0 - age / self.load.sample_lifetime.as_secs()).max(0.0);
+            weight += freshness;
+            work += freshness * load.work;
+            in_flight += freshness * load.in_flight * load.work;
+            objective += freshness * load.objective;
+            // Each sample stands for the time since the one before, so that the few requests admitted after a
+            // burst outweigh the burst.
+            let spacing = load.at.since(previous.at).as_secs().max(MIN_SAMPLE_SPACING_SECS);
+            let spell = freshness * spacing;
+            took += spell * load.took.as_secs().min(MAX_SAMPLE_LATENESS * load.objective);
+            due += spell * load.objective;
+        }
+        Pressure {
+            in_flight: in_flight / work,
+            lateness: (weight * took / due + PRIOR_SAMPLES * usual_lateness) / (weight + PRIOR_SAMPLES),
+            allowance: objective / work,
         }
-        [held / work, (count * took / due + 2.0 * usual) / (count + 2.0), goal / work]
     }
 
-    /// How full a cache, or the way in for fills, is: at 1 or more a request would come late, as the last show.
-    /// Once a link is full, sending slows down in proportion to what is in hand: the number at which it gets
-    /// too slow follows from the mean slowness and number. The more routers share it, the more the slowness
-    /// alone decides, by lot, so that all together let in what comes in time. Answers overload, slow members,
-    /// full links and hot objects. Could harm where lateness does not grow with what is in hand.
-    pub(super) fn crowd(
+    /// How congested an endpoint or a path of fills is for a request, with that many in flight there.
+    ///
+    /// On a saturated link response times grow in proportion to the number in flight, so the number at which they
+    /// pass the objective follows from the mean lateness and the mean number. The more routers share the link, the
+    /// less this router's own number tells: lateness decides, together with the request's admission draw, so that
+    /// all routers together admit what comes in time.
+    fn congestion(
         &self,
-        [held, late, room]: [f64; 3],
-        request: &Held,
-        hand: f64,
-        [calm, least]: [f64; 2],
+        pressure: Pressure,
+        request: &Request,
+        in_flight: f64,
+        limits: CongestionLimits,
     ) -> f64 {
-        if late < calm {
+        if pressure.lateness < limits.calm_lateness {
             return 0.0;
         }
-        // What asks little work for its goal is let in longer, and what asks much less long.
-        let own = self.work(&request.asked).max(0.001);
-        let room = (self.goal(request.asked.class, own) / own / room).max(0.5);
-        let alone = 1.0 / self.settings.topology.local_router_count();
-        let hand = hand + 1.0 - alone;
-        let full =
-            (hand / held).powf(alone) * late / (0.5 * room) * unit(request.lot).powf(0.5 - 0.5 * alone);
-        full.min(hand / (least * (4.0 * alone * alone).min(1.0)))
-    }
-
-    /// The time in which an answer of so much work is in time.
-    pub(super) fn goal(&self, class: u16, work: f64) -> f64 {
-        self.class(class).objective_for(work)
+        // A request with little work for its objective is admitted longer.
+        let work = self.work(&request.meta).max(MIN_WORK_SECS);
+        let allowance = self.objective(request.meta.class, work) / work / pressure.allowance;
+        let allowance = allowance.max(MIN_RELATIVE_ALLOWANCE);
+        let own_share = 1.0 / self.settings.topology.local_router_count();
+        let in_flight = in_flight + 1.0 - own_share;
+        let draw = unit_interval(request.admission_draw).powf(0.5 - 0.5 * own_share);
+        let congestion = (in_flight / pressure.in_flight).powf(own_share) * pressure.lateness
+            / (CONGESTED_LATENESS * allowance)
+            * draw;
+        congestion.min(in_flight / (limits.min_in_flight * (4.0 * own_share * own_share).min(1.0)))
+    }
+
+    /// How congested the fills of a path are for a request; at least 1 while the fleet's quota affords none.
+    pub(super) fn fill_congestion(&self, request: &Request, path: FillPath) -> f64 {
+        let without_quota = path == FillPath::Origin && !self.host.can_afford_fill(request.meta.class);
+        let limits = match path {
+            FillPath::Source => SOURCE_FILL_LIMITS,
+            FillPath::Origin => ORIGIN_FILL_LIMITS,
+        };
+        let pressure = self.pressure(self.load.fills(path), ALL_SAMPLES, DEFAULT_LATENESS);
+        let in_flight = self.load.fills_in_flight(path);
+        self.congestion(pressure, request, in_flight, limits).max(f64::from(without_quota))
+    }
+
+    /// The lateness of the last hits of all caches.
+    pub(super) fn usual_hit_lateness(&self) -> f64 {
+        self.pressure(&self.load.hits, ALL_SAMPLES, DEFAULT_LATENESS).lateness
     }
 
-    /// The fills in hand over those that still come in time: from what a source holds (0), by the origin (1).
-    pub(super) fn fill_crowd(&self, request: &Held, far: usize) -> f64 {
-        // None is to be had of the fleet's budget: as where the origin is full.
-        let least = f64::from(far == 1 && !self.host.can_afford_fill(request.asked.class));
-        let strain = self.strain(&self.fill_loads[far], 40, 0.3);
-        self.crowd(strain, request, self.fills_in_hand(far), [[0.45, 6.0], [0.6, 4.0]][far]).max(least)
+    /// The lateness of the last fills from copies that sources hold.
+    pub(super) fn usual_fill_lateness(&self) -> f64 {
+        self.pressure(self.load.fills(FillPath::Source), ALL_SAMPLES, DEFAULT_LATENESS).lateness
     }
 
-    /// Fills in hand by estimate: of what fills as it comes, the part of the time that went to fills.
-    pub(super) fn fills_in_hand(&self, far: usize) -> f64 {
-        let mut took = [0.001, 0.0, 0.0];
-        self.filled.0.iter().for_each(|filled| took[filled.0] += filled.1.as_secs());
-        let [as_it_comes, _, if_held, surely] = self.filling;
-        surely + [if_held, 0.0][far] + as_it_comes * took[1 + far] / took.iter().sum::<f64>()
+    /// The lateness of a parent's last fills, leaning on the usual one.
+    pub(super) fn parent_lateness(&self, parent: &Endpoint, usual_lateness: f64) -> f64 {
+        self.pressure(&parent.loads, PARENT_SAMPLES, usual_lateness).lateness
     }
 
-    pub(super) fn usual_lateness(&self) -> f64 {
-        self.strain(&self.hits, 40, 0.3)[1]
+    /// Whether an endpoint that may take the place of a cache answers in time.
+    pub(super) fn is_calm(&self, endpoint: &Endpoint) -> bool {
+        self.parent_lateness(endpoint, DEFAULT_LATENESS) < CALM_LATENESS
     }
 
-    /// Whether a request would come late from a cache with that much in hand, where hits are `usual` so late.
-    pub(super) fn too_late(&self, member: &Member, request: &Held, usual: f64) -> bool {
-        let strain = self.strain(&member.loads, 40, usual);
-        self.crowd(strain, request, f64::from(member.out), [0.45, 2.0]) >= 1.0
+    /// Whether an endpoint would answer a request late, where hits usually have this lateness.
+    pub(super) fn would_be_late(&self, endpoint: &Endpoint, request: &Request, usual_lateness: f64) -> bool {
+        let pressure = self.pressure(&endpoint.loads, ALL_SAMPLES, usual_lateness);
+        self.congestion(pressure, request, f64::from(endpoint.in_flight), ENDPOINT_LIMITS) >= 1.0
     }
 }
--- /dev/null
+++ b/src/engine/outcomes.rs
@@ -0,0 +1,167 @@
+//! The end of an attempt: what it tells about load and health, and what follows for its request.
+
+use crate::host::{AttemptStatus, Host, Outcome, OutcomeDetail, RequestMeta, RequestSlot};
+use crate::time::Span;
+
+use super::RoutingEngine;
+use super::endpoints::Tier;
+use super::load::{FillPath, LoadSample, ResponsePath, ResponseSample};
+use super::requests::{Attempt, FillMode, UNEXPLAINED_ERROR};
+use super::slow_start::AttemptId;
+
+/// A hit is a sample of service time if at most this many attempts were in flight at its endpoint,
+const MAX_IN_FLIGHT_FOR_SERVICE_TIME: f64 = 3.0;
+/// and if the lateness of all caches is below this, as what slows all alike is no service time.
+const MAX_LATENESS_FOR_SERVICE_TIME: f64 = 0.6;
+
+/// An attempt that has ended.
+struct EndedAttempt {
+    id: AttemptId,
+    meta: RequestMeta,
+    attempt: Attempt,
+    outcome: Outcome,
+    took: Span,
+}
+
+impl<H: Host> RoutingEngine<H> {
+    /// An attempt ended; `is_last` tells that the request has its final answer.
+    pub fn attempt_ended(
+        &mut self,
+        slot: RequestSlot,
+        index: u16,
+        outcome: Outcome,
+        took: Span,
+        is_last: bool,
+    ) {
+        self.with_settings_of(slot, |engine| {
+            let Some(ended) = engine.close_attempt(slot, index, outcome, took) else { return };
+            engine.record_load(&ended);
+            engine.record_attempt_health(slot, &ended);
+            engine.continue_request(slot, &ended, is_last);
+        });
+    }
+
+    /// Takes an attempt out of those in flight; none if it was not among them.
+    fn close_attempt(
+        &mut self,
+        slot: RequestSlot,
+        index: u16,
+        outcome: Outcome,
+        took: Span,
+    ) -> Option<EndedAttempt> {
+        let request = self.requests.get_mut(slot)?;
+        let id = AttemptId { request: request.id, index };
+        let meta = request.meta;
+        let attempt =
+            request.attempts.get_mut(usize::from(index)).filter(|attempt| attempt.is_in_flight())?;
+        attempt.outcome = Some(outcome);
+        let attempt = *attempt;
+        let endpoint = &mut self.endpoints[attempt.endpoint];
+        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+        if !matches!(outcome.status, AttemptStatus::Cancelled | AttemptStatus::TimedOut) {
+            endpoint.response_gaps.add(self.now.since(endpoint.last_active));
+            endpoint.last_active = self.now;
+        }
+        *self.load.in_flight.of(attempt.fill_mode) -= 1.0;
+        Some(EndedAttempt { id, meta, attempt, outcome, took })
+    }
+
+    /// Whether the fill of an attempt did not come in time.
+    ///
+    /// Where endpoints report how misses were filled, a timeout without a report may be just a lost answer.
+    fn is_fill_late(&self, ended: &EndedAttempt) -> bool {
+        let Outcome { status, detail } = ended.outcome;
+        let is_unreported = !self.settings.topology.fill_details_reported;
+        let has_timed_out = status == AttemptStatus::TimedOut && !ended.attempt.cancelled;
+        has_timed_out && is_unreported || detail == OutcomeDetail::SourceUnreachable
+    }
+
+    fn response_path(&self, detail: OutcomeDetail, is_fill_late: bool) -> ResponsePath {
+        match detail {
+            OutcomeDetail::FilledFromSource => ResponsePath::Fill(FillPath::Source),
+            OutcomeDetail::FilledFromOrigin | OutcomeDetail::OriginFailed => {
+                ResponsePath::Fill(FillPath::Origin)
+            }
+            _ if !is_fill_late => ResponsePath::Hit,
+            _ if self.settings.topology.fill_details_reported => ResponsePath::Fill(FillPath::Origin),
+            _ => ResponsePath::Fill(FillPath::Source),
+        }
+    }
+
+    /// Records what the end of an attempt tells about load and service time.
+    fn record_load(&mut self, ended: &EndedAttempt) {
+        let EndedAttempt { id, ref meta, ref attempt, outcome, took } = *ended;
+        let work = self.work(meta);
+        let objective = self.objective(meta.class, work);
+        let sample = LoadSample { at: self.now, in_flight: 1.0, work, objective, took };
+        let is_fill_late = self.is_fill_late(ended);
+        let path = self.response_path(outcome.detail, is_fill_late);
+        if outcome.status == AttemptStatus::Served && attempt.fill_mode == FillMode::OnMiss {
+            self.load.responses.add(ResponseSample { path, took });
+        }
+        let source = attempt.source.filter(|source| *source != attempt.endpoint);
+        if let Some(source) = source
+            && (path == ResponsePath::Fill(FillPath::Source) || is_fill_late)
+        {
+            let source = &mut self.endpoints[source];
+            source.loads.add(sample);
+            if !is_fill_late {
+                source.last_active = self.now;
+            }
+        }
+        if let ResponsePath::Fill(path) = path {
+            let in_flight = attempt.fills_in_flight.get(path);
+            self.load.add_fill(path, LoadSample { in_flight, ..sample });
+        }
+        use OutcomeDetail::{Hit, JoinedFill, StaleHit};
+        if let Some(source) = source
+            && matches!(outcome.detail, Hit | JoinedFill | StaleHit)
+        {
+            self.endpoints[source].refund(id);
+        }
+        if matches!(outcome.detail, Hit | StaleHit) {
+            self.record_hit(ended, LoadSample { in_flight: attempt.endpoint_in_flight, ..sample });
+        }
+    }
+
+    fn record_hit(&mut self, ended: &EndedAttempt, sample: LoadSample) {
+        let endpoint = &mut self.endpoints[ended.attempt.endpoint];
+        endpoint.loads.add(sample);
+        let is_cache = endpoint.tier == Tier::Cache;
+        self.load.hits.add(sample);
+        let is_calm = self.usual_hit_lateness() < MAX_LATENESS_FOR_SERVICE_TIME;
+        if sample.in_flight <= MAX_IN_FLIGHT_FOR_SERVICE_TIME && is_calm && is_cache {
+            self.load.add_service_time(ended.meta.class, ended.took);
+        }
+    }
+
+    /// Records what the end of an attempt tells about the health of endpoints.
+    ///
+    /// A bad request is an error at every endpoint and says nothing about them, so errors without a reported cause
+    /// count only once another attempt of the request is served.
+    fn record_attempt_health(&mut self, slot: RequestSlot, ended: &EndedAttempt) {
+        if ended.outcome.status == AttemptStatus::Served {
+            let request = self.requests.get(slot);
+            let errors: Vec<Attempt> =
+                request.into_iter().flat_map(|request| request.unexplained_errors()).copied().collect();
+            for failed in errors {
+                self.record_health(failed.endpoint, failed.source, &ended.meta, UNEXPLAINED_ERROR);
+            }
+        }
+        if !ended.attempt.cancelled && ended.outcome != UNEXPLAINED_ERROR {
+            self.record_health(ended.attempt.endpoint, ended.attempt.source, &ended.meta, ended.outcome);
+        }
+    }
+
+    /// Ends the request, sends it on after a miss, or retries it.
+    fn continue_request(&mut self, slot: RequestSlot, ended: &EndedAttempt, is_last: bool) {
+        let status = ended.outcome.status;
+        if is_last || self.requests.get(slot).is_none_or(|request| request.finished) {
+            self.request_abandoned(slot);
+        } else if !ended.attempt.fills_misses() && status == AttemptStatus::Miss {
+            self.route(slot);
+        } else {
+            self.retry(slot, status);
+        }
+    }
+}
--- a/src/engine/outliers.rs
+++ b/src/engine/outliers.rs
@@ -1,116 +1,159 @@
-//! Outcome windows and outlier ejection.
+//! Outcome windows, outlier ejection, trial requests, and the health weight of parents.
 
-use super::*;
+use crate::host::{AttemptStatus, EndpointId, Host, Outcome, OutcomeDetail, RequestMeta};
+use crate::time::Span;
+
+use super::RoutingEngine;
+use super::endpoints::{Endpoint, Tier};
+use super::load::CALM_LATENESS;
+
+/// Failures in the outcome window without which an endpoint is not ejected.
+const MIN_FAILURES: usize = 3;
+/// An endpoint is an outlier if its share of failures is above this share ...
+const FAILURE_SHARE: f64 = 0.3;
+/// ... and this many times the share of its peers on top.
+const PEER_FAILURE_MULTIPLE: f64 = 1.5;
+/// Successes after which an ejected endpoint on trial is taken back.
+const TRIAL_SUCCESSES: usize = 3;
+/// The duration of an endpoint's first ejection.
+const EJECTION_BASE: Span = Span::millis(1000);
+/// How many times longer each further ejection is.
+const EJECTION_GROWTH: f64 = 1.5;
+/// Ejections after which the duration no longer grows.
+const MAX_EJECTION_GROWTH_STEPS: i32 = 5;
+/// The largest share of a tier's ready capacity that may be ejected.
+const MAX_EJECTED_SHARE: f64 = 0.6;
+/// A parent is slow if its lateness is this many times that of the best one.
+const SLOW_PARENT_MULTIPLE: f64 = 2.0;
+/// The share of its objects that a slow parent keeps at least, so that its recovery is noticed.
+const MIN_HEALTH_WEIGHT: f64 = 0.1;
 
 impl<H: Host> RoutingEngine<H> {
-    /// The part of its objects that a slow parent keeps, a tenth at least to see it recover: less as fills
-    /// took longer than the best one's, so not where all are slow. Could harm where the best can't do it all.
-    pub(super) fn fitness(&self, member: &Member) -> f64 {
-        if member.tier != Tier::Parent {
+    /// The share of its objects that an endpoint keeps: less for a parent whose fills take longer than the best
+    /// one's, so not where all are slow.
+    pub(super) fn health_weight(&self, endpoint: &Endpoint) -> f64 {
+        if endpoint.tier != Tier::Parent {
             return 1.0;
         }
-        let usual = self.strain(&self.fill_loads[0], 40, 0.3)[1];
-        let pressure = |m: &Member| self.strain(&m.loads, 12, usual)[1];
-        let own = pressure(member);
-        if own <= 0.45 {
+        let usual = self.usual_fill_lateness();
+        let own = self.parent_lateness(endpoint, usual);
+        if own <= CALM_LATENESS {
             return 1.0;
         }
-        let ready = self.tier(member.tier).filter(|m| m.is_ready());
-        let best = ready.map(pressure).fold(own, f64::min);
-        if own > 2.0 * best { (best / own).max(0.1) } else { 1.0 }
+        let ready = self.endpoints.ready(endpoint.tier);
+        let best = ready.map(|parent| self.parent_lateness(parent, usual)).fold(own, f64::min);
+        if own > SLOW_PARENT_MULTIPLE * best { (best / own).max(MIN_HEALTH_WEIGHT) } else { 1.0 }
     }
 
-    /// Left out, and not yet due for a trial request.
-    pub(super) fn ill(&self, member: &Member) -> bool {
-        member.out_until.is_some_and(|until| until > self.now || member.out > 0)
+    /// Whether an endpoint is ejected and not due for a trial request.
+    pub(super) fn is_ejected(&self, endpoint: &Endpoint) -> bool {
+        endpoint.ejected_until.is_some_and(|until| until > self.now || endpoint.in_flight > 0)
     }
 
-    /// Leaves a member out for a while that grows with each time, unless the rest would drown.
-    pub(super) fn leave_out(&mut self, no: EndpointId) {
-        let now = self.now;
-        let member = self.member(no);
-        let all = self.size(member.tier, now + Span::millis(1));
-        let ready = self.tier(member.tier).filter(|m| m.is_ready());
-        let left_out = ready.filter(|m| m.out_until.is_some() || m.listed.cache == no);
-        let out: f64 = left_out.map(|m| f64::from(m.listed.size)).sum();
-        if out > all * 0.6 || member.out_until.is_some_and(|until| until > now) {
+    /// Ejects an endpoint for a time that grows with each ejection, unless too little of its tier would be left.
+    pub(super) fn eject(&mut self, id: EndpointId) {
+        let endpoint = &self.endpoints[id];
+        let capacity = self.endpoints.ready_capacity(endpoint.tier);
+        let ready = self.endpoints.ready(endpoint.tier);
+        let ejected = ready.filter(|other| other.ejected_until.is_some() || other.id() == id);
+        let ejected_capacity: f64 = ejected.map(Endpoint::capacity).sum();
+        let is_ejected = endpoint.ejected_until.is_some_and(|until| until > self.now);
+        if ejected_capacity > capacity * MAX_EJECTED_SHARE || is_ejected {
             return;
         }
-        let member = self.member_mut(no);
-        let pause = Span::millis(1000) * 1.5f64.powi(member.outages.min(5));
-        member.outages += 1;
-        member.out_until = Some(now + pause);
-        member.signs.0.clear();
+        let growth = EJECTION_GROWTH.powi(endpoint.ejection_count.min(MAX_EJECTION_GROWTH_STEPS));
+        let until = self.now + EJECTION_BASE * growth;
+        let endpoint = &mut self.endpoints[id];
+        endpoint.ejection_count += 1;
+        endpoint.ejected_until = Some(until);
+        endpoint.outcomes.clear();
+    }
+
+    /// The share of failures in the outcome windows of an endpoint's peers that are not ejected.
+    fn peer_failure_share(&self, endpoint: &Endpoint) -> f64 {
+        let peers = self.endpoints.ready(endpoint.tier);
+        let peers = peers.filter(|peer| peer.ejected_until.is_none() && peer.id() != endpoint.id());
+        let (mut failures, mut count) = (0, 0);
+        for succeeded in peers.flat_map(|peer| peer.outcomes.iter()) {
+            count += 1;
+            failures += usize::from(!succeeded);
+        }
+        failures as f64 / count.max(1) as f64
     }
 
-    /// Takes in one sign of a member's health and judges it against its peers.
-    pub(super) fn sign(&mut self, no: EndpointId, good: bool) {
-        let member = self.member_mut(no);
-        member.signs.add(good);
-        let on_trial = member.out_until.is_some();
-        let well = member.signs.0.iter().filter(|good| **good).count();
-        let bad = member.signs.0.len() - well;
-        let member = self.member(no);
-        if member.tier == Tier::Origin {
+    /// Adds to an endpoint's outcome window, and ejects it or takes it back as the window shows.
+    fn record_outcome(&mut self, id: EndpointId, succeeded: bool) {
+        self.endpoints[id].outcomes.add(succeeded);
+        let endpoint = &self.endpoints[id];
+        if endpoint.tier == Tier::Origin {
             return;
         }
-        let fit = |m: &&Member| m.is_ready() && m.out_until.is_none();
-        let peers = self.tier(member.tier).filter(fit).filter(|m| m.listed.cache != no);
-        let theirs: Vec<bool> = peers.flat_map(|m| m.signs.0.iter().copied()).collect();
-        let peer_bad = theirs.iter().filter(|good| !**good).count() as f64 / theirs.len().max(1) as f64;
-        let share = bad as f64 / member.signs.0.len() as f64;
-        let failing = bad >= 3 && share > 0.3 + 1.5 * peer_bad;
-        if failing || (on_trial && !good) {
-            self.leave_out(no);
-        } else if on_trial && well >= 3 {
-            let member = self.member_mut(no);
-            member.out_until = None;
-            member.outages -= 1;
+        let on_trial = endpoint.ejected_until.is_some();
+        let successes = endpoint.outcomes.iter().filter(|succeeded| **succeeded).count();
+        let failures = endpoint.outcomes.len() - successes;
+        let share = failures as f64 / endpoint.outcomes.len() as f64;
+        let limit = FAILURE_SHARE + PEER_FAILURE_MULTIPLE * self.peer_failure_share(endpoint);
+        let is_outlier = failures >= MIN_FAILURES && share > limit;
+        if is_outlier || (on_trial && !succeeded) {
+            self.eject(id);
+        } else if on_trial && successes >= TRIAL_SUCCESSES {
+            let endpoint = &mut self.endpoints[id];
+            endpoint.ejected_until = None;
+            endpoint.ejection_count -= 1;
         }
     }
 
-    /// Draws from the end of a attempt what it says of cache, source and request class.
-    pub(super) fn learn(
+    /// Records what the end of an attempt tells about its endpoint and its source.
+    pub(super) fn record_health(
         &mut self,
-        cache: EndpointId,
+        endpoint: EndpointId,
         source: Option<EndpointId>,
-        asked: &RequestMeta,
-        end: Outcome,
+        meta: &RequestMeta,
+        outcome: Outcome,
     ) {
-        let Outcome { status: verdict, detail: note } = end;
-        let source = source.filter(|s| *s != cache);
-        match verdict {
-            AttemptStatus::Served => {
-                let giver = source.filter(|_| {
-                    matches!(note, OutcomeDetail::FilledFromSource | OutcomeDetail::FilledFromOrigin)
-                });
-                if giver.is_some_and(|giver| self.is_warm(giver)) {
-                    self.fills.add((self.now, asked.class));
-                }
-                if self.is_warm(cache) && self.member(cache).tier == Tier::Cache {
-                    self.served.add((self.now, asked.class));
-                }
-                giver.into_iter().chain([cache]).for_each(|no| self.sign(no, true));
-            }
+        let source = source.filter(|source| *source != endpoint);
+        match outcome.status {
+            AttemptStatus::Served => self.record_success(endpoint, source, meta, outcome.detail),
             AttemptStatus::Cancelled | AttemptStatus::Superseded | AttemptStatus::Miss => {}
-            AttemptStatus::Overloaded if note != OutcomeDetail::SourceUnreachable => {}
-            _ => {
-                let by_source =
-                    matches!(note, OutcomeDetail::SourceOverloaded | OutcomeDetail::SourceUnreachable);
-                if !by_source && note != OutcomeDetail::OriginFailed {
-                    self.sign(cache, false);
-                }
-                let unsure = note == OutcomeDetail::Unknown && verdict != AttemptStatus::Unreachable;
-                if let Some(source) = source.filter(|_| by_source || unsure) {
-                    self.sign(source, false);
-                    // A parent that is not there at all may be started again before the list tells, and is
-                    // taken for cold since: else all flood it once it answers, and it falls over. Guards
-                    // what restarts or is lost together; harms where connects fail for another reason.
-                    if verdict == AttemptStatus::Overloaded {
-                        self.member_mut(source).listed.started = Some(self.now);
-                    }
-                }
-            }
+            AttemptStatus::Overloaded if outcome.detail != OutcomeDetail::SourceUnreachable => {}
+            _ => self.record_failure(endpoint, source, outcome),
+        }
+    }
+
+    fn record_success(
+        &mut self,
+        endpoint: EndpointId,
+        source: Option<EndpointId>,
+        meta: &RequestMeta,
+        detail: OutcomeDetail,
+    ) {
+        let was_filled = matches!(detail, OutcomeDetail::FilledFromSource | OutcomeDetail::FilledFromOrigin);
+        let source = source.filter(|_| was_filled);
+        let sample = self.class_sample(meta.class);
+        if source.is_some_and(|source| self.is_warm(source)) {
+            self.throughput.parent_fills.add(sample);
+        }
+        if self.is_warm(endpoint) && self.endpoints[endpoint].tier == Tier::Cache {
+            self.throughput.cache_responses.add(sample);
+        }
+        for id in source.into_iter().chain([endpoint]) {
+            self.record_outcome(id, true);
+        }
+    }
+
+    fn record_failure(&mut self, endpoint: EndpointId, source: Option<EndpointId>, outcome: Outcome) {
+        let Outcome { status, detail } = outcome;
+        let by_source = matches!(detail, OutcomeDetail::SourceOverloaded | OutcomeDetail::SourceUnreachable);
+        if !by_source && detail != OutcomeDetail::OriginFailed {
+            self.record_outcome(endpoint, false);
+        }
+        let is_unexplained = detail == OutcomeDetail::Unknown && status != AttemptStatus::Unreachable;
+        let Some(source) = source.filter(|_| by_source || is_unexplained) else { return };
+        self.record_outcome(source, false);
+        // The source was not there at all. It may restart before the endpoint list shows it, so it is treated as
+        // warming up from now on, lest all routers flood it once it answers.
+        if status == AttemptStatus::Overloaded {
+            self.endpoints[source].entry.started_at = Some(self.now);
         }
     }
 }
--- a/src/engine/purges.rs
+++ b/src/engine/purges.rs
@@ -1,18 +1,55 @@
-//! Purges (rule 5).
+//! Purges of objects and groups, which bound the age of copies that may be served (rule 5).
 
-use super::*;
+use std::collections::HashMap;
+
+use crate::host::{Host, RequestMeta};
+use crate::time::{Moment, Span};
+
+use super::RoutingEngine;
+
+/// What a purge removes the copies of.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+enum PurgeScope {
+    Object(u64),
+    Group(u32),
+}
+
+/// The newest purge of each object and group.
+pub(super) struct Purges {
+    newest: HashMap<PurgeScope, Moment>,
+    /// When expired purges were last removed.
+    cleaned_at: Moment,
+}
+
+impl Purges {
+    pub(super) fn new(now: Moment) -> Self {
+        Self { newest: HashMap::new(), cleaned_at: now }
+    }
+
+    fn record(&mut self, scope: PurgeScope, at: Moment) {
+        self.newest.entry(scope).and_modify(|newest| *newest = at.max(*newest)).or_insert(at);
+    }
+
+    /// Removes purges from before which no copy can be left, at most once per `retention`.
+    fn remove_expired(&mut self, now: Moment, retention: Span) {
+        if now.since(self.cleaned_at) > retention {
+            self.newest.retain(|_, at| now.since(*at) <= retention);
+            self.cleaned_at = now;
+        }
+    }
+
+    /// The newest purge of a request's object or group.
+    pub(super) fn newest_for(&self, meta: &RequestMeta) -> Option<Moment> {
+        let scopes = [PurgeScope::Object(meta.object), PurgeScope::Group(meta.group)];
+        scopes.iter().filter_map(|scope| self.newest.get(scope)).max().copied()
+    }
+}
 
 impl<H: Host> RoutingEngine<H> {
-    /// An object, or else a whole group, was purged so long ago.
+    /// An object or, without one, a whole group was purged this long ago.
     pub fn purged(&mut self, object: Option<u64>, group: u32, ago: Span) {
-        let key = object.map_or((false, u64::from(group)), |object| (true, object));
-        let at = self.now - ago;
-        self.purges.entry(key).and_modify(|newest| *newest = at.max(*newest)).or_insert(at);
-        // Memory stays bounded: once no older copy can be left anywhere, a purge is forgotten.
-        let (now, gone) = (self.now, self.settings.purges.copies_gone_after());
-        if now.since(self.swept) > gone {
-            self.purges.retain(|_, at| now.since(*at) <= gone);
-            self.swept = now;
-        }
+        let scope = object.map_or(PurgeScope::Group(group), PurgeScope::Object);
+        self.purges.record(scope, self.now - ago);
+        self.purges.remove_expired(self.now, self.settings.purges.copies_gone_after());
     }
 }
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -1,140 +1,233 @@
-//! Requests in flight and their attempts.
+//! Requests in flight, their attempts, and the events that begin and end a request.
 
-use super::*;
+use std::sync::Arc;
 
-/// Whether a attempt fills a miss: as it comes, not, only from what its source holds, or surely after these.
-#[derive(Clone, Copy, PartialEq)]
-pub(super) enum Filling {
-    AsItComes,
-    Not,
-    IfHeld,
-    Surely,
+use rand::Rng;
+
+use crate::host::{
+    AttemptStatus, Authorization, EndpointId, Host, Outcome, OutcomeDetail, RequestMeta, RequestSlot,
+};
+use crate::settings::Settings;
+use crate::time::{Moment, Span};
+
+use super::RoutingEngine;
+use super::load::FillCounts;
+
+/// Time kept back from the client's deadline for the answer to reach it.
+const ANSWER_MARGIN: Span = Span::millis(6);
+
+/// An error of which the endpoint reported no cause: either the endpoint or the request is at fault.
+pub(super) const UNEXPLAINED_ERROR: Outcome = Outcome::new(AttemptStatus::Error, OutcomeDetail::Unknown);
+
+/// How an attempt treats a miss.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum FillMode {
+    /// A miss is filled.
+    OnMiss,
+    /// Nothing is filled: only a fresh copy is served.
+    CacheOnly,
+    /// A miss is filled only from a copy that the source holds.
+    OnlyIfCached,
+    /// A miss, which an earlier attempt found, is filled.
+    KnownMiss,
 }
 
-/// One attempt made for a request.
+/// One attempt of a request.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
-    pub(super) cache: EndpointId,
+    pub(super) endpoint: EndpointId,
     pub(super) source: Option<EndpointId>,
-    pub(super) sent: Moment,
-    /// What the cache had in hand from here then, this one counted.
-    pub(super) load: f64,
-    pub(super) filling: Filling,
-    /// Fills in hand here then, by estimate: from what a source held, and by the origin.
-    pub(super) fills: [f64; 2],
+    pub(super) sent_at: Moment,
+    /// Attempts of this router in flight at the endpoint then, this one included.
+    pub(super) endpoint_in_flight: f64,
+    pub(super) fill_mode: FillMode,
+    /// Estimated fills in flight then.
+    pub(super) fills_in_flight: FillCounts,
     pub(super) cancelled: bool,
-    pub(super) end: Option<Outcome>,
+    pub(super) outcome: Option<Outcome>,
 }
 
 impl Attempt {
+    /// Whether a miss is filled by all means.
     pub(super) fn fills_misses(&self) -> bool {
-        matches!(self.filling, Filling::AsItComes | Filling::Surely)
+        matches!(self.fill_mode, FillMode::OnMiss | FillMode::KnownMiss)
+    }
+
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+
+    pub(super) fn has_status(&self, status: AttemptStatus) -> bool {
+        self.outcome.is_some_and(|outcome| outcome.status == status)
+    }
+
+    /// Whether it is known that the request did not run. It may run while the attempt is in flight.
+    fn did_not_run(&self) -> bool {
+        use AttemptStatus::{Miss, Overloaded, Superseded, Unreachable};
+        self.outcome
+            .is_some_and(|outcome| matches!(outcome.status, Overloaded | Unreachable | Superseded | Miss))
+    }
+
+    /// Whether the fill failed at the attempt's source.
+    fn source_failed(&self) -> bool {
+        use OutcomeDetail::{OriginFailed, SourceMiss, SourceOverloaded, SourceUnreachable};
+        self.outcome.is_some_and(|outcome| {
+            matches!(outcome.detail, SourceOverloaded | SourceUnreachable | SourceMiss | OriginFailed)
+        })
     }
 }
 
-/// A request in hand.
-pub(super) struct Held {
+/// Where and when a request first may have run.
+#[derive(Clone, Copy)]
+pub(super) struct FirstRun {
+    pub(super) at: Moment,
+    pub(super) endpoint: EndpointId,
+}
+
+/// Identifies a request over the life of the engine; slots are used again. Counted from 1.
+#[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct RequestId(u64);
+
+/// A request in flight.
+pub(super) struct Request {
+    /// The settings under which it was received.
     pub(super) settings: Arc<Settings>,
-    pub(super) serial: u64,
-    /// Its lot where something is let through in part.
-    pub(super) lot: u64,
-    pub(super) asked: RequestMeta,
-    pub(super) end: Moment,
+    pub(super) id: RequestId,
+    /// Random number that decides whether the request is among those admitted where only a part is.
+    pub(super) admission_draw: u64,
+    pub(super) meta: RequestMeta,
+    pub(super) deadline: Moment,
     pub(super) attempts: Vec<Attempt>,
-    /// Has its final answer, or its stream: nothing is sent for it any more.
+    /// It has its final answer, or its response has begun: nothing more is sent for it.
     pub(super) finished: bool,
 }
 
-impl Held {
-    /// When, and where, it first may have run; a attempt that is out may.
-    pub(super) fn first_ran(&self) -> Option<(Moment, EndpointId)> {
-        use AttemptStatus::{Miss, Overloaded, Superseded, Unreachable};
-        let void = |d: &Attempt| {
-            matches!(d.end, Some(Outcome { status: Overloaded | Unreachable | Superseded | Miss, .. }))
-        };
-        self.asked.first_ran.or_else(|| self.attempts.iter().find(|d| !void(d)).map(|d| (d.sent, d.cache)))
+impl Request {
+    /// When and where the request first may have run.
+    pub(super) fn first_run(&self) -> Option<FirstRun> {
+        let earlier = self.meta.first_ran.map(|(at, endpoint)| FirstRun { at, endpoint });
+        earlier.or_else(|| {
+            let attempt = self.attempts.iter().find(|attempt| !attempt.did_not_run())?;
+            Some(FirstRun { at: attempt.sent_at, endpoint: attempt.endpoint })
+        })
     }
 
-    pub(super) fn open(&self) -> impl Iterator<Item = (usize, &Attempt)> {
-        self.attempts.iter().enumerate().filter(|(_, d)| d.end.is_none())
+    /// Attempts in flight, with their indices.
+    pub(super) fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+        self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_in_flight())
     }
-    pub(super) fn errors(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|d| d.end == Some(ERROR))
+
+    /// Attempts that ended in an error without a reported cause.
+    pub(super) fn unexplained_errors(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| attempt.outcome == Some(UNEXPLAINED_ERROR))
     }
 
-    /// Whether it was sent to that cache in vain, and not by fault of a source.
-    pub(super) fn failed_in(&self, cache: EndpointId) -> bool {
-        let by_source = |d: &Attempt| d.source.is_some_and(|source| self.failed_at(source));
-        self.attempts.iter().any(|d| d.cache == cache && d.fills_misses() && !by_source(d))
+    /// Whether an attempt was sent to that endpoint in vain, and not through the fault of a source.
+    pub(super) fn failed_at_endpoint(&self, endpoint: EndpointId) -> bool {
+        let through_source = |attempt: &Attempt| attempt.source.is_some_and(|id| self.failed_at_source(id));
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.endpoint == endpoint && attempt.fills_misses() && !through_source(attempt))
     }
 
     /// Whether a fill of this request failed at that source.
-    pub(super) fn failed_at(&self, source: EndpointId) -> bool {
-        use OutcomeDetail::{OriginFailed, SourceMiss, SourceOverloaded, SourceUnreachable};
-        let blamed = |note| matches!(note, SourceOverloaded | SourceUnreachable | SourceMiss | OriginFailed);
-        self.attempts.iter().any(|d| d.source == Some(source) && d.end.is_some_and(|end| blamed(end.detail)))
+    pub(super) fn failed_at_source(&self, source: EndpointId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.source == Some(source) && attempt.source_failed())
+    }
+}
+
+/// Requests in flight by their slots.
+#[derive(Default)]
+pub(super) struct RequestTable {
+    slots: Vec<Option<Request>>,
+    last_id: RequestId,
+}
+
+impl RequestTable {
+    fn next_id(&mut self) -> RequestId {
+        self.last_id.0 += 1;
+        self.last_id
+    }
+
+    fn insert(&mut self, slot: RequestSlot, request: Request) {
+        let index = slot.0 as usize;
+        self.slots.resize_with(self.slots.len().max(index + 1), || None);
+        self.slots[index] = Some(request);
+    }
+
+    fn remove(&mut self, slot: RequestSlot) {
+        self.slots[slot.0 as usize] = None;
+    }
+
+    pub(super) fn get(&self, slot: RequestSlot) -> Option<&Request> {
+        self.slots.get(slot.0 as usize)?.as_ref()
+    }
+
+    pub(super) fn get_mut(&mut self, slot: RequestSlot) -> Option<&mut Request> {
+        self.slots.get_mut(slot.0 as usize)?.as_mut()
     }
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// A request was taken; its client waits for so long.
-    pub fn request_received(&mut self, no: RequestSlot, asked: RequestMeta, left: Span) {
-        if usize::from(asked.class) >= self.easy.len() {
-            return self.host.fail(no);
+    /// A request was received whose client waits this long for its answer.
+    pub fn request_received(&mut self, slot: RequestSlot, meta: RequestMeta, time_remaining: Span) {
+        if !self.load.has_class(meta.class) {
+            return self.host.fail(slot);
         }
-        self.serial += 1;
-        // The answer must be out before the client leaves: a few milliseconds are kept for it.
-        let end = self.now + (left - Span::millis(6));
-        let (serial, lot, attempts) = (self.serial, self.chance.random(), Vec::new());
-        let settings = Arc::clone(&self.settings);
-        let held = Held { settings, serial, lot, asked, end, attempts, finished: false };
-        self.requests.resize_with(self.requests.len().max(no.0 as usize + 1), || None);
-        self.requests[no.0 as usize] = Some(held);
-        if !asked.client_retry && asked.authorization == Authorization::Granted {
-            self.asked.add((self.now, asked.class));
+        let deadline = self.now + (time_remaining - ANSWER_MARGIN);
+        let request = Request {
+            settings: Arc::clone(&self.settings),
+            id: self.requests.next_id(),
+            admission_draw: self.rng.random(),
+            meta,
+            deadline,
+            attempts: Vec::new(),
+            finished: false,
+        };
+        self.requests.insert(slot, request);
+        if !meta.client_retry && meta.authorization == Authorization::Granted {
+            self.throughput.arrivals.add(self.class_sample(meta.class));
         }
-        self.alarm(end, no);
-        // Whose link is refused never reaches a cache; who came early is told when it holds.
-        match asked.authorization {
-            Authorization::Granted => return self.route(no),
+        self.schedule_request(deadline, slot);
+        self.authorize(slot, meta.authorization);
+    }
+
+    /// Routes a request that is authorized; answers any other without sending it.
+    fn authorize(&mut self, slot: RequestSlot, authorization: Authorization) {
+        match authorization {
+            Authorization::Granted => return self.route(slot),
             Authorization::NotYetValid(wait) => {
-                let rest = self.retry_after().zip(self.settings.rejection.max_retry_after());
-                let rest = rest.map(|(_, longest)| wait.min(longest));
-                self.host.reject(no, rest);
+                let sent = self.retry_after().zip(self.settings.rejection.max_retry_after());
+                let retry_after = sent.map(|(_, longest)| wait.min(longest));
+                self.host.reject(slot, retry_after);
             }
-            Authorization::Expired | Authorization::Denied => self.host.fail(no),
+            Authorization::Expired | Authorization::Denied => self.host.fail(slot),
         }
-        self.request_abandoned(no);
+        self.request_abandoned(slot);
     }
 
-    /// A streamed answer began: the attempt belongs to the client now.
-    pub fn streaming_started(&mut self, no: RequestSlot) {
-        self.held_mut(no).into_iter().for_each(|held| held.finished = true);
-    }
-
-    /// Nobody waits for this request any more: it has its answer, or its client left.
-    pub fn request_abandoned(&mut self, no: RequestSlot) {
-        let Some(held) = self.held_mut(no) else { return };
-        held.finished = true;
-        if held.open().count() == 0 {
-            self.requests[no.0 as usize] = None;
+    /// The response of a request is being streamed to the client: no other attempt may take its place.
+    pub fn streaming_started(&mut self, slot: RequestSlot) {
+        if let Some(request) = self.requests.get_mut(slot) {
+            request.finished = true;
         }
     }
 
-    pub(super) fn held(&self, no: RequestSlot) -> Option<&Held> {
-        self.requests.get(no.0 as usize)?.as_ref()
-    }
-
-    pub(super) fn held_mut(&mut self, no: RequestSlot) -> Option<&mut Held> {
-        self.requests.get_mut(no.0 as usize)?.as_mut()
+    /// Nobody waits for this request any more: it has its final answer, or its client has gone.
+    pub fn request_abandoned(&mut self, slot: RequestSlot) {
+        let Some(request) = self.requests.get_mut(slot) else { return };
+        request.finished = true;
+        if request.in_flight().count() == 0 {
+            self.requests.remove(slot);
+        }
     }
 
-    /// Does so by the policy under which that request was taken.
-    pub(super) fn as_taken(&mut self, no: RequestSlot, what: impl FnOnce(&mut Self)) {
+    /// Runs `action` under the settings with which that request was received.
+    pub(super) fn with_settings_of(&mut self, slot: RequestSlot, action: impl FnOnce(&mut Self)) {
         let newest = Arc::clone(&self.settings);
-        let pinned = self.held(no).filter(|_| !self.settings.attempts.settings_unpinned);
-        self.settings = Arc::clone(pinned.map_or(&newest, |held| &held.settings));
-        what(self);
+        let pinned = self.requests.get(slot).filter(|_| !self.settings.attempts.settings_unpinned);
+        self.settings = Arc::clone(pinned.map_or(&newest, |request| &request.settings));
+        action(self);
         self.settings = newest;
     }
 }
--- a/src/engine/routing.rs
+++ b/src/engine/routing.rs
@@ -1,96 +1,201 @@
-//! The choice of cache, source and fill mode for a request.
+//! The choice of endpoint, source and fill mode for a request.
+//!
+//! Requests for one object meet at one cache, which joins the fill in flight for it, and the fills of all locations
+//! meet at one parent. Everything else here is an exception for endpoints that fail, warm up or are congested.
 
-use super::*;
+use crate::host::{EndpointId, Host, RequestSlot};
 
-impl<H: Host> RoutingEngine<H> {
-    /// The member of a tier that suits a request best, and how little: 0 is an ordinary one, and among equals
-    /// the hash order decides; then the better ones that rule 4 spares.
-    pub(super) fn pick(
-        &self,
-        held: &Held,
-        tier: Tier,
-        hash: u64,
-    ) -> (Option<(u32, EndpointId)>, Vec<EndpointId>) {
-        let work = self.mean_work(held.asked.class);
-        let out: u32 = self.tier(tier).map(|m| m.out).sum();
-        let fair = 1.5 * f64::from(out) / self.size(tier, self.now + Span::millis(1));
-        let usual = self.usual_lateness();
-        let misfit = |no: EndpointId| {
-            let member = self.member(no);
-            // Objects come back to a restarted member one by one, at every router the same ones.
-            let away = unit(mix(hash, member.listed.stable.rotate_left(32)))
-                >= self.warmth(member) * self.fitness(member);
-            let failed = if tier == Tier::Parent { held.failed_at(no) } else { held.failed_in(no) };
-            // A hot object can outgrow its cache: requests beyond a fair bound go to the next in its order.
-            let crowded = f64::from(member.out) > 4.0 + fair * f64::from(member.listed.size);
-            let full = tier == Tier::Cache && (crowded || self.too_late(member, held, usual));
-            let ill = u32::from(self.ill(member));
-            (ill * 8 + u32::from(failed) * 4 + u32::from(away) * 2 + u32::from(full), no)
-        };
-        let mut ranked: Vec<_> = self.order(hash, tier).into_iter().map(misfit).collect();
-        ranked.sort_by_key(|ranked| ranked.0);
-        let first = ranked.iter().position(|ranked| self.bears(self.member(ranked.1), work, held.lot));
-        let spared = ranked[..first.unwrap_or(ranked.len())].iter().map(|ranked| ranked.1).collect();
-        (first.map(|first| ranked[first]), spared)
+use super::RoutingEngine;
+use super::attempts::AttemptPlan;
+use super::endpoints::{Endpoint, Tier};
+use super::hashing::{mix, unit_interval};
+use super::load::{CALM_LATENESS, FillPath};
+use super::requests::{FillMode, Request};
+
+/// Attempts in flight at a cache that are never too many for its fair share.
+const FAIR_SHARE_ALLOWANCE: f64 = 4.0;
+/// Attempts in flight at a cache, over its share by capacity, beyond which a hot object goes to the next cache.
+const FAIR_SHARE_MULTIPLE: f64 = 1.5;
+/// Congestion of fills from which on a request is first sent without one.
+const NEAR_CONGESTION: f64 = 0.8;
+/// Congestion of fills from which on none is started.
+pub(super) const CONGESTED: f64 = 1.0;
+
+/// How little an endpoint suits a request. What stands first weighs most; the default suits best.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Misfit {
+    is_ejected: bool,
+    /// An attempt of the request failed there.
+    has_failed: bool,
+    /// The object has moved away while the endpoint warms up or is slow.
+    is_displaced: bool,
+    is_congested: bool,
+}
+
+/// An endpoint that could take a request.
+#[derive(Clone, Copy)]
+struct Candidate {
+    id: EndpointId,
+    misfit: Misfit,
+}
+
+impl Candidate {
+    fn is_healthy(&self) -> bool {
+        !self.misfit.is_ejected && !self.misfit.has_failed
     }
+}
 
-    /// Picks the cache and the source of a request and attempts it, or gives it up.
-    pub(super) fn route(&mut self, no: RequestSlot) {
-        let Some(held) = self.held(no) else { return };
-        let asked = held.asked;
-        let through = self.class(asked.class).runs_at_origin;
-        let direct = self.settings.topology.may_bypass();
-        let hash = mix(asked.object, u64::from(asked.part));
-        let origin = self.order(hash, Tier::Origin).first().copied();
-        let plain = !self.settings.topology.caches_fill;
-        if let Some(origin) = origin.filter(|_| through && direct) {
-            return self.send(no, origin, None, Filling::AsItComes);
+/// The result of a search through one tier.
+struct Selection {
+    best: Option<Candidate>,
+    /// Endpoints that suit better and can't absorb the request while they warm up.
+    spared: Vec<EndpointId>,
+}
+
+impl<H: Host> RoutingEngine<H> {
+    /// Sends a request to the endpoint that suits it best, or gives it up.
+    pub(super) fn route(&mut self, slot: RequestSlot) {
+        let Some(request) = self.requests.get(slot) else { return };
+        let class = request.meta.class;
+        let hash = mix(request.meta.object, u64::from(request.meta.part));
+        let origin = self.endpoints.rank(hash, Tier::Origin).first().copied();
+        let goes_direct = self.class(class).runs_at_origin && self.settings.topology.may_bypass();
+        if let Some(endpoint) = origin.filter(|_| goes_direct) {
+            return self.send(slot, AttemptPlan { endpoint, source: None, fill_mode: FillMode::OnMiss });
         }
-        let missed = held.attempts.last().filter(|d| !d.fills_misses()).map(|d| d.filling);
-        // Where every parent is left out or failed this request, the origin is its source: for parents lost
-        // together; could harm an origin that made them fail, but that its fills stay limited.
-        let (parent, mut spared) = self.pick(held, Tier::Parent, hash);
-        let parent = parent.filter(|parent| parent.0 < 4 || origin.is_none());
-        let (cache, spared_here) = self.pick(held, Tier::Cache, hash);
-        spared.extend(spared_here);
-        let source = match parent {
-            _ if plain => None,
-            Some(parent) if !through => Some(parent.1),
-            _ => origin,
+        let parents = self.select(request, Tier::Parent, hash);
+        let caches = self.select(request, Tier::Cache, hash);
+        let source = self.choose_source(class, parents.best, origin);
+        let endpoint = self.choose_endpoint(request, caches.best, source);
+        let Some(fill_mode) = self.choose_fill_mode(request, endpoint, source) else {
+            return self.give_up(slot);
         };
-        // Where no cache can take it, the parent answers by itself; where one would just be late, a calm
-        // parent. Could harm a parent that many locations turn to at once.
-        let calm = |no: &EndpointId| self.strain(&self.member(*no).loads, 12, 0.3)[1] < 0.45;
-        let straight = source.filter(|_| direct && !through);
-        let cache = match cache.map(|cache| cache.1) {
-            Some(cache) if !self.too_late(self.member(cache), held, self.usual_lateness()) => Some(cache),
-            late => straight.filter(|no| late.is_none() || calm(no)),
+        for id in parents.spared.into_iter().chain(caches.spared) {
+            self.charge_slow_start(id, class, None);
+        }
+        let Some(endpoint) = endpoint else { return self.give_up(slot) };
+        let source = if fill_mode == FillMode::CacheOnly { Some(endpoint) } else { source };
+        self.send(slot, AttemptPlan { endpoint, source, fill_mode });
+    }
+
+    /// Searches a tier for the endpoint that suits a request best. Among equals the rendezvous ranking decides.
+    fn select(&self, request: &Request, tier: Tier, hash: u64) -> Selection {
+        let work = self.mean_work(request.meta.class);
+        let in_flight: u32 = self.endpoints.tier(tier).map(|endpoint| endpoint.in_flight).sum();
+        let fair_share = FAIR_SHARE_MULTIPLE * f64::from(in_flight) / self.endpoints.ready_capacity(tier);
+        let usual_lateness = self.usual_hit_lateness();
+        let candidate = |id: EndpointId| {
+            let endpoint = &self.endpoints[id];
+            let is_congested = tier == Tier::Cache
+                && (exceeds_fair_share(endpoint, fair_share)
+                    || self.would_be_late(endpoint, request, usual_lateness));
+            Candidate { id, misfit: self.misfit(endpoint, request, hash, is_congested) }
         };
-        // While fills come late, a request is first sent without one, or with only what the parent holds where
-        // just the origin's do: hits and joins are served as ever; what surely misses is filled within the
-        // limit or rejected. Guards the link, the parents and the origin, whatever made them late.
-        let [near, far] = [0, 1].map(|far| self.fill_crowd(held, far));
-        // Where notes do not tell the origin's fills apart, half being quick shows that just those are late.
-        let told = self.settings.topology.fill_details_reported;
-        let half = self.fill_loads[0].quantile(0.5, |load| load.took.as_secs() / load.goal);
-        let just_origin = !told && half.is_some_and(|half| half < 0.45);
-        let shared = self.host.can_afford_fill(asked.class);
-        let filling = match (cache, missed) {
-            _ if plain || through => Filling::AsItComes,
-            _ if cache == source && near < 1.0 && shared => Filling::AsItComes,
-            (_, Some(_)) if near >= 1.0 => return self.give_up(no),
-            (_, Some(Filling::IfHeld)) if far >= 1.0 => return self.give_up(no),
-            (_, None) if near > 0.8 && just_origin => Filling::IfHeld,
-            (_, None) if near > 0.8 => Filling::Not,
-            (_, None | Some(Filling::Not)) if far > 0.8 => Filling::IfHeld,
-            (_, None) => Filling::AsItComes,
-            _ => Filling::Surely,
+        let mut ranked: Vec<_> = self.endpoints.rank(hash, tier).into_iter().map(candidate).collect();
+        ranked.sort_by_key(|candidate| candidate.misfit);
+        let can_absorb = |candidate: &Candidate| {
+            self.can_absorb(&self.endpoints[candidate.id], work, request.admission_draw)
         };
-        spared.into_iter().for_each(|no| self.draw(no, asked.class, None));
-        match cache {
-            Some(cache) if filling == Filling::Not => self.send(no, cache, Some(cache), filling),
-            Some(cache) => self.send(no, cache, source, filling),
-            None => self.give_up(no),
+        let best = ranked.iter().position(can_absorb);
+        let spared = ranked[..best.unwrap_or(ranked.len())].iter().map(|candidate| candidate.id).collect();
+        Selection { best: best.map(|index| ranked[index]), spared }
+    }
+
+    fn misfit(&self, endpoint: &Endpoint, request: &Request, hash: u64, is_congested: bool) -> Misfit {
+        // A hash of its own, so that objects leave a parent evenly, and the same ones at every router.
+        let draw = unit_interval(mix(hash, endpoint.entry.stable_id.rotate_left(32)));
+        Misfit {
+            is_ejected: self.is_ejected(endpoint),
+            has_failed: if endpoint.tier == Tier::Parent {
+                request.failed_at_source(endpoint.id())
+            } else {
+                request.failed_at_endpoint(endpoint.id())
+            },
+            is_displaced: draw >= self.warm_share(endpoint) * self.health_weight(endpoint),
+            is_congested,
         }
     }
+
+    /// The source of a fill: the best parent, or the origin where every parent is ejected or failed the request.
+    fn choose_source(
+        &self,
+        class: u16,
+        parent: Option<Candidate>,
+        origin: Option<EndpointId>,
+    ) -> Option<EndpointId> {
+        if !self.settings.topology.caches_fill {
+            return None;
+        }
+        let parent = parent.filter(|parent| parent.is_healthy() || origin.is_none());
+        match parent {
+            Some(parent) if !self.class(class).runs_at_origin => Some(parent.id),
+            _ => origin,
+        }
+    }
+
+    /// The endpoint that answers: the best cache, or the source itself where no cache can take the request, or where
+    /// the cache would be late and the source is calm.
+    fn choose_endpoint(
+        &self,
+        request: &Request,
+        cache: Option<Candidate>,
+        source: Option<EndpointId>,
+    ) -> Option<EndpointId> {
+        let may_bypass =
+            self.settings.topology.may_bypass() && !self.class(request.meta.class).runs_at_origin;
+        let bypass = source.filter(|_| may_bypass);
+        let Some(cache) = cache else { return bypass };
+        if !self.would_be_late(&self.endpoints[cache.id], request, self.usual_hit_lateness()) {
+            return Some(cache.id);
+        }
+        bypass.filter(|id| self.is_calm(&self.endpoints[*id]))
+    }
+
+    /// How an attempt treats a miss; none where the request has to be given up.
+    ///
+    /// While fills are congested a request is first sent without one, or with only what the source holds where just
+    /// the origin's fills are. Hits are served as ever; what surely misses is filled up to the limit or given up.
+    fn choose_fill_mode(
+        &self,
+        request: &Request,
+        endpoint: Option<EndpointId>,
+        source: Option<EndpointId>,
+    ) -> Option<FillMode> {
+        let class = request.meta.class;
+        let source_congestion = self.fill_congestion(request, FillPath::Source);
+        let origin_congestion = self.fill_congestion(request, FillPath::Origin);
+        let only_origin_late = self.shows_only_origin_late();
+        let can_afford_fill = self.host.can_afford_fill(class);
+        if !self.settings.topology.caches_fill || self.class(class).runs_at_origin {
+            return Some(FillMode::OnMiss);
+        }
+        if endpoint == source && source_congestion < CONGESTED && can_afford_fill {
+            return Some(FillMode::OnMiss);
+        }
+        let last = request.attempts.last();
+        let missed = last.filter(|attempt| !attempt.fills_misses()).map(|attempt| attempt.fill_mode);
+        match missed {
+            Some(_) if source_congestion >= CONGESTED => None,
+            Some(FillMode::OnlyIfCached) if origin_congestion >= CONGESTED => None,
+            None if source_congestion > NEAR_CONGESTION && only_origin_late => Some(FillMode::OnlyIfCached),
+            None if source_congestion > NEAR_CONGESTION => Some(FillMode::CacheOnly),
+            None | Some(FillMode::CacheOnly) if origin_congestion > NEAR_CONGESTION => {
+                Some(FillMode::OnlyIfCached)
+            }
+            None => Some(FillMode::OnMiss),
+            Some(_) => Some(FillMode::KnownMiss),
+        }
+    }
+
+    /// Whether fills that are not told apart show by their median that just those of the origin are late.
+    fn shows_only_origin_late(&self) -> bool {
+        let fills = self.load.fills(FillPath::Source);
+        let median = fills.quantile(0.5, |load| load.took.as_secs() / load.objective);
+        !self.settings.topology.fill_details_reported && median.is_some_and(|median| median < CALM_LATENESS)
+    }
+}
+
+/// Whether so much is in flight at a cache that a hot object must have outgrown it.
+fn exceeds_fair_share(cache: &Endpoint, fair_share: f64) -> bool {
+    f64::from(cache.in_flight) > FAIR_SHARE_ALLOWANCE + fair_share * cache.capacity()
 }
--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -1,32 +1,89 @@
-//! Timers of requests, multiplexed onto the one timer of the host.
+//! The timers of requests and of the endpoint list, multiplexed onto the host's one timer.
 
-use super::*;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+use crate::host::{Host, RequestSlot};
+use crate::time::{Moment, Span};
+
+use super::RoutingEngine;
+use super::requests::RequestId;
+
+/// What a timer is for. At the same moment the endpoint list comes first, then requests by age.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum TimerTarget {
+    EndpointList,
+    Request { id: RequestId, slot: RequestSlot },
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    due: Moment,
+    target: TimerTarget,
+}
+
+/// Pending timers, and the moment for which the host's timer is set.
+#[derive(Default)]
+pub(super) struct Timers {
+    pending: BinaryHeap<Reverse<Timer>>,
+    host_timer: Option<Moment>,
+}
+
+impl Timers {
+    fn pop_due(&mut self, now: Moment) -> Option<Timer> {
+        let next = self.pending.peek().filter(|next| next.0.due <= now)?.0;
+        self.pending.pop();
+        Some(next)
+    }
+
+    /// The moment for which the host's timer has to be set now, if it has to.
+    fn rearm(&mut self) -> Option<Moment> {
+        let due = self.pending.peek()?.0.due;
+        if self.host_timer.is_some_and(|set| due >= set) {
+            return None;
+        }
+        self.host_timer = Some(due);
+        Some(due)
+    }
+}
 
 impl<H: Host> RoutingEngine<H> {
-    /// The time asked for by `set_timer` has passed.
+    /// The time asked for by [`Host::set_timer`] has passed.
     pub fn timer_fired(&mut self) {
-        self.next_wake = None;
-        while let Some(&Reverse((_, serial, no))) = self.alarms.peek().filter(|next| next.0.0 <= self.now) {
-            self.alarms.pop();
-            match self.held(no).is_some_and(|held| held.serial == serial && !held.finished) {
-                _ if serial == 0 => self.host.watch_endpoints(),
-                true => self.as_taken(no, |control| control.due(no)),
-                false => {}
+        self.timers.host_timer = None;
+        while let Some(timer) = self.timers.pop_due(self.now) {
+            match timer.target {
+                TimerTarget::EndpointList => self.host.watch_endpoints(),
+                TimerTarget::Request { id, slot } => {
+                    let is_pending =
+                        |request: &super::requests::Request| request.id == id && !request.finished;
+                    if self.requests.get(slot).is_some_and(is_pending) {
+                        self.with_settings_of(slot, |engine| engine.request_timer_due(slot));
+                    }
+                }
             }
         }
-        self.plan_wake();
+        self.set_host_timer();
+    }
+
+    /// Asks for the endpoint list again after a pause.
+    pub(super) fn schedule_list_request(&mut self, pause: Span) {
+        self.schedule(self.now + pause, TimerTarget::EndpointList);
+    }
+
+    /// Schedules [`request_timer_due`](Self::request_timer_due) for a request.
+    pub(super) fn schedule_request(&mut self, due: Moment, slot: RequestSlot) {
+        let Some(id) = self.requests.get(slot).map(|request| request.id) else { return };
+        self.schedule(due, TimerTarget::Request { id, slot });
     }
 
-    pub(super) fn alarm(&mut self, at: Moment, no: RequestSlot) {
-        let serial = self.held(no).map_or(0, |held| held.serial);
-        self.alarms.push(Reverse((at, serial, no)));
-        self.plan_wake();
+    fn schedule(&mut self, due: Moment, target: TimerTarget) {
+        self.timers.pending.push(Reverse(Timer { due, target }));
+        self.set_host_timer();
     }
 
-    pub(super) fn plan_wake(&mut self) {
-        let Some(&Reverse((due, _, _))) = self.alarms.peek() else { return };
-        if self.next_wake.is_none_or(|planned| due < planned) {
-            self.next_wake = Some(due);
+    fn set_host_timer(&mut self) {
+        if let Some(due) = self.timers.rearm() {
             self.host.set_timer(due.since(self.now));
         }
     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,188 +1,233 @@
-//! What the decisions act through, and the plain types that pass between them and their caller.
+//! The interface between the routing engine and its caller: the [`Host`] trait that the engine acts through, and the
+//! plain types that pass between the two.
 
 use crate::time::{Moment, Span};
 
-/// A request's place in the caller's table. It may be used again once the request has its final answer
-/// and every attempt made for it has been reported.
+/// The slot of a request in the caller's request table.
+///
+/// A slot may be used again once its request has its final answer and every attempt made for it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestSlot(pub u32);
 
-/// A cache's place in the caller's table, in the order of first listing from 0; parents and the origin
-/// have one too. Another may get the number of one that is gone once no request in hand was sent there or with
-/// it.
+/// The index of an endpoint in the caller's endpoint table, assigned from 0 in the order in which endpoints are
+/// first listed.
+///
+/// Caches, parents and origins share one table. The index of a removed endpoint may be assigned again once no
+/// request in flight was sent to it or names it as its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// What the check of a client's link said, where links are checked.
+/// The result of checking a request's signed URL or token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Authorization {
-    /// It holds, or none is asked for.
+    /// It is valid, or none is required.
     #[default]
     Granted,
-    /// It will hold after this long.
+    /// It becomes valid after this time.
     NotYetValid(Span),
-    /// It held, and does no more.
+    /// It was valid and has expired.
     Expired,
+    /// It is invalid.
     Denied,
 }
 
 /// What a request asks for.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestMeta {
+    /// The object requested.
     pub object: u64,
+    /// The part of the object.
     pub part: u32,
+    /// The group that the object is purged with.
     pub group: u32,
+    /// The index of the request class in the settings.
     pub class: u16,
-    /// The size, where it is told.
+    /// The size of the response in kilobytes, where it is known.
     pub size_kb: Option<f32>,
-    /// Marked as a client's further try, where clients mark these.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
-    /// When and where it first may have run for an earlier request of the same mark.
+    /// When and where an earlier request with the same idempotency key first may have run.
     pub first_ran: Option<(Moment, EndpointId)>,
+    /// The result of checking the request's authorization.
     pub authorization: Authorization,
 }
 
-/// One line of the list of caches.
+/// One entry of an endpoint list update.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointUpdate {
-    pub cache: EndpointId,
-    /// The same at every router, so this is what gets hashed.
-    pub stable: u64,
-    pub standing: EndpointState,
-    /// The latest start; none if long past.
-    pub started: Option<Moment>,
+    /// The endpoint's index in the caller's table.
+    pub endpoint: EndpointId,
+    /// An id that is the same at every router; rendezvous hashing uses it.
+    pub stable_id: u64,
+    /// Whether the endpoint takes requests.
+    pub state: EndpointState,
+    /// When the endpoint last started; none if that is long past.
+    pub started_at: Option<Moment>,
+    /// The location of the endpoint.
     pub location: u8,
-    pub size: f32,
+    /// How many transfers at full speed the endpoint carries at once, or its weight where that is not known.
+    pub capacity: f32,
+    /// The deployment's number for caches, parents or origins.
     pub kind: u8,
+    /// The cell within the location.
     pub cell: u16,
 }
 
+/// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
+    /// It takes requests.
     Ready,
+    /// It finishes what it has in flight and takes nothing new.
     Draining,
+    /// It is no longer listed.
     Removed,
 }
 
+/// What an endpoint list update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
-    /// All there is: what is not in it is gone.
+    /// The complete list: endpoints that are not in it were removed.
     Full,
-    /// Only what changed.
+    /// Only the entries that changed.
     Delta,
-    /// Nothing came; the list held stays.
+    /// The list could not be fetched; the last one stays in force.
     Failed,
 }
 
-/// How a attempt ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptStatus {
+    /// A complete response was received.
     Served,
+    /// The endpoint answered with an error.
     Error,
+    /// The endpoint rejected the request because it is overloaded.
     Overloaded,
+    /// No response came within the attempt timeout.
     TimedOut,
+    /// The endpoint could not be reached; the request did not run.
     Unreachable,
+    /// The connection broke after the request was sent.
     Incomplete,
+    /// The router cancelled the attempt.
     Cancelled,
+    /// The endpoint dropped the attempt in favour of another one of the same request.
     Superseded,
+    /// A cache-only read found no fresh copy, or a source held none.
     Miss,
 }
 
-/// What the cache tells of the way to that end.
+/// What an endpoint reported about how it came to its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OutcomeDetail {
+    /// Nothing was reported.
     Unknown,
+    /// Answered from a fresh copy.
     Hit,
+    /// Filled from a copy that the source held.
     FilledFromSource,
+    /// Filled by the origin.
     FilledFromOrigin,
+    /// Answered by a fill that another request had started.
     JoinedFill,
+    /// Answered from a copy past its fresh time.
     StaleHit,
+    /// The fill failed: its source is overloaded.
     SourceOverloaded,
+    /// The fill failed: its source could not be reached, or did not answer.
     SourceUnreachable,
+    /// The fill failed: its source holds no copy and may not fetch one.
     SourceMiss,
+    /// The cache has no fill slot left.
     NoFillSlot,
+    /// The fill failed at the origin.
     OriginFailed,
 }
 
-/// How an attempt ended, as the engine is told.
+/// How an attempt ended, with what the endpoint reported about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Outcome {
+    /// How the attempt ended.
     pub status: AttemptStatus,
+    /// What the endpoint reported.
     pub detail: OutcomeDetail,
 }
 
 impl Outcome {
+    /// An outcome of a status and what was reported with it.
     pub const fn new(status: AttemptStatus, detail: OutcomeDetail) -> Self {
         Self { status, detail }
     }
 }
 
-/// How a cache is to treat an object that it may lack.
+/// How a cache is to treat an object that it may not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FillDirectives {
-    /// Who supplies a miss.
+    /// The endpoint that a miss is filled from.
     pub source: EndpointId,
-    /// The oldest copy that will do; none for the request class's own fresh time.
+    /// The oldest copy that may be served; none for the request class's own fresh time.
     pub max_age: Option<Span>,
-    /// Wait for a fill that runs already.
+    /// Whether to wait for a fill of the same object that is already in flight.
     pub join_fill: bool,
-    /// Have the source give only what it holds.
+    /// Whether the source may only give what it holds.
     pub only_if_cached: bool,
-    /// Fetch an ageing copy anew while serving it.
+    /// Whether an ageing copy is refreshed while it is served.
     pub refresh: bool,
-    /// The rank at which the copy is kept; 0 keeps none.
+    /// The rank at which the copy is retained; 0 retains none.
     pub retention_rank: u8,
 }
 
-/// What a attempt would draw on that all routers of a fleet share.
+/// What an attempt charges to the quotas that all routers of a fleet share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaCharge {
-    /// The cache, by its stable number.
-    pub cache: u64,
+    /// The endpoint that the attempt is sent to, by its stable id.
+    pub endpoint: u64,
+    /// The request class.
     pub class: u16,
-    /// Answered from a fresh copy or not at all.
-    pub look: bool,
-    /// By it the origin may be asked for a fill.
-    pub fills: bool,
-    /// One before it failed.
-    pub further: bool,
+    /// Whether the attempt is answered from a fresh copy or not at all.
+    pub cache_only: bool,
+    /// Whether the origin may be asked for a fill.
+    pub may_fill_from_origin: bool,
+    /// Whether an earlier attempt of the request failed.
+    pub is_retry: bool,
 }
 
-/// The hands of the decisions. Every call takes effect at once, in the order made.
+/// What the routing engine acts through. Every call takes effect at once, in the order made.
 pub trait Host {
-    /// Attempt a request to a cache that answers from its own fresh copy only.
-    fn send_cache_only(&mut self, request: RequestSlot, cache: EndpointId, wait: Span);
-    /// Attempt a request to a cache that may fill what it lacks.
+    /// Sends an attempt to an endpoint that answers from its own fresh copy only, or that runs the request itself.
+    fn send_cache_only(&mut self, slot: RequestSlot, endpoint: EndpointId, timeout: Span);
+    /// Sends an attempt to an endpoint that may fill a miss.
     fn send_with_fill(
         &mut self,
-        request: RequestSlot,
-        cache: EndpointId,
-        wait: Span,
+        slot: RequestSlot,
+        endpoint: EndpointId,
+        timeout: Span,
         directives: FillDirectives,
     );
-    /// Stop waiting for the request's attempt `nth`, counted from 0; its end is still reported.
-    fn cancel(&mut self, request: RequestSlot, nth: u16);
-    /// Final answer: trying again is harmless, best after `retry_after`.
-    fn reject(&mut self, request: RequestSlot, retry_after: Option<Span>);
-    /// Final answer that promises nothing.
-    fn fail(&mut self, request: RequestSlot);
-    /// Call `RoutingEngine::wake` after this long.
+    /// Cancels the request's attempt of this index, counted from 0; its end is still reported to the engine.
+    fn cancel(&mut self, slot: RequestSlot, index: u16);
+    /// Gives the final answer that the client may safely send the request again, best after `retry_after`.
+    fn reject(&mut self, slot: RequestSlot, retry_after: Option<Span>);
+    /// Gives the final answer that the request failed; whether it ran is not known.
+    fn fail(&mut self, slot: RequestSlot);
+    /// Sets the engine's one timer: [`timer_fired`](crate::engine::RoutingEngine::timer_fired) is due after this time.
     fn set_timer(&mut self, wait: Span);
-    /// Ask to be sent the list and its changes.
+    /// Subscribes to the endpoint list and its changes.
     fn watch_endpoints(&mut self);
 
-    /// Whether a fill by the origin is to be had now of what all routers share; where nothing is, it is.
+    /// Whether the shared quotas have room for a fill by the origin now; always where nothing is shared.
     fn can_afford_fill(&self, _class: u16) -> bool {
         true
     }
 
-    /// Draws on what is shared for the next attempt of a request: it is sent only where this says so.
-    fn charge_quota(&mut self, _request: RequestSlot, _draw: QuotaCharge) -> bool {
+    /// Charges the shared quotas for the next attempt of a request, which is sent only if this returns true.
+    fn charge_quota(&mut self, _slot: RequestSlot, _charge: QuotaCharge) -> bool {
         true
     }
 
-    /// This router's part of what a cold cache, or parent, bears; none where it goes by numbers of the start.
-    fn slow_start_share(&self, _stable: u64, _parent: bool) -> Option<f64> {
+    /// This router's share of a warming cache's or parent's capacity; none where it is not divided by the fleet.
+    fn slow_start_share(&self, _stable_id: u64, _is_parent: bool) -> Option<f64> {
         None
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the engine is told of its deployment: one struct for each concern, with typed values.
+//! The settings of a deployment as the routing engine uses them: one struct for each concern, with typed values.
 //!
 //! Values that a deployment may leave out are `Option`s; the accessor of the same concern has the default.
 
@@ -7,10 +7,15 @@
 /// The settings that one engine decides by.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
+    /// Which endpoints there are, and how they are reached.
     pub topology: Topology,
+    /// How often and how a request may be sent.
     pub attempts: AttemptSettings,
+    /// What the client of a rejected request is told.
     pub rejection: RejectionSettings,
+    /// What endpoints can take while they warm up.
     pub slow_start: SlowStartSettings,
+    /// How purges spread.
     pub purges: PurgeSettings,
     /// Request classes, in the order by which requests name theirs.
     pub classes: Vec<ClassSettings>,
@@ -28,11 +33,13 @@
 pub struct Topology {
     /// The location of this router.
     pub location: u16,
-    /// The endpoint kinds of parents and of the origin; none where a deployment has no such tier.
+    /// The endpoint kind of parents; none where a deployment has no such tier.
     pub parent_kind: Option<u8>,
+    /// The endpoint kind of origins; none where a deployment has no such tier.
     pub origin_kind: Option<u8>,
-    /// Routers of the whole fleet, and of this location.
+    /// Routers of the whole fleet.
     pub routers: Option<u32>,
+    /// Routers of this location.
     pub routers_in_location: Option<u32>,
     /// Whether requests may be sent to a parent or to the origin without a cache.
     pub bypass_allowed: Option<bool>,
@@ -93,11 +100,12 @@
     }
 }
 
-/// What a client is told whose request is rejected.
+/// What the client of a rejected request is told.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RejectionSettings {
     /// Whether a rejection carries a Retry-After.
     pub retry_after_sent: Option<bool>,
+    /// The longest Retry-After.
     pub max_retry_after: Option<Span>,
 }
 
@@ -108,10 +116,12 @@
     }
 }
 
-/// What endpoints bear while they warm up after a start.
+/// What endpoints can take while they warm up after a start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowStartSettings {
+    /// The ramp of caches.
     pub caches: Ramp,
+    /// The ramp of parents.
     pub parents: Ramp,
     /// The sliding window over which the load of a warming endpoint is limited.
     pub window: Option<Span>,
@@ -129,9 +139,9 @@
 pub struct Ramp {
     /// The share of its capacity that an endpoint has at its start.
     pub initial_share: Option<f64>,
-    /// How long it takes until it has all of it.
+    /// How long it takes until the endpoint has all of its capacity.
     pub duration: Option<Span>,
-    /// How many times its capacity of the moment it bears before it is overloaded.
+    /// How many times its current capacity an endpoint takes before it is overloaded.
     pub overload_multiple: Option<f64>,
 }
 
@@ -141,7 +151,7 @@
         self.initial_share.unwrap_or(1.0)
     }
 
-    /// How many times its capacity of the moment an endpoint bears.
+    /// How many times its current capacity an endpoint takes before it is overloaded.
     pub fn overload_multiple(&self) -> f64 {
         self.overload_multiple.unwrap_or(1.0)
     }
@@ -172,11 +182,13 @@
     pub latency_objective: Span,
     /// How many seconds longer the objective is for each second of sending work.
     pub objective_stretch: Option<f64>,
-    /// What a response in time is worth against those of other classes.
+    /// The weight of a response in time against those of other classes.
     pub priority_weight: Option<f64>,
-    /// The share of the weight that a late response has, and one from a stale copy.
+    /// The share of the weight that a late response has.
     pub late_share: Option<f64>,
+    /// The share of the weight that a response from a stale copy has.
     pub stale_share: Option<f64>,
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
     /// Where an idempotent request with a key may run again.
     pub retry_scope: RetryScope,
@@ -206,9 +218,11 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
+    /// It may run any number of times.
     Idempotent,
     /// With the same idempotency key, within the scope and the window of its class.
     WithKey,
+    /// It may run once only.
     #[default]
     NonIdempotent,
 }
@@ -216,11 +230,13 @@
 /// Where an idempotent request with a key may run again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryScope {
+    /// At every endpoint.
     Everywhere,
     /// In the location of its first attempt.
     Location,
     /// In the cell of its first attempt.
     Cell,
+    /// At no endpoint.
     #[default]
     Nowhere,
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,6 @@
-//! Points in time and lengths of time, in microseconds; the two do not mix.
+//! Points in time and lengths of time, with the resolution of a microsecond.
+//!
+//! Arithmetic saturates: a span is never negative, and no moment lies before the clock's origin.
 
 use std::ops::{Add, Mul, Sub};
 
@@ -11,36 +13,42 @@
 pub struct Span(u64);
 
 impl Moment {
+    /// The moment that many microseconds after the clock's origin.
     pub const fn at_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// How long ago `earlier` was; nothing if it lies ahead.
+    /// The time since `earlier`; zero if it lies ahead.
     pub const fn since(self, earlier: Self) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
+    /// No time at all.
     pub const ZERO: Self = Self(0);
 
+    /// A span of this many microseconds.
     pub const fn micros(micros: u64) -> Self {
         Self(micros)
     }
 
+    /// A span of this many milliseconds.
     pub const fn millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// A span of so many seconds; what is negative or no number counts as none.
+    /// A span of this many seconds; a negative number or NaN gives zero.
     pub fn secs(secs: f64) -> Self {
         Self((secs * 1e6) as u64)
     }
 
+    /// The span in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
+    /// The span in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -48,10 +48,10 @@
     let list = |cold_now: bool| -> Vec<EndpointUpdate> {
         let behind = [(0, PARENT), (1, PARENT), (2, ORIGIN)];
         let behind = behind
-            .map(|(no, kind)| EndpointUpdate { size: 1e4, ..line(no, 1000 + u64::from(no), kind, None) });
+            .map(|(no, kind)| EndpointUpdate { capacity: 1e4, ..line(no, 1000 + u64::from(no), kind, None) });
         let caches = (3..if cold_now { 3 + layout.caches } else { first_cold }).map(|no| {
             let started = (no >= first_cold).then_some(start);
-            EndpointUpdate { size: layout.size, ..line(no, 1000 + u64::from(no), 0, started) }
+            EndpointUpdate { capacity: layout.size, ..line(no, 1000 + u64::from(no), 0, started) }
         });
         behind.into_iter().chain(caches).collect()
     };
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -9,7 +9,7 @@
 #[test]
 fn requests_for_one_object_meet_at_one_cache_and_one_parent_whatever_the_indices() {
     let mut turned: Vec<EndpointUpdate> = fleet().into_iter().rev().collect();
-    turned.iter_mut().zip(0..).for_each(|(line, no)| line.cache = EndpointId(no));
+    turned.iter_mut().zip(0..).for_each(|(line, no)| line.endpoint = EndpointId(no));
     let (mut one, mut other) = (router(&fleet(), &[]), router(&turned, &[]));
     let mut used = [0; 7];
     for object in 0..50 {
@@ -65,8 +65,8 @@
     let mut r = router(&fleet(), &[]);
     let (cache, source) = place(&r.request(0, 1));
     let mut lines = fleet();
-    lines[cache as usize].standing = EndpointState::Draining;
-    lines[source as usize].standing = EndpointState::Removed;
+    lines[cache as usize].state = EndpointState::Draining;
+    lines[source as usize].state = EndpointState::Removed;
     let changed = [lines[cache as usize], lines[source as usize]];
     r.control.endpoints_changed(ListUpdateKind::Delta, &changed);
     for object in 0..40 {
@@ -121,7 +121,7 @@
     let list: Vec<EndpointUpdate> = fleet()
         .into_iter()
         .map(|l| match l.kind {
-            PARENT => EndpointUpdate { size: 20.0, started: Some(Moment::at_micros(START)), ..l },
+            PARENT => EndpointUpdate { capacity: 20.0, started_at: Some(Moment::at_micros(START)), ..l },
             _ => l,
         })
         .collect();
@@ -301,10 +301,11 @@
 
 #[test]
 fn a_hundred_routers_to_whom_all_other_parents_are_ill_do_not_topple_a_cold_one() {
-    let list: Vec<EndpointUpdate> = fleet().into_iter().map(|l| EndpointUpdate { size: 20.0, ..l }).collect();
+    let list: Vec<EndpointUpdate> =
+        fleet().into_iter().map(|l| EndpointUpdate { capacity: 20.0, ..l }).collect();
     let told = |seed| [("capacity_known", 1.0), ("routers", 100.0), ("seed", f64::from(seed))];
     let mut routers: Vec<Router> = (0..100).map(|seed| router(&list, &told(seed))).collect();
-    let cold = [EndpointUpdate { size: 20.0, ..line(4, 1004, PARENT, Some(9000)) }];
+    let cold = [EndpointUpdate { capacity: 20.0, ..line(4, 1004, PARENT, Some(9000)) }];
     let mut filled = 0;
     for r in &mut routers {
         r.quiet(100, OutcomeDetail::Hit, 200);
@@ -333,7 +334,7 @@
 fn a_router_started_beside_a_cold_branch_does_not_starve_it() {
     let cold: Vec<EndpointUpdate> = fleet()
         .into_iter()
-        .map(|l| EndpointUpdate { started: Some(Moment::at_micros(START)), ..l })
+        .map(|l| EndpointUpdate { started_at: Some(Moment::at_micros(START)), ..l })
         .collect();
     let mut r = router(&cold, &[("bypass_allowed", 0.0), ("parent_initial_share", 1.0)]);
     let mut sent = 0;
@@ -352,7 +353,7 @@
 fn the_first_of_a_lost_branch_to_be_listed_is_not_taken_for_all_of_it() {
     let mut r = router(&fleet(), &[("bypass_allowed", 0.0)]);
     let gone: Vec<EndpointUpdate> =
-        fleet()[..4].iter().map(|l| EndpointUpdate { standing: EndpointState::Removed, ..*l }).collect();
+        fleet()[..4].iter().map(|l| EndpointUpdate { state: EndpointState::Removed, ..*l }).collect();
     r.control.endpoints_changed(ListUpdateKind::Delta, &gone);
     let ask = |r: &mut Router| {
         let read = (0..100).filter(|object| {
@@ -446,9 +447,9 @@
 #[test]
 fn the_only_cache_left_is_used_however_it_does() {
     let list: Vec<EndpointUpdate> =
-        fleet().into_iter().filter(|line| line.cache.0 == 0 || line.kind != 0).collect();
+        fleet().into_iter().filter(|line| line.endpoint.0 == 0 || line.kind != 0).collect();
     let list: Vec<EndpointUpdate> =
-        list.into_iter().zip(0..).map(|(l, no)| EndpointUpdate { cache: EndpointId(no), ..l }).collect();
+        list.into_iter().zip(0..).map(|(l, no)| EndpointUpdate { endpoint: EndpointId(no), ..l }).collect();
     let mut r = router(&list, &[("bypass_allowed", 0.0)]);
     for object in 0..30 {
         assert_eq!(place(&r.request(0, object)).0, 0);
@@ -500,7 +501,7 @@
         r.end(u16::from(failing), AttemptStatus::Served, OutcomeDetail::Hit, 20);
         r.wait(10);
     }
-    let gone = EndpointUpdate { standing: EndpointState::Removed, ..fleet()[bad as usize] };
+    let gone = EndpointUpdate { state: EndpointState::Removed, ..fleet()[bad as usize] };
     r.control.endpoints_changed(ListUpdateKind::Delta, &[gone]);
     r.control.endpoints_changed(ListUpdateKind::Delta, &[line(bad, 77, 0, None)]);
     let met = (0..200).filter(|object| place(&r.request(0, 5000 + object)).0 == bad).count();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -83,11 +83,11 @@
     pub size_kb: Option<f32>,
 }
 
-pub fn line(cache: u32, stable: u64, kind: u8, started: Option<u64>) -> EndpointUpdate {
+pub fn line(endpoint: u32, stable_id: u64, kind: u8, started_at: Option<u64>) -> EndpointUpdate {
     let location = if kind == 0 { 3 } else { 0 };
-    let started = started.map(|millis| Moment::at_micros(START + millis * 1000));
-    let (cache, standing) = (EndpointId(cache), EndpointState::Ready);
-    EndpointUpdate { cache, stable, standing, started, location, size: 1.0, kind, cell: 0 }
+    let started_at = started_at.map(|millis| Moment::at_micros(START + millis * 1000));
+    let (endpoint, state) = (EndpointId(endpoint), EndpointState::Ready);
+    EndpointUpdate { endpoint, stable_id, state, started_at, location, capacity: 1.0, kind, cell: 0 }
 }
 
 /// Four caches, two parents and the origin, in that order.
