--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -6,7 +6,7 @@
 use super::RoutingEngine;
 use super::endpoints::Tier;
 use super::load::{FillPath, LoadSample, ResponsePath, ResponseSample};
-use super::requests::{Attempt, FillMode, UNEXPLAINED_ERROR};
+use super::requests::{Attempt, FillMode, Request, UNEXPLAINED_ERROR};
 use super::slow_start::AttemptId;
 
 /// A hit is a sample of service time if at most this many attempts were in flight at its endpoint,
@@ -143,7 +143,7 @@
         if ended.outcome.status == AttemptStatus::Served {
             let request = self.requests.get(slot);
             let errors: Vec<Attempt> =
-                request.into_iter().flat_map(|request| request.unexplained_errors()).copied().collect();
+                request.into_iter().flat_map(Request::unexplained_errors).copied().collect();
             for failed in errors {
                 self.record_health(failed.endpoint, failed.source, &ended.meta, UNEXPLAINED_ERROR);
             }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions under a host that only writes down what it is told, for tests of the routing engine.
+//! A routing engine with a host that records its actions, for tests.
 
 #![allow(dead_code)]
 
@@ -7,184 +7,196 @@
 use tindoor::settings::*;
 use tindoor::time::{Moment, Span};
 
+/// A call of the engine to its host; the first number is the request's slot.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
-    Look(u32, u32),
-    Read {
-        request: u32,
-        cache: u32,
+pub enum Action {
+    /// To an endpoint.
+    SendCacheOnly(u32, u32),
+    SendWithFill {
+        slot: u32,
+        endpoint: u32,
         source: u32,
         max_age: Option<Span>,
         join_fill: bool,
         retention_rank: u8,
         only_if_cached: bool,
     },
-    CallOff(u32, u16),
-    TurnBack(u32, Option<Span>),
-    WriteOff(u32),
+    /// The attempt of this index.
+    Cancel(u32, u16),
+    /// With this Retry-After.
+    Reject(u32, Option<Span>),
+    Fail(u32),
 }
 
+/// Records what the engine does.
 #[derive(Default)]
-pub struct Fake(pub Vec<Act>);
+pub struct RecordingHost(pub Vec<Action>);
 
-impl Host for Fake {
-    fn send_cache_only(&mut self, request: RequestSlot, cache: EndpointId, _: Span) {
-        self.0.push(Act::Look(request.0, cache.0));
+impl Host for RecordingHost {
+    fn send_cache_only(&mut self, slot: RequestSlot, endpoint: EndpointId, _: Span) {
+        self.0.push(Action::SendCacheOnly(slot.0, endpoint.0));
     }
     fn send_with_fill(
         &mut self,
-        request: RequestSlot,
-        cache: EndpointId,
+        slot: RequestSlot,
+        endpoint: EndpointId,
         _: Span,
         directives: FillDirectives,
     ) {
-        let FillDirectives {
-            source: EndpointId(source),
-            max_age,
-            join_fill,
-            retention_rank,
-            only_if_cached,
-            ..
-        } = directives;
-        self.0.push(Act::Read {
-            request: request.0,
-            cache: cache.0,
-            source,
-            max_age,
-            join_fill,
-            retention_rank,
-            only_if_cached,
+        self.0.push(Action::SendWithFill {
+            slot: slot.0,
+            endpoint: endpoint.0,
+            source: directives.source.0,
+            max_age: directives.max_age,
+            join_fill: directives.join_fill,
+            retention_rank: directives.retention_rank,
+            only_if_cached: directives.only_if_cached,
         });
     }
-    fn cancel(&mut self, request: RequestSlot, nth: u16) {
-        self.0.push(Act::CallOff(request.0, nth));
+    fn cancel(&mut self, slot: RequestSlot, index: u16) {
+        self.0.push(Action::Cancel(slot.0, index));
     }
-    fn reject(&mut self, request: RequestSlot, retry_after: Option<Span>) {
-        self.0.push(Act::TurnBack(request.0, retry_after));
+    fn reject(&mut self, slot: RequestSlot, retry_after: Option<Span>) {
+        self.0.push(Action::Reject(slot.0, retry_after));
     }
-    fn fail(&mut self, request: RequestSlot) {
-        self.0.push(Act::WriteOff(request.0));
+    fn fail(&mut self, slot: RequestSlot) {
+        self.0.push(Action::Fail(slot.0));
     }
     fn set_timer(&mut self, _: Span) {}
     fn watch_endpoints(&mut self) {}
 }
 
+/// The endpoint kinds of parents and origins; caches are of kind 0.
 pub const PARENT: u8 = 1;
 pub const ORIGIN: u8 = 2;
+/// When every router starts, in microseconds.
 pub const START: u64 = 100_000_000;
 
-/// A router, its clock in milliseconds and the number of its next request.
-pub struct Router {
-    pub control: RoutingEngine<Fake>,
+/// A routing engine, its clock in milliseconds since [`START`], and what its next requests are like.
+pub struct TestRouter {
+    pub engine: RoutingEngine<RecordingHost>,
     pub millis: u64,
-    pub next: u32,
-    pub repeats: bool,
+    pub last_slot: u32,
+    pub client_retry: bool,
     pub authorization: Authorization,
     pub size_kb: Option<f32>,
 }
 
-pub fn line(endpoint: u32, stable_id: u64, kind: u8, started_at: Option<u64>) -> EndpointUpdate {
-    let location = if kind == 0 { 3 } else { 0 };
-    let started_at = started_at.map(|millis| Moment::at_micros(START + millis * 1000));
-    let (endpoint, state) = (EndpointId(endpoint), EndpointState::Ready);
-    EndpointUpdate { endpoint, stable_id, state, started_at, location, capacity: 1.0, kind, cell: 0 }
+/// A ready endpoint of the list; caches are in the routers' location. Starts are in milliseconds since [`START`].
+pub fn entry(endpoint: u32, stable_id: u64, kind: u8, started_at: Option<u64>) -> EndpointUpdate {
+    EndpointUpdate {
+        endpoint: EndpointId(endpoint),
+        stable_id,
+        state: EndpointState::Ready,
+        started_at: started_at.map(|millis| Moment::at_micros(START + millis * 1000)),
+        location: if kind == 0 { 3 } else { 0 },
+        capacity: 1.0,
+        kind,
+        cell: 0,
+    }
 }
 
 /// Four caches, two parents and the origin, in that order.
-pub fn fleet() -> Vec<EndpointUpdate> {
-    (0..7)
-        .map(|no| line(no, 1000 + u64::from(no), [0, 0, 0, 0, PARENT, PARENT, ORIGIN][no as usize], None))
-        .collect()
+pub fn endpoint_list() -> Vec<EndpointUpdate> {
+    let kinds = [0, 0, 0, 0, PARENT, PARENT, ORIGIN];
+    kinds.iter().zip(0..).map(|(kind, id)| entry(id, 1000 + u64::from(id), *kind, None)).collect()
 }
 
-/// Request class 0 is idempotent and kept; 1 goes stale; 2 is idempotent with a key, 3 non-idempotent, and both run at
-/// the origin. `more` sets single settings by name.
-pub fn router(list: &[EndpointUpdate], more: &[(&str, f64)]) -> Router {
+/// A router with these endpoints. Request class 0 is idempotent and stored; 1 may be served stale; 2 is idempotent with
+/// a key, 3 non-idempotent, and both run at the origin. `changes` are settings by name, with their values.
+pub fn start_router(list: &[EndpointUpdate], changes: &[(&str, f64)]) -> TestRouter {
     let mut settings = settings();
-    more.iter().for_each(|(name, value)| set(&mut settings, name, *value));
-    let seed = more.iter().find(|fact| fact.0 == "seed").map_or(7, |fact| fact.1 as u64);
-    let mut control = RoutingEngine::start(Fake::default(), settings, seed, Moment::at_micros(START));
-    control.endpoints_changed(ListUpdateKind::Full, list);
-    Router {
-        control,
+    for (name, value) in changes {
+        change(&mut settings, name, *value);
+    }
+    let seed = changes.iter().find(|(name, _)| *name == "seed").map_or(7, |(_, value)| *value as u64);
+    let start = Moment::at_micros(START);
+    let mut engine = RoutingEngine::start(RecordingHost::default(), settings, seed, start);
+    engine.endpoints_changed(ListUpdateKind::Full, list);
+    TestRouter {
+        engine,
         millis: 0,
-        next: 0,
-        repeats: false,
+        last_slot: 0,
+        client_retry: false,
         authorization: Authorization::Granted,
         size_kb: None,
     }
 }
 
-impl Router {
-    /// Lets time pass in steps and gives what was done meanwhile.
-    pub fn wait(&mut self, millis: u64) -> Vec<Act> {
+impl TestRouter {
+    /// Advances the clock by single milliseconds; gives all actions since the last call.
+    pub fn advance(&mut self, millis: u64) -> Vec<Action> {
         for _ in 0..millis {
             self.millis += 1;
-            self.control.set_time(Moment::at_micros(START + self.millis * 1000));
-            self.control.timer_fired();
+            self.engine.set_time(Moment::at_micros(START + self.millis * 1000));
+            self.engine.timer_fired();
         }
-        std::mem::take(&mut self.control.host().0)
+        std::mem::take(&mut self.engine.host().0)
     }
 
-    /// Takes a request for an object, group 9, with so long to answer.
-    pub fn request_within(&mut self, class: u16, object: u64, millis: u64) -> Vec<Act> {
-        let asked = RequestMeta {
+    /// Receives a request for an object of group 9 with that much time remaining.
+    pub fn request_within(&mut self, class: u16, object: u64, millis: u64) -> Vec<Action> {
+        let meta = RequestMeta {
             object,
             part: 0,
             group: 9,
             class,
             size_kb: self.size_kb,
-            client_retry: self.repeats,
+            client_retry: self.client_retry,
             first_ran: None,
             authorization: self.authorization,
         };
-        self.next += 1;
-        self.control.request_received(RequestSlot(self.next), asked, Span::millis(millis));
-        self.wait(0)
+        self.last_slot += 1;
+        self.engine.request_received(RequestSlot(self.last_slot), meta, Span::millis(millis));
+        self.advance(0)
     }
 
-    pub fn request(&mut self, class: u16, object: u64) -> Vec<Act> {
+    /// Receives a request with four seconds remaining.
+    pub fn request(&mut self, class: u16, object: u64) -> Vec<Action> {
         self.request_within(class, object, 4000)
     }
 
-    /// Ends a attempt of the last request; a good end is the last.
-    pub fn end(&mut self, nth: u16, verdict: AttemptStatus, note: OutcomeDetail, millis: u64) -> Vec<Act> {
-        self.end_of(self.next, nth, verdict, note, millis)
+    /// Ends an attempt of the last request; one that is served is the request's last.
+    pub fn end_attempt(
+        &mut self,
+        index: u16,
+        status: AttemptStatus,
+        detail: OutcomeDetail,
+        millis: u64,
+    ) -> Vec<Action> {
+        self.end_attempt_of(self.last_slot, index, status, detail, millis)
     }
 
-    pub fn end_of(
+    /// Ends an attempt of the request in that slot.
+    pub fn end_attempt_of(
         &mut self,
-        request: u32,
-        nth: u16,
-        verdict: AttemptStatus,
-        note: OutcomeDetail,
+        slot: u32,
+        index: u16,
+        status: AttemptStatus,
+        detail: OutcomeDetail,
         millis: u64,
-    ) -> Vec<Act> {
-        let took = Span::millis(millis);
-        self.control.attempt_ended(
-            RequestSlot(request),
-            nth,
-            Outcome::new(verdict, note),
-            took,
-            verdict == AttemptStatus::Served,
-        );
-        self.wait(0)
+    ) -> Vec<Action> {
+        let (outcome, took) = (Outcome::new(status, detail), Span::millis(millis));
+        let is_last = status == AttemptStatus::Served;
+        self.engine.attempt_ended(RequestSlot(slot), index, outcome, took, is_last);
+        self.advance(0)
     }
 
-    /// A quiet while: so many requests, ten milliseconds apart, each done at once by a hit or a fill.
-    pub fn quiet(&mut self, requests: u64, note: OutcomeDetail, millis: u64) {
+    /// Serves that many requests, ten milliseconds apart, none while another is in flight.
+    pub fn serve_quietly(&mut self, requests: u64, detail: OutcomeDetail, millis: u64) {
         for object in 0..requests {
             self.request(0, object);
-            self.wait(10);
-            self.end(0, AttemptStatus::Served, note, millis);
+            self.advance(10);
+            self.end_attempt(0, AttemptStatus::Served, detail, millis);
         }
     }
 }
 
-pub fn place(acts: &[Act]) -> (u32, u32) {
-    match acts {
-        [Act::Read { cache, source, .. }] => (*cache, *source),
-        other => panic!("one read expected, not {other:?}"),
+/// The endpoint and the source of the one attempt sent.
+pub fn sent_to(actions: &[Action]) -> (u32, u32) {
+    match actions {
+        [Action::SendWithFill { endpoint, source, .. }] => (*endpoint, *source),
+        other => panic!("one attempt with a fill expected, not {other:?}"),
     }
 }
 
@@ -251,7 +263,7 @@
     ]
 }
 
-fn set(settings: &mut Settings, name: &str, value: f64) {
+fn change(settings: &mut Settings, name: &str, value: f64) {
     let Settings { topology, attempts, rejection, slow_start, .. } = settings;
     let (flag, span) = (value > 0.0, Span::micros(value as u64));
     match name {
