--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,10 @@
-//! Reads the settings of a deployment, as JSON, into the engine's [`Settings`]. The simulator adapter and the
-//! router both use it. The names that stand in the JSON are the operators'; they are mapped to the engine's here
-//! and nowhere else.
+//! Reads the settings of a deployment from JSON into the engine's [`Settings`].
 //!
-//! A value that is left out, or is of another type than it should be, is left to the engine's default, unless the
-//! engine can't do without it: then [`Error`] names its key.
+//! The simulator adapter and the router both use it. The keys of the JSON are the operators'; they are mapped to the
+//! engine's names here and nowhere else.
+//!
+//! A value that is missing, or of another type than it should be, is left to the engine's default. Where the engine
+//! needs the value, [`Error`] names its key.
 
 use serde_json::Value;
 use thiserror::Error;
@@ -13,13 +14,16 @@
 };
 use tindoor::time::Span;
 
-/// Why settings can't be used.
+/// Why settings can't be read.
 #[derive(Debug, Error)]
 pub enum Error {
+    /// The text is not JSON.
     #[error("not JSON")]
     NotJson(#[source] serde_json::Error),
+    /// The JSON value is not an object.
     #[error("not a JSON object")]
     NotAnObject,
+    /// The list of request classes is missing.
     #[error("request_classes is missing")]
     NoRequestClasses,
     /// The key is missing, or its value is not of its type.
@@ -32,7 +36,7 @@
     from_json(&serde_json::from_slice(text).map_err(Error::NotJson)?)
 }
 
-/// Reads settings that are parsed already.
+/// Reads settings from a JSON value.
 pub fn from_json(settings: &Value) -> Result<Settings, Error> {
     let root = Section { value: settings, path: String::new() };
     if !settings.is_object() {
@@ -59,7 +63,7 @@
 }
 
 fn topology(root: &Section<'_>, family: &Section<'_>) -> Result<Topology, Error> {
-    let zone = root.needed("zone")?;
+    let zone = root.required("zone")?;
     let by_zone = family.list_number("instances_by_zone", zone.max(0.0) as usize);
     Ok(Topology {
         location: zone as u16,
@@ -82,7 +86,7 @@
         max_attempts: limits.count("most_tries"),
         cancellation: limits.flag("cancelling"),
         hedging: limits.flag("second_copies").unwrap_or(false),
-        drain_grace: Span::micros(root.section("rules").needed("drain_grace")? as u64),
+        drain_grace: Span::micros(root.section("rules").required("drain_grace")? as u64),
         settings_unpinned: false,
     })
 }
@@ -110,28 +114,28 @@
     }
 }
 
-/// A request class, from its own object and from the family's lists, which have a place for each class.
+/// A request class, from its own object and from the family's lists, which have an entry for each class.
 fn class(value: &Value, index: usize, family: &Section) -> Result<ClassSettings, Error> {
     let class = Section { value, path: format!("request_classes[{index}].") };
-    let listed = |key: &str| family.list_number(key, index);
+    let by_class = |key: &str| family.list_number(key, index);
     let micros = |number: f64| Span::micros(number as u64);
     Ok(ClassSettings {
-        latency_objective: micros(class.needed("objective")?),
-        deadline: micros(class.needed("deadline")?),
+        latency_objective: micros(class.required("objective")?),
+        deadline: micros(class.required("deadline")?),
         objective_stretch: class.number("aim_stretch"),
         priority_weight: class.number("points"),
         late_share: class.number("late_value"),
-        stale_share: listed("worth_when_old"),
+        stale_share: by_class("worth_when_old"),
         idempotency: idempotency(class.word("effect")),
         retry_scope: retry_scope(class.word("group")),
         retry_window: class.span("window"),
-        max_age: listed("class_fresh").map(micros),
-        stale_while_failing: listed("older_by").map(micros),
-        runs_at_origin: listed("goes_through").is_some_and(|number| number > 0.0),
+        max_age: by_class("class_fresh").map(micros),
+        stale_while_failing: by_class("older_by").map(micros),
+        runs_at_origin: by_class("goes_through").is_some_and(|number| number > 0.0),
     })
 }
 
-/// What is not known to be idempotent is taken for non-idempotent.
+/// A request that is not known to be idempotent is treated as non-idempotent.
 fn idempotency(effect: Option<&str>) -> Idempotency {
     match effect {
         Some("read_like") => Idempotency::Idempotent,
@@ -149,7 +153,7 @@
     }
 }
 
-/// An object of the settings; where it is missing, nothing is set in it.
+/// An object of the settings. A missing one is treated as empty.
 struct Section<'a> {
     value: &'a Value,
     /// For messages: empty, or with a separator at its end.
@@ -166,7 +170,7 @@
         number(self.value.get(key)?)
     }
 
-    fn needed(&self, key: &str) -> Result<f64, Error> {
+    fn required(&self, key: &str) -> Result<f64, Error> {
         self.number(key).ok_or_else(|| Error::Missing(format!("{}{key}", self.path)))
     }
 
--- a/crates/settings/tests/stories.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as JSON, and what the engine is told of them.
+//! Settings read from JSON, and the errors for unusable ones.
 
 use tindoor::settings::{Idempotency, RetryScope};
 use tindoor::time::Span;
@@ -17,17 +17,17 @@
     assert_eq!(settings.topology.routers, Some(3));
     assert_eq!(settings.topology.routers_in_location, Some(2));
     assert_eq!(settings.attempts.drain_grace, Span::micros(500_000));
-    let [saves, pages] = &settings.classes[..] else { panic!("two classes") };
-    assert_eq!(saves.deadline, Span::micros(5_000_000));
-    assert!(saves.runs_at_origin);
+    let [uploads, pages] = &settings.classes[..] else { panic!("two classes") };
+    assert_eq!(uploads.deadline, Span::micros(5_000_000));
+    assert!(uploads.runs_at_origin);
     assert_eq!(pages.latency_objective, Span::micros(300_000));
     assert_eq!(pages.max_age, Some(Span::micros(8_000_000)));
     assert!(!settings.topology.discovery_on_request);
     assert!(settings.topology.caches_fill);
-    assert_eq!(saves.idempotency, Idempotency::WithKey);
-    assert_eq!(saves.retry_scope, RetryScope::Location);
+    assert_eq!(uploads.idempotency, Idempotency::WithKey);
+    assert_eq!(uploads.retry_scope, RetryScope::Location);
     assert_eq!(pages.idempotency, Idempotency::Idempotent);
-    assert_eq!(settings.purges.grace, None, "what is not set is left to the engine's default");
+    assert_eq!(settings.purges.grace, None, "a missing value is left to the engine's default");
 }
 
 #[test]
@@ -44,15 +44,15 @@
             "request_classes[0].deadline is not set",
         ),
     ];
-    for (text, said) in cases {
-        assert_eq!(from_text(text.as_bytes()).unwrap_err().to_string(), said, "{text}");
+    for (text, message) in cases {
+        assert_eq!(from_text(text.as_bytes()).unwrap_err().to_string(), message, "{text}");
     }
 }
 
 #[test]
-fn what_is_no_settings_is_said_so() {
-    for (text, said) in [("[", "not JSON"), ("[]", "not a JSON object"), ("{}", "request_classes")] {
+fn text_that_holds_no_settings_is_an_error() {
+    for (text, message) in [("[", "not JSON"), ("[]", "not a JSON object"), ("{}", "request_classes")] {
         let error = from_text(text.as_bytes()).unwrap_err().to_string();
-        assert!(error.contains(said), "{text}: {error}");
+        assert!(error.contains(message), "{text}: {error}");
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,29 +1,31 @@
-//! Speaks the simulator's wire on standard input and output for [`tindoor::engine::RoutingEngine`].
+//! Connects [`tindoor::engine::RoutingEngine`] to the simulator, over standard input and output.
 //!
-//! Here is framing ([`wire`]) and the mapping of ids; settings are translated by [`tindoor_settings`]. It
-//! decides nothing. Instances share nothing but the process.
+//! The simulator writes batches of event records ([`frames`], [`event`]); each is answered with the actions that the
+//! engines took ([`host`]). The adapter maps ids and translates settings and makes no decisions. Routers share
+//! nothing but the process.
 
-mod wire;
+mod event;
+mod frames;
+mod host;
 
 use std::collections::BTreeMap;
 use std::io::{self, BufWriter, Read, Write};
 
 use anyhow::{Context, Result, bail, ensure};
 use tindoor::engine::RoutingEngine;
-use tindoor::host::{
-    AttemptStatus, EndpointState, EndpointUpdate, ListUpdateKind, Outcome, OutcomeDetail, RequestMeta,
-};
-use tindoor::time::{Moment, Span};
+use tindoor::host::{EndpointUpdate, ListUpdateKind};
+use tindoor::time::Moment;
 
-use wire::{AdapterHost, Record};
+use event::{Event, EventKind, ListEntry};
+use frames::Fields;
+use host::AdapterHost;
 
-/// Every router hosted here, by its number.
-#[derive(Default)]
-struct Fleet(BTreeMap<u32, RoutingEngine<AdapterHost>>);
+/// The bytes of a reply's length.
+const LENGTH_SIZE: usize = 4;
 
 fn main() {
-    if let Err(trouble) = run(&mut io::stdin().lock(), &mut BufWriter::new(io::stdout().lock())) {
-        eprintln!("tindoor-benchlink: {trouble:#}");
+    if let Err(error) = run(&mut io::stdin().lock(), &mut BufWriter::new(io::stdout().lock())) {
+        eprintln!("tindoor-benchlink: {error:#}");
         std::process::exit(1);
     }
 }
@@ -32,197 +34,115 @@
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<()> {
     let mut fleet = Fleet::default();
     let (mut batch, mut reply) = (Vec::new(), Vec::new());
-    while let Some((clock, count)) = wire::read_frame(input, &mut batch)? {
+    while let Some(header) = frames::read_batch(input, &mut batch)? {
         reply.clear();
-        reply.extend([0; 4]);
-        let now = Moment::at_micros(clock);
-        let mut rest = Record::new(&batch);
-        for nth in 0..count {
-            fleet.take(&mut rest, now, &mut reply).with_context(|| format!("record {nth}"))?;
+        reply.extend([0; LENGTH_SIZE]);
+        let now = Moment::at_micros(header.clock);
+        let mut records = Fields::new(&batch);
+        for index in 0..header.record_count {
+            fleet.apply_record(&mut records, now, &mut reply).with_context(|| format!("record {index}"))?;
         }
-        ensure!(rest.is_empty(), "batch holds more than its {count} records");
-        let size = u32::try_from(reply.len() - 4).context("reply too long")?;
-        reply[..4].copy_from_slice(&size.to_le_bytes());
+        ensure!(records.is_empty(), "batch holds more than its {} records", header.record_count);
+        let size = u32::try_from(reply.len() - LENGTH_SIZE).context("reply too long")?;
+        reply[..LENGTH_SIZE].copy_from_slice(&size.to_le_bytes());
         output.write_all(&reply)?;
         output.flush()?;
     }
     Ok(())
 }
 
+type Engine = RoutingEngine<AdapterHost>;
+
+/// All routers in this process, by their numbers.
+#[derive(Default)]
+struct Fleet(BTreeMap<u32, Engine>);
+
 impl Fleet {
-    /// Decodes one record into a call and hands on what the router did about it.
-    fn take(&mut self, rest: &mut Record, now: Moment, reply: &mut Vec<u8>) -> Result<()> {
-        let code = rest.u8()?;
-        let mut record = rest.counted()?;
-        let name = wire::event_name(code).with_context(|| format!("unknown event code {code}"))?;
-        let who = self.event(code, &mut record, now).context(name)?;
-        ensure!(record.is_empty(), "{name}: longer than its fields");
-        if let Some(control) = self.0.get_mut(&who) {
-            reply.append(&mut control.host().actions);
+    /// Applies the next record and appends the actions of its router to the reply.
+    fn apply_record(&mut self, records: &mut Fields, now: Moment, reply: &mut Vec<u8>) -> Result<()> {
+        let code = records.u8()?;
+        let fields = records.length_prefixed()?;
+        let kind = EventKind::from_code(code).with_context(|| format!("unknown event code {code}"))?;
+        let instance = self.apply_event(kind, fields, now).context(kind.wire_name())?;
+        if let Some(engine) = self.0.get_mut(&instance) {
+            reply.append(&mut engine.host().actions);
         }
         Ok(())
     }
 
-    fn event(&mut self, code: u8, record: &mut Record, now: Moment) -> Result<u32> {
-        let who = record.u32()?;
-        if code == wire::SPAWN {
-            let seed = record.u64()?;
-            let text = record.counted()?;
-            let settings = tindoor_settings::from_text(text.bytes()).context("settings")?;
-            let control = RoutingEngine::start(AdapterHost::new(who), settings, seed, now);
-            self.0.insert(who, control);
-            return Ok(who);
-        }
-        let Some(control) = self.0.get_mut(&who) else { bail!("instance {who} was never started") };
-        control.set_time(now);
-        match code {
-            wire::LIST => list(control, record)?,
-            wire::INGRESS => {
-                let ticket = record.u64()?;
-                let part = record.f32()? as u32;
-                let left = Span::micros(record.u32()?.into());
-                let class = record.u16()?;
-                let group = record.f32()? as u32;
-                let (_account, idempotency_keys) = (record.u16()?, record.u16()?);
-                let client_retry = idempotency_keys & 2 != 0;
-                let object = record.u64()?;
-                let size_kb = Some(record.f32()?).filter(|size_kb| *size_kb > 0.0);
-                let no = control.host().open_request(ticket)?;
-                let (first_ran, authorization) = Default::default();
-                control.request_received(
-                    no,
-                    RequestMeta {
-                        object,
-                        part,
-                        group,
-                        class,
-                        size_kb,
-                        client_retry,
-                        first_ran,
-                        authorization,
-                    },
-                    left,
-                );
-            }
-            wire::STREAMING => {
-                let (ticket, _nth, _cache, _took) =
-                    (record.u64()?, record.u16()?, record.address()?, record.u32()?);
-                if let Some(no) = control.host().request_of(ticket) {
-                    control.streaming_started(no);
-                }
-            }
-            wire::DONE => {
-                let ticket = record.u64()?;
-                let note = note(record.u32()?)?;
-                let last = record.u8()? != 0;
-                let took = Span::micros(record.u32()?.into());
-                let _first_byte = record.u32()?;
-                let _cache = record.address()?;
-                let verdict = verdict(record.u8()?)?;
-                let nth = record.u16()?;
-                record.report()?;
-                if let Some(no) = control.host().request_of(ticket) {
-                    control.attempt_ended(no, nth, Outcome::new(verdict, note), took, last);
-                    control.host().close_attempt(no, last);
-                }
-            }
-            wire::ABORTED => {
-                if let Some(no) = control.host().request_of(record.u64()?) {
-                    control.request_abandoned(no);
-                    control.host().close_request(no);
-                }
-            }
-            wire::ELAPSED => {
-                let _cookie = record.u32()?;
-                control.timer_fired();
-            }
-            wire::CHECKED => {
-                record.address()?;
-                verdict(record.u8()?)?;
-                record.u32()?;
-                record.report()?;
+    /// Applies an event to its router, and gives the router's number.
+    fn apply_event(&mut self, kind: EventKind, mut fields: Fields, now: Moment) -> Result<u32> {
+        let instance = fields.u32()?;
+        let is_known = self.0.contains_key(&instance) || kind == EventKind::InstanceStarted;
+        ensure!(is_known, "instance {instance} was never started");
+        let event = Event::decode(kind, &mut fields)?;
+        match event {
+            Event::InstanceStarted { seed, settings } => {
+                let settings = tindoor_settings::from_text(settings).context("settings")?;
+                let engine = Engine::start(AdapterHost::new(instance), settings, seed, now);
+                self.0.insert(instance, engine);
             }
-            wire::FROM_PEER => {
-                record.u16()?;
-                let size = record.u16()?;
-                record.skip(size.into())?;
+            Event::InstanceStopped => {
+                self.0.remove(&instance);
             }
-            wire::DESTROY => {
-                self.0.remove(&who);
+            event => {
+                let Some(engine) = self.0.get_mut(&instance) else {
+                    bail!("instance {instance} was never started");
+                };
+                engine.set_time(now);
+                apply_to_engine(engine, event)?;
             }
-            wire::STRUCK_OUT => {
-                let object = Some(record.u64()?).filter(|object| *object != 0);
-                let group = record.u16()?;
-                let ago = Span::micros(record.u32()?.into());
-                control.purged(object, group.into(), ago);
-            }
-            _ => bail!("unknown event code {code}"),
         }
-        Ok(who)
+        ensure!(fields.is_empty(), "longer than its fields");
+        Ok(instance)
     }
 }
 
-fn list(control: &mut RoutingEngine<AdapterHost>, record: &mut Record) -> Result<()> {
-    let form = match record.u8()? {
-        0 | 1 => ListUpdateKind::Full,
-        3 => ListUpdateKind::Failed,
-        4 => ListUpdateKind::Delta,
-        other => bail!("unknown form {other}"),
-    };
-    let _version = record.u64()?;
-    let count = record.u32()?;
-    let mut lines = Vec::new();
-    for _ in 0..count {
-        let standing = match record.u8()? {
-            0 => EndpointState::Removed,
-            1 => EndpointState::Ready,
-            2 => EndpointState::Draining,
-            other => bail!("unknown state {other}"),
-        };
-        let address = record.address()?;
-        lines.push(EndpointUpdate {
-            endpoint: control.host().cache_no(address),
-            stable_id: address,
-            state: standing,
-            started_at: Some(record.u64()?).filter(|at| *at > 0).map(Moment::at_micros),
-            location: record.u8()?,
-            capacity: record.f32()?,
-            kind: record.u8()?,
-            cell: record.u16()?,
-        });
+/// Applies an event to a running engine. Events of requests that are closed are late, and of no effect.
+fn apply_to_engine(engine: &mut Engine, event: Event) -> Result<()> {
+    match event {
+        Event::EndpointsChanged { kind, entries } => apply_list(engine, kind, entries),
+        Event::RequestReceived { request, meta, time_remaining } => {
+            let slot = engine.host().open_request(request)?;
+            engine.request_received(slot, meta, time_remaining);
+        }
+        Event::StreamingStarted { request } => {
+            if let Some(slot) = engine.host().slot(request) {
+                engine.streaming_started(slot);
+            }
+        }
+        Event::AttemptEnded { request, index, outcome, took, is_last } => {
+            if let Some(slot) = engine.host().slot(request) {
+                engine.attempt_ended(slot, index, outcome, took, is_last);
+                engine.host().close_attempt(slot, is_last);
+            }
+        }
+        Event::RequestAbandoned { request } => {
+            if let Some(slot) = engine.host().slot(request) {
+                engine.request_abandoned(slot);
+                engine.host().close_request(slot);
+            }
+        }
+        Event::TimerFired => engine.timer_fired(),
+        Event::Purged { object, group, ago } => engine.purged(object, group, ago),
+        Event::Ignored | Event::InstanceStarted { .. } | Event::InstanceStopped => {}
     }
-    control.endpoints_changed(form, &lines);
     Ok(())
 }
 
-fn verdict(code: u8) -> Result<AttemptStatus> {
-    Ok(match code {
-        10 => AttemptStatus::Served,
-        20 => AttemptStatus::Error,
-        30 => AttemptStatus::Overloaded,
-        40 => AttemptStatus::TimedOut,
-        50 => AttemptStatus::Unreachable,
-        60 => AttemptStatus::Incomplete,
-        70 => AttemptStatus::Cancelled,
-        80 => AttemptStatus::Superseded,
-        90 => AttemptStatus::Miss,
-        other => bail!("unknown verdict {other}"),
-    })
-}
-
-fn note(code: u32) -> Result<OutcomeDetail> {
-    Ok(match code {
-        0 => OutcomeDetail::Unknown,
-        1 => OutcomeDetail::Hit,
-        2 => OutcomeDetail::FilledFromSource,
-        3 => OutcomeDetail::FilledFromOrigin,
-        4 => OutcomeDetail::JoinedFill,
-        5 => OutcomeDetail::StaleHit,
-        6 => OutcomeDetail::SourceOverloaded,
-        7 => OutcomeDetail::SourceUnreachable,
-        8 => OutcomeDetail::SourceMiss,
-        9 => OutcomeDetail::NoFillSlot,
-        10 => OutcomeDetail::OriginFailed,
-        other => bail!("unknown info {other}"),
-    })
+fn apply_list(engine: &mut Engine, kind: ListUpdateKind, entries: Vec<ListEntry>) {
+    let updates: Vec<EndpointUpdate> = entries
+        .into_iter()
+        .map(|entry| EndpointUpdate {
+            endpoint: engine.host().endpoint_id(entry.address),
+            stable_id: entry.address,
+            state: entry.state,
+            started_at: entry.started_at,
+            location: entry.location,
+            capacity: entry.capacity,
+            kind: entry.kind,
+            cell: entry.cell,
+        })
+        .collect();
+    engine.endpoints_changed(kind, &updates);
 }
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -1,4 +1,4 @@
-//! The built binary against frames written by hand after the wire's layout.
+//! The binary against frames that are encoded by hand.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -19,32 +19,45 @@
     [&clock.to_le_bytes()[..], &size.to_le_bytes(), &count.to_le_bytes(), &body].concat()
 }
 
-fn spawn(who: u32, settings: &str) -> Vec<u8> {
+fn spawn(instance: u32, settings: &str) -> Vec<u8> {
     let size = (settings.len() as u32).to_le_bytes();
-    record(1, &[&who.to_le_bytes(), &[7; 8], &size, settings.as_bytes()])
+    record(1, &[&instance.to_le_bytes(), &[7; 8], &size, settings.as_bytes()])
 }
 
 const CACHE: [u8; 6] = [10, 18, 74, 7, 0x93, 0x1f];
 
 /// One cache in zone 1, a parent and the origin in zone 0.
-fn list(who: u32, state: u8) -> Vec<u8> {
+fn list(instance: u32, state: u8) -> Vec<u8> {
     let entry = |address: &[u8; 6], zone: u8, kind: u8| {
         [&[state][..], address, &[0; 8], &[zone], &1f32.to_le_bytes(), &[kind], &[0; 2]].concat()
     };
     let entries = [entry(&CACHE, 1, 0), entry(&[9; 6], 0, 1), entry(&[8; 6], 0, 2)].concat();
-    record(2, &[&who.to_le_bytes(), &[0], &[1; 8], &3u32.to_le_bytes(), &entries])
+    record(2, &[&instance.to_le_bytes(), &[0], &[1; 8], &3u32.to_le_bytes(), &entries])
 }
 
-fn ingress(who: u32, ticket: u64) -> Vec<u8> {
+fn ingress(instance: u32, request: u64) -> Vec<u8> {
     let (part, group) = (2f32.to_le_bytes(), 11f32.to_le_bytes());
-    let (left, object) = (1_000_000u32.to_le_bytes(), 77u64.to_le_bytes());
-    let ticket = ticket.to_le_bytes();
-    record(3, &[&who.to_le_bytes(), &ticket, &part, &left, &[0; 2], &group, &[0; 4], &object, &[0; 4]])
+    let (time_remaining, object) = (1_000_000u32.to_le_bytes(), 77u64.to_le_bytes());
+    let request = request.to_le_bytes();
+    record(
+        3,
+        &[
+            &instance.to_le_bytes(),
+            &request,
+            &part,
+            &time_remaining,
+            &[0; 2],
+            &group,
+            &[0; 4],
+            &object,
+            &[0; 4],
+        ],
+    )
 }
 
-fn done(who: u32, ticket: u64, verdict: u8) -> Vec<u8> {
-    let (ticket, who) = (ticket.to_le_bytes(), who.to_le_bytes());
-    record(5, &[&who, &ticket, &[1, 0, 0, 0], &[1], &[0; 8], &CACHE, &[verdict], &[0; 2], &[1], &[0; 4]])
+fn done(instance: u32, request: u64, status: u8) -> Vec<u8> {
+    let (request, instance) = (request.to_le_bytes(), instance.to_le_bytes());
+    record(5, &[&instance, &request, &[1, 0, 0, 0], &[1], &[0; 8], &CACHE, &[status], &[0; 2], &[1], &[0; 4]])
 }
 
 fn run(input: &[u8]) -> Output {
@@ -82,7 +95,7 @@
 }
 
 #[test]
-fn a_request_is_read_through_its_cache_and_odd_but_legal_records_are_taken_quietly() {
+fn a_request_is_sent_through_its_cache_and_unusual_records_are_accepted() {
     let destroy = record(10, &[&3u32.to_le_bytes()]);
     let gone = record(6, &[&3u32.to_le_bytes(), &500u64.to_le_bytes()]);
     let purge = record(11, &[&3u32.to_le_bytes(), &[0; 8], &11u16.to_le_bytes(), &1000u32.to_le_bytes()]);
@@ -106,7 +119,7 @@
 }
 
 #[test]
-fn an_instance_killed_and_started_again_in_one_batch_knows_nothing_of_its_past() {
+fn an_instance_restarted_within_a_batch_keeps_no_state() {
     let destroy = record(10, &[&3u32.to_le_bytes()]);
     let batches = [
         batch(10, &[spawn(3, SETTINGS), list(3, 1), spawn(4, SETTINGS)]),
@@ -114,11 +127,11 @@
     ];
     let replies = replies(&run(&batches.concat()));
     let codes: Vec<u8> = replies[1].iter().map(|action| action.0).filter(|code| *code != 8).collect();
-    assert_eq!(codes, [7, 9, 9], "read by the first life; turned back by those that know no cache");
+    assert_eq!(codes, [7, 9, 9], "sent by the first incarnation; rejected by those that know no endpoint");
 }
 
 #[test]
-fn bad_input_gives_one_plain_line_and_a_failure() {
+fn malformed_input_gives_an_error_of_one_line() {
     let cut = |bytes: Vec<u8>, size: usize| bytes[..bytes.len() - size].to_vec();
     let start = [spawn(3, SETTINGS), list(3, 1)];
     let with = |more: Vec<u8>| batch(10, &[&start[..], &[more]].concat());
@@ -139,10 +152,10 @@
         (batch(10, &[spawn(3, "{}")]), "record 0: Spawn: settings: request_classes is missing"),
         (batch(10, &[spawn(3, r#"{"request_classes": []}"#)]), "settings: zone is not set"),
     ];
-    for (input, trouble) in cases {
+    for (input, expected) in cases {
         let output = run(&input);
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert!(said.contains(trouble) && said.lines().count() == 1, "{trouble}: {said}");
-        assert_eq!(output.status.code(), Some(1), "{trouble}");
+        let message = String::from_utf8(output.stderr).unwrap();
+        assert!(message.contains(expected) && message.lines().count() == 1, "{expected}: {message}");
+        assert_eq!(output.status.code(), Some(1), "{expected}");
     }
 }
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -7,7 +7,7 @@
 //! back. To record them anew, which is right only where behaviour is meant to change:
 //!
 //! ```text
-//! cargo test -p tindoor-benchlink --test golden -- --ignored --nocapture record
+//! cargo test -p tindoor-simulator-adapter --test golden -- --ignored --nocapture record
 //! ```
 
 mod recorder;
--- a/crates/simulator-adapter/tests/recorder/world.rs
+++ b/crates/simulator-adapter/tests/recorder/world.rs
@@ -639,11 +639,10 @@
         let end = |verdict, note, took| Ending { verdict, note, took, first_byte: 0 };
         let mut slowness = 1.0;
         match self.servers[server].condition {
-            Condition::Healthy => {}
             Condition::Slow(factor) => slowness = factor,
             Condition::Failing(share) if self.random.chance(share) => return end(20, 0, quick),
             Condition::Full(share) if self.random.chance(share) => return end(30, 0, quick),
-            Condition::Failing(_) | Condition::Full(_) => {}
+            Condition::Healthy | Condition::Failing(_) | Condition::Full(_) => {}
             Condition::Hung => return end(10, 1, 100 * SECOND),
             Condition::Resetting => return end(60, 0, quick),
             Condition::Down => return end(50, 0, quick),
@@ -697,11 +696,10 @@
             let parent = server == source && !at_origin;
             let note = |of_parent: u32| if parent { of_parent } else { 10 };
             match self.servers[server].condition {
-                Condition::Healthy => {}
                 Condition::Slow(factor) => slowness *= factor,
                 Condition::Failing(share) if self.random.chance(share) => trouble = Some((20, note(6))),
                 Condition::Full(share) if self.random.chance(share) => trouble = Some((30, note(6))),
-                Condition::Failing(_) | Condition::Full(_) => {}
+                Condition::Healthy | Condition::Failing(_) | Condition::Full(_) => {}
                 Condition::Hung => slowness *= 1000.0,
                 Condition::Resetting => trouble = Some((20, note(7))),
                 Condition::Down => trouble = Some((30, note(7))),
