--- /dev/null
+++ b/src/engine/attempts.rs
@@ -0,0 +1,215 @@
+//! Attempts: the one place that sends, where the five rules of the service are kept.
+
+use crate::host::{AttemptStatus, EndpointId, FillDirectives, Host, QuotaCharge, RequestSlot};
+use crate::settings::{Idempotency, RetryScope};
+use crate::time::Span;
+
+use super::RoutingEngine;
+use super::load::FillPath;
+use super::requests::{Attempt, FillMode, FirstRun, Request};
+use super::routing::CONGESTED;
+use super::slow_start::AttemptId;
+
+/// The least time that must remain for an attempt to be worth making.
+pub(super) const MIN_TIME_REMAINING: Span = Span::millis(10);
+/// Time by which an attempt must precede the end of the retry window, for it to arrive within.
+const RETRY_WINDOW_MARGIN: Span = Span::millis(20);
+/// The least age limit after a purge, as an age of zero would mean any age.
+const MIN_MAX_AGE: Span = Span::micros(1);
+
+/// Where an attempt is sent, and how a miss is treated.
+#[derive(Clone, Copy)]
+pub(super) struct AttemptPlan {
+    pub(super) endpoint: EndpointId,
+    /// The source of a fill; none where the endpoint fills nothing.
+    pub(super) source: Option<EndpointId>,
+    pub(super) fill_mode: FillMode,
+}
+
+impl AttemptPlan {
+    fn endpoints(self) -> impl Iterator<Item = EndpointId> {
+        [Some(self.endpoint), self.source].into_iter().flatten()
+    }
+}
+
+/// What copies an attempt may be answered from.
+struct Freshness {
+    max_age: Option<Span>,
+    refresh: bool,
+}
+
+impl<H: Host> RoutingEngine<H> {
+    /// Sends an attempt of a request if all rules permit it, else gives the request up. Every send passes here.
+    pub(super) fn send(&mut self, slot: RequestSlot, plan: AttemptPlan) {
+        let Some(request) = self.requests.get(slot).filter(|request| rule_1_is_unanswered(request)) else {
+            return;
+        };
+        if !self.permits(request, plan) {
+            return self.give_up(slot);
+        }
+        let class = request.meta.class;
+        let is_stored = !self.class(class).runs_at_origin;
+        let is_retry = request.attempts.iter().any(Attempt::fills_misses);
+        let freshness = self.freshness(request, plan, is_retry);
+        let timeout = self.attempt_timeout(request);
+        let silence_timeout = self.silence_timeout(plan.endpoint);
+        let attempt = AttemptId { request: request.id, index: request.attempts.len() as u16 };
+        let charge = self.quota_charge(request, plan);
+        if !self.host.charge_quota(slot, charge) {
+            return self.give_up(slot);
+        }
+        match plan.source {
+            Some(source) => {
+                let directives = FillDirectives {
+                    source,
+                    max_age: freshness.max_age,
+                    join_fill: is_stored,
+                    only_if_cached: plan.fill_mode == FillMode::OnlyIfCached,
+                    refresh: freshness.refresh,
+                    retention_rank: u8::from(is_stored),
+                };
+                self.host.send_with_fill(slot, plan.endpoint, timeout, directives);
+            }
+            None => self.host.send_cache_only(slot, plan.endpoint, timeout),
+        }
+        self.recent_attempts.add(is_retry);
+        self.record_sent(slot, plan, class, attempt);
+        self.schedule_request(self.now + silence_timeout, slot);
+    }
+
+    /// Whether the rules and the limit on attempts permit an attempt.
+    fn permits(&self, request: &Request, plan: AttemptPlan) -> bool {
+        self.rule_1_leaves_time(request)
+            && request.attempts.len() < self.settings.attempts.max_attempts()
+            && self.rule_2_permits_retry(request, plan.endpoint)
+            && self.rule_2_permits_concurrency(request)
+            && self.rule_3_permits_endpoints(plan)
+            && self.rule_4_permits_load(request, plan)
+    }
+
+    /// Rule 1: an answer in time is still possible.
+    fn rule_1_leaves_time(&self, request: &Request) -> bool {
+        request.deadline.since(self.now) >= MIN_TIME_REMAINING
+    }
+
+    /// Rule 2: a request that may have run is sent again only where a second run does no harm.
+    fn rule_2_permits_retry(&self, request: &Request, endpoint: EndpointId) -> bool {
+        let class = self.class(request.meta.class);
+        let Some(FirstRun { at, endpoint: first }) = request.first_run() else { return true };
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey => {
+                let age = self.now.since(at) + RETRY_WINDOW_MARGIN;
+                self.is_in_retry_scope(class.retry_scope, first, endpoint)
+                    && age < class.retry_window.unwrap_or_default()
+            }
+            Idempotency::NonIdempotent => false,
+        }
+    }
+
+    fn is_in_retry_scope(&self, scope: RetryScope, first: EndpointId, endpoint: EndpointId) -> bool {
+        let entry = |id: EndpointId| &self.endpoints[id].entry;
+        let is_same_location = || entry(first).location == entry(endpoint).location;
+        match scope {
+            RetryScope::Everywhere => true,
+            RetryScope::Location => is_same_location(),
+            RetryScope::Cell => is_same_location() && entry(first).cell == entry(endpoint).cell,
+            RetryScope::Nowhere => false,
+        }
+    }
+
+    /// Rule 2: one attempt in flight at a time, unless the deployment permits hedged requests.
+    fn rule_2_permits_concurrency(&self, request: &Request) -> bool {
+        let is_idempotent = self.class(request.meta.class).idempotency == Idempotency::Idempotent;
+        match request.in_flight().count() {
+            0 => true,
+            1 => self.settings.attempts.hedging && is_idempotent,
+            _ => false,
+        }
+    }
+
+    /// Rule 3: a draining or removed endpoint gets nothing new, neither as endpoint nor as source.
+    fn rule_3_permits_endpoints(&self, plan: AttemptPlan) -> bool {
+        plan.endpoints().all(|id| self.endpoints[id].is_ready())
+    }
+
+    /// Rule 4: a warming endpoint or source is not overloaded.
+    fn rule_4_permits_load(&self, request: &Request, plan: AttemptPlan) -> bool {
+        let work = self.mean_work(request.meta.class);
+        plan.endpoints().all(|id| self.can_absorb(&self.endpoints[id], work, request.admission_draw))
+    }
+
+    /// Rule 5: the time since the newest purge that covers the request, if there was one.
+    fn rule_5_max_age(&self, request: &Request) -> Option<Span> {
+        let purged_at = self.purges.newest_for(&request.meta)?;
+        Some(self.now.since(purged_at).max(MIN_MAX_AGE))
+    }
+
+    /// What copies may be served. Stale ones, which are worth less, only for retries and while fills are congested.
+    fn freshness(&self, request: &Request, plan: AttemptPlan, is_retry: bool) -> Freshness {
+        let since_purge = self.rule_5_max_age(request);
+        let class = self.class(request.meta.class);
+        let fresh_for = class.max_age.unwrap_or_default();
+        let are_fills_congested = [FillPath::Source, FillPath::Origin]
+            .into_iter()
+            .any(|path| self.fill_congestion(request, path) >= CONGESTED);
+        let may_be_stale = is_retry || are_fills_congested;
+        let stale_for = class.stale_while_failing.filter(|_| may_be_stale).unwrap_or_default();
+        let is_stored = fresh_for > Span::ZERO;
+        let limit =
+            Some(fresh_for + stale_for).filter(|_| is_stored && (may_be_stale || since_purge.is_some()));
+        let can_refresh =
+            plan.fill_mode == FillMode::OnMiss && plan.source.is_some_and(|source| self.is_warm(source));
+        Freshness {
+            max_age: limit.into_iter().chain(since_purge).min(),
+            refresh: !class.runs_at_origin && can_refresh && is_stored,
+        }
+    }
+
+    fn quota_charge(&self, request: &Request, plan: AttemptPlan) -> QuotaCharge {
+        let class = request.meta.class;
+        let fills_misses = matches!(plan.fill_mode, FillMode::OnMiss | FillMode::KnownMiss);
+        let has_failed = |attempt: &Attempt| !attempt.has_status(AttemptStatus::Miss);
+        QuotaCharge {
+            endpoint: self.endpoints[plan.endpoint].entry.stable_id,
+            class,
+            cache_only: plan.fill_mode == FillMode::CacheOnly,
+            may_fill_from_origin: !self.class(class).runs_at_origin && plan.source.is_some() && fills_misses,
+            is_retry: request.attempts.iter().any(has_failed),
+        }
+    }
+
+    /// Accounts for an attempt that was just sent.
+    fn record_sent(&mut self, slot: RequestSlot, plan: AttemptPlan, class: u16, id: AttemptId) {
+        let AttemptPlan { endpoint, source, fill_mode } = plan;
+        self.charge_slow_start(endpoint, class, Some(id));
+        if let Some(source) = source.filter(|source| *source != endpoint) {
+            self.charge_slow_start(source, class, Some(id));
+        }
+        let state = &mut self.endpoints[endpoint];
+        if state.in_flight == 0 {
+            state.last_active = self.now;
+        }
+        state.in_flight += 1;
+        let endpoint_in_flight = f64::from(state.in_flight);
+        *self.load.in_flight.of(fill_mode) += 1.0;
+        let attempt = Attempt {
+            endpoint,
+            source,
+            sent_at: self.now,
+            endpoint_in_flight,
+            fill_mode,
+            fills_in_flight: self.load.fill_counts(),
+            cancelled: false,
+            outcome: None,
+        };
+        if let Some(request) = self.requests.get_mut(slot) {
+            request.attempts.push(attempt);
+        }
+    }
+}
+
+/// Rule 1: nothing is sent for a request that has its final answer.
+fn rule_1_is_unanswered(request: &Request) -> bool {
+    !request.finished
+}
