--- a/crates/external-requests/benches/table.rs
+++ b/crates/external-requests/benches/table.rs
@@ -10,11 +10,11 @@
 struct Nobody;
 
 impl TableHost for Nobody {
-    fn begin(&mut self, _: RequestNumber, _: &ExternalRequest, _: Option<(Moment, EndpointId)>) {}
-    fn ended(&mut self, _: RequestNumber, _: u16, _: Outcome, _: bool) {}
-    fn left(&mut self, _: RequestNumber) {}
-    fn close(&mut self, _: RequestNumber) {}
-    fn say(&mut self, stream: CallId, say: CallReply) {
+    fn request_started(&mut self, _: RequestNumber, _: &ExternalRequest, _: Option<(Moment, EndpointId)>) {}
+    fn attempt_ended(&mut self, _: RequestNumber, _: u16, _: Outcome, _: bool) {}
+    fn request_abandoned(&mut self, _: RequestNumber) {}
+    fn request_finished(&mut self, _: RequestNumber) {}
+    fn reply(&mut self, stream: CallId, say: CallReply) {
         black_box((stream, say));
     }
     fn retry_after(&mut self) -> Option<Span> {
@@ -23,18 +23,18 @@
 }
 
 fn table() -> ExternalRequestTable {
-    let bounds = Bounds {
-        requests: 1 << 12,
-        idempotency_keys: 1 << 30,
-        over: 1 << 30,
-        waiters: 8,
+    let limits = Limits {
+        max_requests: 1 << 12,
+        max_idempotency_keys: 1 << 30,
+        max_finished: 1 << 30,
+        max_waiters: 8,
         use_within: Span::millis(200),
-        report_within: Span::millis(250),
-        again_within: Span::millis(250),
-        window: Span::millis(3000),
-        longest: Span::millis(60_000),
+        report_grace: Span::millis(250),
+        retry_window: Span::millis(250),
+        idempotency_window: Span::millis(3000),
+        max_request_time: Span::millis(60_000),
     };
-    ExternalRequestTable::new(bounds, Guards::default(), Moment::default())
+    ExternalRequestTable::new(limits, EnabledChecks::default(), Moment::default())
 }
 
 /// Asked, chosen, sent and reported done.
@@ -51,19 +51,23 @@
         group,
         idempotency_key,
         client_retry,
-        left,
+        time_remaining: left,
         authorization: Authorization::Granted,
     };
     let stream = CallId(nth);
-    calls.tick(now, &mut Nobody);
-    calls.call(now, &mut Nobody, stream, call);
-    let decision = RoutingDecision { nth: 0, cache: EndpointId(1), directives: None, wait: left };
-    calls.ordered(now, &mut Nobody, RequestNumber(nth), decision);
-    calls.leaves(stream, &CallReply::Decision { decision, use_within: left, left });
+    calls.timer_fired(now, &mut Nobody);
+    calls.call_received(now, &mut Nobody, stream, call);
+    let decision =
+        RoutingDecision { attempt_index: 0, endpoint: EndpointId(1), directives: None, timeout: left };
+    calls.decision_made(now, &mut Nobody, RequestNumber(nth), decision);
+    calls.confirm_send(stream, &CallReply::Decision { decision, use_within: left, time_remaining: left });
     let known = StoredResult { status: 200, version: 0 };
-    let report =
-        Report { verdict: AttemptStatus::Served, note: OutcomeDetail::Unknown, known, used_after: None };
-    calls.reported(now, &mut Nobody, stream, None, report);
+    let report = Report {
+        outcome: Outcome::new(AttemptStatus::Served, OutcomeDetail::Unknown),
+        stored_result: known,
+        used_after: None,
+    };
+    calls.report_received(now, &mut Nobody, stream, None, report);
 }
 
 fn resident() -> u64 {
--- a/crates/external-requests/src/lib.rs
+++ b/crates/external-requests/src/lib.rs
@@ -11,9 +11,9 @@
 mod timers;
 
 pub use idempotency_keys::{IdempotencyKeys, StoredResult};
-pub use table::{Bounds, Counters, ExternalRequestTable, Guards};
+pub use table::{Counters, EnabledChecks, ExternalRequestTable, Limits};
 
-use tindoor::host::{AttemptStatus, Authorization, EndpointId, FillDirectives, Outcome, OutcomeDetail};
+use tindoor::host::{Authorization, EndpointId, FillDirectives, Outcome};
 use tindoor::time::{Moment, Span};
 
 /// A call on its way, as the front counts them; never used again.
@@ -40,7 +40,7 @@
     /// Marked as a client's further try.
     pub client_retry: bool,
     /// How long the client waits from now on.
-    pub left: Span,
+    pub time_remaining: Span,
     /// What the check of its link said.
     pub authorization: Authorization,
 }
@@ -49,27 +49,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RoutingDecision {
     /// Which attempt of its request, from 0.
-    pub nth: u16,
-    pub cache: EndpointId,
+    pub attempt_index: u16,
+    pub endpoint: EndpointId,
     pub directives: Option<FillDirectives>,
     /// How long it may take, from the order on.
-    pub wait: Span,
+    pub timeout: Span,
 }
 
 impl RoutingDecision {
     /// Whether its cache or its source is one of these.
-    pub fn names(&self, no: EndpointId) -> bool {
-        self.cache == no || self.directives.is_some_and(|directives| directives.source == no)
+    pub fn references(&self, endpoint: EndpointId) -> bool {
+        self.endpoint == endpoint || self.directives.is_some_and(|directives| directives.source == endpoint)
     }
 }
 
 /// How a proxy says that its attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Report {
-    pub verdict: AttemptStatus,
-    pub note: OutcomeDetail,
+    pub outcome: Outcome,
     /// The status that the client gets where it is done, and the version of the object.
-    pub known: StoredResult,
+    pub stored_result: StoredResult,
     /// How long after the choice it was used, where the proxy tells.
     pub used_after: Option<Span>,
 }
@@ -78,21 +77,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
     /// The routing engine gave the request up.
-    GivenUp,
+    GaveUp,
     /// There is no room for a further request, mark or waiter.
-    NoRoom,
+    NoCapacity,
     /// A request of that ticket is in hand with this or a later try, or asks for something else.
-    Ticket,
+    CorrelationIdInUse,
     /// Its mark is in hand, and the end did not come in time.
-    Mark,
+    IdempotencyKeyInUse,
     /// A later try of the same request came.
-    Overtaken,
+    Superseded,
     /// The report belongs to no choice that is out.
-    NoChoice,
+    UnknownDecision,
     /// The choice was used up: nothing was reported in its time.
-    Unreported,
+    NotReported,
     /// The router ends.
-    Stopping,
+    ShuttingDown,
 }
 
 /// What a call or a report is told. Each call gets one of the first four; each report one of all but the
@@ -100,7 +99,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallReply {
     /// Go there, beginning within this time from now.
-    Decision { decision: RoutingDecision, use_within: Span, left: Span },
+    Decision { decision: RoutingDecision, use_within: Span, time_remaining: Span },
     /// Final: trying again is harmless, best after so long.
     Rejected(Option<Span>, RefusalReason),
     /// Final: promises nothing.
@@ -117,20 +116,20 @@
 pub trait TableHost {
     /// A request begins: the routing engine is told of it. `first_ran` says when and where its mark first may have run; a
     /// moment long ago where nobody knows.
-    fn begin(
+    fn request_started(
         &mut self,
         serial: RequestNumber,
         call: &ExternalRequest,
         first_ran: Option<(Moment, EndpointId)>,
     );
     /// A attempt of the request ended; `last` says that the request has its final answer.
-    fn ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool);
+    fn attempt_ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool);
     /// Nobody waits for the request any more.
-    fn left(&mut self, serial: RequestNumber);
+    fn request_abandoned(&mut self, serial: RequestNumber);
     /// Everything of the request is reported: what stands for it can go.
-    fn close(&mut self, serial: RequestNumber);
+    fn request_finished(&mut self, serial: RequestNumber);
     /// A word to a call. One that was not yet sent is replaced by the next.
-    fn say(&mut self, stream: CallId, say: CallReply);
+    fn reply(&mut self, stream: CallId, say: CallReply);
     /// When one that finds no room may come again.
     fn retry_after(&mut self) -> Option<Span>;
 }
--- a/crates/external-requests/src/table.rs
+++ b/crates/external-requests/src/table.rs
@@ -14,44 +14,44 @@
 
 /// Every size and time that the table keeps to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Bounds {
+pub struct Limits {
     /// Requests in hand at once.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Marks known at once.
-    pub idempotency_keys: usize,
+    pub max_idempotency_keys: usize,
     /// Tickets of requests that are over, known at once.
-    pub over: usize,
+    pub max_finished: usize,
     /// Calls that wait for the end of one mark.
-    pub waiters: usize,
+    pub max_waiters: usize,
     /// How long a choice may lie at a proxy before it is used: half the drain grace and half the purge grace
     /// at most, so that what is told after it was given still meets its use within the grace.
     pub use_within: Span,
     /// How long after a choice's own time its report may still come.
-    pub report_within: Span,
+    pub report_grace: Span,
     /// How long a request is kept for its next call once a try of it has ended.
-    pub again_within: Span,
+    pub retry_window: Span,
     /// How long a write that may have run may run again, by its mark.
-    pub window: Span,
+    pub idempotency_window: Span,
     /// The longest that a client may wait for one request, its own retries counted.
-    pub longest: Span,
+    pub max_request_time: Span,
 }
 
-/// The guards that an experiment may take out, to see that its audit notices. All stand in service.
+/// The checks that an experiment may take out, to see that its audit notices. All stand in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Guards {
+pub struct EnabledChecks {
     /// A mark is asked for once at a time.
     pub idempotency_keys: bool,
     /// A request is the same one over several calls.
     pub correlation_ids: bool,
     /// What is told between choice and use takes back what has not left.
-    pub withdraw: bool,
+    pub withdrawal: bool,
     /// A choice ends once nothing is reported in its time.
     pub leases: bool,
 }
 
-impl Default for Guards {
+impl Default for EnabledChecks {
     fn default() -> Self {
-        Self { idempotency_keys: true, correlation_ids: true, withdraw: true, leases: true }
+        Self { idempotency_keys: true, correlation_ids: true, withdrawal: true, leases: true }
     }
 }
 
@@ -60,22 +60,22 @@
 pub struct Counters {
     pub calls: u64,
     pub decisions: u64,
-    pub reported: u64,
+    pub reports: u64,
     /// Ended by the proxy before it had its choice, and after it.
-    pub left_before: u64,
-    pub left_after: u64,
-    pub never_reported: u64,
+    pub abandoned_before_decision: u64,
+    pub abandoned_after_decision: u64,
+    pub unreported: u64,
     /// Reports of no choice that is out: late, given twice, or for another request.
-    pub strange_reports: u64,
-    pub overtaken: u64,
+    pub unmatched_reports: u64,
+    pub superseded: u64,
     pub used_late: u64,
     /// Choices taken back before they left, and those that were out when a change made them stale.
     pub withdrawn: u64,
     pub stale: u64,
     /// Calls that waited for the end of another with their mark, and that were told one known already.
-    pub waited: u64,
-    pub known: u64,
-    pub turned_away: u64,
+    pub waited_for_key: u64,
+    pub replayed: u64,
+    pub rejected: u64,
 }
 
 /// A choice that is out.
@@ -141,8 +141,8 @@
 /// Requests in hand, tickets lately over, and marks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ExternalRequestTable {
-    bounds: Bounds,
-    guards: Guards,
+    limits: Limits,
+    checks: EnabledChecks,
     started: Moment,
     serial: u64,
     requests: BTreeMap<RequestNumber, Request>,
@@ -153,7 +153,7 @@
     waiting: BTreeMap<CallId, (RequestNumber, Moment)>,
     idempotency_keys: IdempotencyKeys,
     timers: Timers<Timer>,
-    pub figures: Counters,
+    pub counters: Counters,
 }
 
 /// A link that lapsed between two tries was good when the request began; one that never was is somebody else's.
@@ -162,10 +162,10 @@
 }
 
 impl ExternalRequestTable {
-    pub fn new(bounds: Bounds, guards: Guards, now: Moment) -> Self {
+    pub fn new(limits: Limits, checks: EnabledChecks, now: Moment) -> Self {
         Self {
-            bounds,
-            guards,
+            limits,
+            checks,
             started: now,
             serial: 0,
             requests: BTreeMap::new(),
@@ -175,12 +175,12 @@
             waiting: BTreeMap::new(),
             idempotency_keys: IdempotencyKeys::default(),
             timers: Timers::default(),
-            figures: Counters::default(),
+            counters: Counters::default(),
         }
     }
 
     /// Requests in hand.
-    pub fn open(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
@@ -188,17 +188,23 @@
         &self.idempotency_keys
     }
 
-    /// When [`tick`](Self::tick) is to be called next.
-    pub fn next(&self) -> Option<Moment> {
+    /// When [`timer_fired`](Self::timer_fired) is to be called next.
+    pub fn next_timer(&self) -> Option<Moment> {
         self.timers.next().into_iter().chain(self.idempotency_keys.next()).min()
     }
 
     /// A proxy asks for a choice.
-    pub fn call(&mut self, now: Moment, host: &mut impl TableHost, stream: CallId, call: ExternalRequest) {
-        self.figures.calls += 1;
+    pub fn call_received(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        stream: CallId,
+        call: ExternalRequest,
+    ) {
+        self.counters.calls += 1;
         self.idempotency_keys.sweep(now);
         let known =
-            self.correlation_ids.get(&call.correlation_id).copied().filter(|_| self.guards.correlation_ids);
+            self.correlation_ids.get(&call.correlation_id).copied().filter(|_| self.checks.correlation_ids);
         if let Some(serial) = known {
             return self.again(now, host, stream, call, serial);
         }
@@ -206,33 +212,35 @@
             .over
             .get(&call.correlation_id)
             .copied()
-            .filter(|over| self.guards.correlation_ids && over.until > now);
+            .filter(|over| self.checks.correlation_ids && over.until > now);
         if let Some(FinishedRequest { say, .. }) = over {
-            self.figures.turned_away += 1;
+            self.counters.rejected += 1;
             // What a write came to is for those whose link holds.
-            return host
-                .say(stream, if stranger(&call) { CallReply::Failed(RefusalReason::Ticket) } else { say });
+            return host.reply(
+                stream,
+                if stranger(&call) { CallReply::Failed(RefusalReason::CorrelationIdInUse) } else { say },
+            );
         }
-        if self.requests.len() >= self.bounds.requests || self.over.len() >= self.bounds.over {
+        if self.requests.len() >= self.limits.max_requests || self.over.len() >= self.limits.max_finished {
             return self.turn_away(host, stream);
         }
         let mut first_ran = None;
         // Whose link is refused hears nothing of another's write, and takes no mark in hand.
         let idempotency_key = call
             .idempotency_key
-            .filter(|_| self.guards.idempotency_keys && call.authorization == Authorization::Granted);
+            .filter(|_| self.checks.idempotency_keys && call.authorization == Authorization::Granted);
         if let Some(idempotency_key) = idempotency_key {
             match self.idempotency_keys.state(idempotency_key) {
                 Some(State::InHand(first)) => return self.wait_for(now, host, stream, call, first),
                 Some(State::Done(known)) => {
-                    self.figures.known += 1;
-                    return host.say(stream, CallReply::Replayed(known));
+                    self.counters.replayed += 1;
+                    return host.reply(stream, CallReply::Replayed(known));
                 }
                 Some(State::Ran(at, cache)) => first_ran = Some((at, cache)),
                 // A router that has just started knows no marks. A further try may be one that ran before,
                 // nobody knows when: the routing engine is told of it as long past, and does not have it run again.
                 None if call.client_retry || call.attempt > 1 => {
-                    let unsure = self.started + self.bounds.window + self.bounds.longest;
+                    let unsure = self.started + self.limits.idempotency_window + self.limits.max_request_time;
                     first_ran = Some((Moment::default(), EndpointId(0))).filter(|_| now < unsure);
                 }
                 None => {}
@@ -240,7 +248,7 @@
             if !self.idempotency_keys.take(
                 idempotency_key,
                 RequestNumber(self.serial + 1),
-                self.bounds.idempotency_keys,
+                self.limits.max_idempotency_keys,
             ) {
                 return self.turn_away(host, stream);
             }
@@ -250,7 +258,7 @@
         let request = Request {
             call,
             attempt: call.attempt,
-            end: now + call.left.min(self.bounds.longest),
+            end: now + call.time_remaining.min(self.limits.max_request_time),
             stand: Progress::Asking(stream),
             first_ran,
             given_up: None,
@@ -260,13 +268,13 @@
         self.requests.insert(serial, request);
         self.correlation_ids.insert(call.correlation_id, serial);
         self.streams.insert(stream, serial);
-        host.begin(serial, &call, first_ran);
+        host.request_started(serial, &call, first_ran);
     }
 
     fn turn_away(&mut self, host: &mut impl TableHost, stream: CallId) {
-        self.figures.turned_away += 1;
+        self.counters.rejected += 1;
         let retry_after = host.retry_after();
-        host.say(stream, CallReply::Rejected(retry_after, RefusalReason::NoRoom));
+        host.reply(stream, CallReply::Rejected(retry_after, RefusalReason::NoCapacity));
     }
 
     /// A write that is in hand by its mark is asked for again: its end is this call's, too.
@@ -278,14 +286,14 @@
         call: ExternalRequest,
         first: RequestNumber,
     ) {
-        let room = self.bounds.waiters;
+        let room = self.limits.max_waiters;
         let Some(request) = self.requests.get_mut(&first).filter(|request| request.waiters.len() < room)
         else {
             return self.turn_away(host, stream);
         };
-        self.figures.waited += 1;
+        self.counters.waited_for_key += 1;
         request.waiters.push(stream);
-        let until = now + call.left.min(self.bounds.longest);
+        let until = now + call.time_remaining.min(self.limits.max_request_time);
         self.waiting.insert(stream, (first, until));
         self.timers.set(until, Timer::Waiter(stream));
     }
@@ -302,8 +310,8 @@
         let Some(request) = self.requests.get_mut(&serial) else { return };
         let what = |call: &ExternalRequest| (call.class, call.object, call.part, call.idempotency_key);
         if call.attempt <= request.attempt || what(&call) != what(&request.call) || stranger(&call) {
-            self.figures.turned_away += 1;
-            return host.say(stream, CallReply::Failed(RefusalReason::Ticket));
+            self.counters.rejected += 1;
+            return host.reply(stream, CallReply::Failed(RefusalReason::CorrelationIdInUse));
         }
         request.attempt = call.attempt;
         let stand = request.stand;
@@ -316,10 +324,10 @@
             Progress::Out(Lease { stream: old, decision, .. }) => {
                 request.stand = Progress::Asking(stream);
                 self.overtake(host, old);
-                if !self.refused(now, host, serial, stream, decision.nth) {
-                    host.ended(
+                if !self.refused(now, host, serial, stream, decision.attempt_index) {
+                    host.attempt_ended(
                         serial,
-                        decision.nth,
+                        decision.attempt_index,
                         Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
                         false,
                     );
@@ -327,10 +335,10 @@
             }
             Progress::Lapsed(Lease { decision, .. }, _) => {
                 request.stand = Progress::Asking(stream);
-                if !self.refused(now, host, serial, stream, decision.nth) {
-                    host.ended(
+                if !self.refused(now, host, serial, stream, decision.attempt_index) {
+                    host.attempt_ended(
                         serial,
-                        decision.nth,
+                        decision.attempt_index,
                         Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
                         false,
                     );
@@ -358,19 +366,19 @@
         nth: u16,
     ) -> bool {
         let Some(say) = self.requests.get(&serial).and_then(|request| request.given_up) else { return false };
-        host.ended(serial, nth, Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown), true);
+        host.attempt_ended(serial, nth, Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown), true);
         self.finish(now, host, serial, Some(stream), say, None);
         true
     }
 
     fn overtake(&mut self, host: &mut impl TableHost, old: CallId) {
-        self.figures.overtaken += 1;
+        self.counters.superseded += 1;
         self.streams.remove(&old);
-        host.say(old, CallReply::Failed(RefusalReason::Overtaken));
+        host.reply(old, CallReply::Failed(RefusalReason::Superseded));
     }
 
     /// The routing engine ordered a attempt.
-    pub fn ordered(
+    pub fn decision_made(
         &mut self,
         now: Moment,
         host: &mut impl TableHost,
@@ -383,14 +391,14 @@
             Progress::Deciding(stream) => {
                 self.streams.remove(&stream);
                 self.park(now, serial, decision);
-                host.say(stream, CallReply::AwaitRetry);
+                host.reply(stream, CallReply::AwaitRetry);
             }
             Progress::Unasked(until) => self.park_until(serial, decision, until),
             // One is out already: a second is not carried.
             Progress::Out(_) | Progress::Parked(..) | Progress::Lapsed(..) => {
-                host.ended(
+                host.attempt_ended(
                     serial,
-                    decision.nth,
+                    decision.attempt_index,
                     Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown),
                     false,
                 );
@@ -399,7 +407,7 @@
     }
 
     fn park(&mut self, now: Moment, serial: RequestNumber, decision: RoutingDecision) {
-        self.park_until(serial, decision, now + self.bounds.again_within);
+        self.park_until(serial, decision, now + self.limits.retry_window);
     }
 
     fn park_until(&mut self, serial: RequestNumber, decision: RoutingDecision, until: Moment) {
@@ -417,19 +425,19 @@
         decision: RoutingDecision,
     ) {
         let Some(request) = self.requests.get_mut(&serial) else { return };
-        self.figures.decisions += 1;
-        let left = decision.wait.min(request.end.since(now));
-        let use_within = self.bounds.use_within.min(left);
-        let due = now + use_within + left + self.bounds.report_within;
-        request.first_ran = request.first_ran.or(Some((now, decision.cache)));
+        self.counters.decisions += 1;
+        let left = decision.timeout.min(request.end.since(now));
+        let use_within = self.limits.use_within.min(left);
+        let due = now + use_within + left + self.limits.report_grace;
+        request.first_ran = request.first_ran.or(Some((now, decision.endpoint)));
         request.stand = Progress::Out(Lease { decision, given: now, due, stream, sent: false });
         self.set_timer(serial, Some(due));
-        host.say(stream, CallReply::Decision { decision, use_within, left });
+        host.reply(stream, CallReply::Decision { decision, use_within, time_remaining: left });
     }
 
     /// What was said to that call is about to leave for the proxy; false where it was taken back meanwhile,
     /// and the call has to wait for the next word.
-    pub fn leaves(&mut self, stream: CallId, say: &CallReply) -> bool {
+    pub fn confirm_send(&mut self, stream: CallId, say: &CallReply) -> bool {
         let CallReply::Decision { decision, .. } = say else { return true };
         let request = self.streams.get(&stream).and_then(|serial| self.requests.get_mut(serial));
         match request.map(|request| &mut request.stand) {
@@ -442,7 +450,7 @@
     }
 
     /// Whether that call's choice is out for a request with this ticket.
-    pub fn is_out(&self, stream: CallId, correlation_id: u64) -> bool {
+    pub fn awaits_report(&self, stream: CallId, correlation_id: u64) -> bool {
         let request = self.streams.get(&stream).and_then(|serial| self.requests.get(serial));
         request.is_some_and(|request| {
             request.call.correlation_id == correlation_id && matches!(request.stand, Progress::Out(_))
@@ -450,34 +458,34 @@
     }
 
     /// Whether a request with this ticket is in hand.
-    pub fn has(&self, correlation_id: u64) -> bool {
+    pub fn contains(&self, correlation_id: u64) -> bool {
         self.correlation_ids.contains_key(&correlation_id)
     }
 
     /// The routing engine stops waiting for a attempt. One that a proxy has can't be called back; its end is told
     /// when it is reported, or in its time.
-    pub fn cancelled(&mut self, host: &mut impl TableHost, serial: RequestNumber, nth: u16) {
+    pub fn attempt_cancelled(&mut self, host: &mut impl TableHost, serial: RequestNumber, nth: u16) {
         let Some(request) = self.requests.get(&serial) else { return };
         match request.stand {
-            Progress::Out(lease) if lease.decision.nth == nth && !lease.sent => {
+            Progress::Out(lease) if lease.decision.attempt_index == nth && !lease.sent => {
                 self.withdraw(host, serial, lease)
             }
-            Progress::Parked(decision, until) if decision.nth == nth => {
+            Progress::Parked(decision, until) if decision.attempt_index == nth => {
                 if let Some(request) = self.requests.get_mut(&serial) {
                     request.stand = Progress::Unasked(until);
                 }
-                host.ended(
+                host.attempt_ended(
                     serial,
                     nth,
                     Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
                     false,
                 );
             }
-            Progress::Lapsed(lease, until) if lease.decision.nth == nth => {
+            Progress::Lapsed(lease, until) if lease.decision.attempt_index == nth => {
                 if let Some(request) = self.requests.get_mut(&serial) {
                     request.stand = Progress::Unasked(until);
                 }
-                host.ended(
+                host.attempt_ended(
                     serial,
                     nth,
                     Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
@@ -490,42 +498,54 @@
 
     /// A choice that has not left is taken back: the call waits for the next.
     fn withdraw(&mut self, host: &mut impl TableHost, serial: RequestNumber, lease: Lease) {
-        self.figures.withdrawn += 1;
+        self.counters.withdrawn += 1;
         self.set_timer(serial, None);
         let Some(request) = self.requests.get_mut(&serial) else { return };
         request.stand = Progress::Asking(lease.stream);
         // It never left: it can't have run.
         request.first_ran =
-            request.first_ran.filter(|first_ran| *first_ran != (lease.given, lease.decision.cache));
-        host.ended(
+            request.first_ran.filter(|first_ran| *first_ran != (lease.given, lease.decision.endpoint));
+        host.attempt_ended(
             serial,
-            lease.decision.nth,
+            lease.decision.attempt_index,
             Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown),
             false,
         );
     }
 
-    /// The routing engine has given the request up.
-    pub fn refused_by_module(
+    /// The routing engine rejects the request: a retry is harmless, best after `retry_after`.
+    pub fn request_rejected(
         &mut self,
         now: Moment,
         host: &mut impl TableHost,
         serial: RequestNumber,
-        retry_after: Option<Option<Span>>,
+        retry_after: Option<Span>,
+    ) {
+        let reply = CallReply::Rejected(retry_after, RefusalReason::GaveUp);
+        self.request_given_up(now, host, serial, reply);
+    }
+
+    /// The routing engine fails the request.
+    pub fn request_failed(&mut self, now: Moment, host: &mut impl TableHost, serial: RequestNumber) {
+        self.request_given_up(now, host, serial, CallReply::Failed(RefusalReason::GaveUp));
+    }
+
+    fn request_given_up(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        serial: RequestNumber,
+        say: CallReply,
     ) {
-        let say = match retry_after {
-            Some(retry_after) => CallReply::Rejected(retry_after, RefusalReason::GivenUp),
-            None => CallReply::Failed(RefusalReason::GivenUp),
-        };
         let Some(request) = self.requests.get_mut(&serial) else { return };
         match request.stand {
             Progress::Asking(stream) | Progress::Deciding(stream) => {
                 self.finish(now, host, serial, Some(stream), say, None);
             }
             Progress::Parked(decision, _) => {
-                host.ended(
+                host.attempt_ended(
                     serial,
-                    decision.nth,
+                    decision.attempt_index,
                     Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown),
                     true,
                 );
@@ -534,11 +554,12 @@
             Progress::Unasked(_) => self.finish(now, host, serial, None, say, None),
             Progress::Out(lease) if !lease.sent => {
                 // It lay unsent: it never ran.
-                request.first_ran =
-                    request.first_ran.filter(|first_ran| *first_ran != (lease.given, lease.decision.cache));
-                host.ended(
+                request.first_ran = request
+                    .first_ran
+                    .filter(|first_ran| *first_ran != (lease.given, lease.decision.endpoint));
+                host.attempt_ended(
                     serial,
-                    lease.decision.nth,
+                    lease.decision.attempt_index,
                     Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown),
                     true,
                 );
@@ -550,7 +571,7 @@
     }
 
     /// A proxy reports on a call how its attempt ended; `correlation_id` where it names the request again.
-    pub fn reported(
+    pub fn report_received(
         &mut self,
         now: Moment,
         host: &mut impl TableHost,
@@ -570,13 +591,14 @@
             _ => None,
         });
         let Some((serial, request, lease)) = out else {
-            self.figures.strange_reports += 1;
-            return host.say(stream, CallReply::Failed(RefusalReason::NoChoice));
+            self.counters.unmatched_reports += 1;
+            return host.reply(stream, CallReply::Failed(RefusalReason::UnknownDecision));
         };
-        let used_late = report.used_after.is_some_and(|after| after > self.bounds.use_within);
-        self.figures.used_late += u64::from(used_late);
-        self.figures.reported += 1;
-        let Report { verdict, note, known, .. } = report;
+        let used_late = report.used_after.is_some_and(|after| after > self.limits.use_within);
+        self.counters.used_late += u64::from(used_late);
+        self.counters.reports += 1;
+        let Report { outcome, stored_result: known, .. } = report;
+        let verdict = outcome.status;
         let void = matches!(
             verdict,
             AttemptStatus::Overloaded
@@ -587,25 +609,25 @@
         if void {
             // What the first attempt may have done is not undone by a later one's word.
             request.first_ran =
-                request.first_ran.filter(|first_ran| *first_ran != (lease.given, lease.decision.cache));
+                request.first_ran.filter(|first_ran| *first_ran != (lease.given, lease.decision.endpoint));
         }
         let given_up = request.given_up;
         if let Some(say) = given_up {
-            host.ended(serial, lease.decision.nth, Outcome::new(verdict, note), true);
+            host.attempt_ended(serial, lease.decision.attempt_index, outcome, true);
             let done = (verdict == AttemptStatus::Served).then_some(known);
             return self.finish(now, host, serial, Some(stream), say, done);
         }
         if verdict == AttemptStatus::Served {
-            host.ended(serial, lease.decision.nth, Outcome::new(verdict, note), true);
+            host.attempt_ended(serial, lease.decision.attempt_index, outcome, true);
             return self.finish(now, host, serial, Some(stream), CallReply::PassThrough, Some(known));
         }
         request.stand = Progress::Deciding(stream);
         self.set_timer(serial, None);
-        host.ended(serial, lease.decision.nth, Outcome::new(verdict, note), false);
+        host.attempt_ended(serial, lease.decision.attempt_index, outcome, false);
     }
 
     /// A call ended, by its proxy or with its connection.
-    pub fn ended(&mut self, now: Moment, stream: CallId) {
+    pub fn call_ended(&mut self, now: Moment, stream: CallId) {
         if let Some((first, until)) = self.waiting.remove(&stream) {
             self.timers.unset(until, Timer::Waiter(stream));
             if let Some(request) = self.requests.get_mut(&first) {
@@ -614,20 +636,20 @@
             return;
         }
         let Some(serial) = self.streams.remove(&stream) else { return };
-        let until = now + self.bounds.again_within;
+        let until = now + self.limits.retry_window;
         let Some(request) = self.requests.get_mut(&serial) else { return };
         match request.stand {
             Progress::Asking(_) | Progress::Deciding(_) => {
-                self.figures.left_before += 1;
+                self.counters.abandoned_before_decision += 1;
                 request.stand = Progress::Unasked(until);
             }
             Progress::Out(lease) => {
-                self.figures.left_after += 1;
+                self.counters.abandoned_after_decision += 1;
                 if !lease.sent {
                     // It never left: it can't have run.
                     request.first_ran = request
                         .first_ran
-                        .filter(|first_ran| *first_ran != (lease.given, lease.decision.cache));
+                        .filter(|first_ran| *first_ran != (lease.given, lease.decision.endpoint));
                 }
                 request.stand = Progress::Lapsed(lease, until);
             }
@@ -638,7 +660,7 @@
 
     /// The list of caches or a purge was told. `stale` says whether a choice for that call would now be
     /// another.
-    pub fn told(
+    pub fn withdraw_stale_decisions(
         &mut self,
         host: &mut impl TableHost,
         stale: impl Fn(&ExternalRequest, &RoutingDecision) -> bool,
@@ -648,19 +670,19 @@
             let Some(request) = self.requests.get(&serial) else { continue };
             match request.stand {
                 Progress::Out(lease) if stale(&request.call, &lease.decision) => match lease.sent {
-                    false if self.guards.withdraw => self.withdraw(host, serial, lease),
-                    _ => self.figures.stale += 1,
+                    false if self.checks.withdrawal => self.withdraw(host, serial, lease),
+                    _ => self.counters.stale += 1,
                 },
                 Progress::Parked(decision, until)
-                    if self.guards.withdraw && stale(&request.call, &decision) =>
+                    if self.checks.withdrawal && stale(&request.call, &decision) =>
                 {
-                    self.figures.withdrawn += 1;
+                    self.counters.withdrawn += 1;
                     if let Some(request) = self.requests.get_mut(&serial) {
                         request.stand = Progress::Unasked(until);
                     }
-                    host.ended(
+                    host.attempt_ended(
                         serial,
-                        decision.nth,
+                        decision.attempt_index,
                         Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown),
                         false,
                     );
@@ -670,8 +692,8 @@
         }
     }
 
-    /// The time asked for by [`next`](Self::next) has come.
-    pub fn tick(&mut self, now: Moment, host: &mut impl TableHost) {
+    /// The time asked for by [`next_timer`](Self::next_timer) has come.
+    pub fn timer_fired(&mut self, now: Moment, host: &mut impl TableHost) {
         self.idempotency_keys.sweep(now);
         while let Some((at, timer)) = self.timers.take(now) {
             match timer {
@@ -686,7 +708,7 @@
                         request.waiters.retain(|waiter| *waiter != stream);
                     }
                     let retry_after = host.retry_after();
-                    host.say(stream, CallReply::Rejected(retry_after, RefusalReason::Mark));
+                    host.reply(stream, CallReply::Rejected(retry_after, RefusalReason::IdempotencyKeyInUse));
                 }
                 Timer::Request(serial) => self.request_due(now, host, serial, at),
             }
@@ -701,22 +723,37 @@
         let untold = OutcomeDetail::Unknown;
         match request.stand {
             Progress::Out(lease) => {
-                if !self.guards.leases {
+                if !self.checks.leases {
                     return;
                 }
-                self.figures.never_reported += 1;
+                self.counters.unreported += 1;
                 // Nobody knows whether it ran, nor whose fault it is: a proxy that says nothing blames no
                 // cache.
-                host.ended(serial, lease.decision.nth, Outcome::new(AttemptStatus::Cancelled, untold), true);
-                let say = request.given_up.unwrap_or(CallReply::Failed(RefusalReason::Unreported));
+                host.attempt_ended(
+                    serial,
+                    lease.decision.attempt_index,
+                    Outcome::new(AttemptStatus::Cancelled, untold),
+                    true,
+                );
+                let say = request.given_up.unwrap_or(CallReply::Failed(RefusalReason::NotReported));
                 self.finish(now, host, serial, Some(lease.stream), say, None);
             }
             Progress::Parked(decision, _) => {
-                host.ended(serial, decision.nth, Outcome::new(AttemptStatus::Superseded, untold), true);
+                host.attempt_ended(
+                    serial,
+                    decision.attempt_index,
+                    Outcome::new(AttemptStatus::Superseded, untold),
+                    true,
+                );
                 self.leave(now, host, serial);
             }
             Progress::Lapsed(lease, _) => {
-                host.ended(serial, lease.decision.nth, Outcome::new(AttemptStatus::Cancelled, untold), true);
+                host.attempt_ended(
+                    serial,
+                    lease.decision.attempt_index,
+                    Outcome::new(AttemptStatus::Cancelled, untold),
+                    true,
+                );
                 self.leave(now, host, serial);
             }
             Progress::Unasked(_) => self.leave(now, host, serial),
@@ -726,29 +763,29 @@
 
     /// No further call came: whoever asked has left, with whatever answer the proxy gave.
     fn leave(&mut self, now: Moment, host: &mut impl TableHost, serial: RequestNumber) {
-        host.left(serial);
-        self.finish(now, host, serial, None, CallReply::Failed(RefusalReason::Ticket), None);
+        host.request_abandoned(serial);
+        self.finish(now, host, serial, None, CallReply::Failed(RefusalReason::CorrelationIdInUse), None);
     }
 
     /// The router ends: every call gets its final answer now.
-    pub fn abandon_all(&mut self, now: Moment, host: &mut impl TableHost) {
+    pub fn shut_down(&mut self, now: Moment, host: &mut impl TableHost) {
         while let Some((serial, request)) = self.requests.first_key_value() {
             let (serial, stand) = (*serial, request.stand);
             let stream = match stand {
                 Progress::Asking(stream) | Progress::Deciding(stream) => Some(stream),
                 Progress::Out(Lease { decision, stream, .. }) => {
-                    host.ended(
+                    host.attempt_ended(
                         serial,
-                        decision.nth,
+                        decision.attempt_index,
                         Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
                         true,
                     );
                     Some(stream)
                 }
                 Progress::Lapsed(Lease { decision, .. }, _) | Progress::Parked(decision, _) => {
-                    host.ended(
+                    host.attempt_ended(
                         serial,
-                        decision.nth,
+                        decision.attempt_index,
                         Outcome::new(AttemptStatus::Cancelled, OutcomeDetail::Unknown),
                         true,
                     );
@@ -756,8 +793,8 @@
                 }
                 Progress::Unasked(_) => None,
             };
-            host.left(serial);
-            self.finish(now, host, serial, stream, CallReply::Failed(RefusalReason::Stopping), None);
+            host.request_abandoned(serial);
+            self.finish(now, host, serial, stream, CallReply::Failed(RefusalReason::ShuttingDown), None);
         }
     }
 
@@ -781,16 +818,16 @@
         }
         if let Some(stream) = stream {
             self.streams.remove(&stream);
-            host.say(stream, say);
+            host.reply(stream, say);
         }
         // A ticket is answered once; who asks with it again is told the same, for as long as a client would
         // wait.
-        let until = request.end.max(now) + self.bounds.again_within;
+        let until = request.end.max(now) + self.limits.retry_window;
         let later = match (say, done) {
             (CallReply::PassThrough, Some(known)) if request.call.idempotency_key.is_some() => {
                 CallReply::Replayed(known)
             }
-            (CallReply::PassThrough, _) => CallReply::Failed(RefusalReason::Ticket),
+            (CallReply::PassThrough, _) => CallReply::Failed(RefusalReason::CorrelationIdInUse),
             (say, _) => say,
         };
         self.over.insert(request.call.correlation_id, FinishedRequest { say: later, until });
@@ -798,7 +835,7 @@
         if let Some(idempotency_key) = request
             .call
             .idempotency_key
-            .filter(|_| self.guards.idempotency_keys && request.call.authorization == Authorization::Granted)
+            .filter(|_| self.checks.idempotency_keys && request.call.authorization == Authorization::Granted)
         {
             let state = match (done, request.first_ran) {
                 (Some(known), _) => Some(State::Done(known)),
@@ -806,7 +843,7 @@
                 (None, None) => None,
             };
             // Not again after its window either: so it is known for as long as a client may still try.
-            let kept = now + self.bounds.window + self.bounds.longest;
+            let kept = now + self.limits.idempotency_window + self.limits.max_request_time;
             self.idempotency_keys.settle(idempotency_key, state.map(|state| (state, kept)));
         }
         for waiter in request.waiters {
@@ -815,13 +852,13 @@
             let say = match done {
                 Some(known) => CallReply::Replayed(known),
                 None => match say {
-                    CallReply::Rejected(..) | CallReply::Failed(RefusalReason::GivenUp) => say,
-                    _ => CallReply::Failed(RefusalReason::Mark),
+                    CallReply::Rejected(..) | CallReply::Failed(RefusalReason::GaveUp) => say,
+                    _ => CallReply::Failed(RefusalReason::IdempotencyKeyInUse),
                 },
             };
-            host.say(waiter, say);
+            host.reply(waiter, say);
         }
-        host.close(serial);
+        host.request_finished(serial);
     }
 
     fn set_timer(&mut self, serial: RequestNumber, at: Option<Moment>) {
--- a/crates/external-requests/tests/model.rs
+++ b/crates/external-requests/tests/model.rs
@@ -35,28 +35,33 @@
 }
 
 impl TableHost for Rest {
-    fn begin(&mut self, serial: RequestNumber, call: &ExternalRequest, _: Option<(Moment, EndpointId)>) {
+    fn request_started(
+        &mut self,
+        serial: RequestNumber,
+        call: &ExternalRequest,
+        _: Option<(Moment, EndpointId)>,
+    ) {
         self.out.insert(serial, None);
         self.attempts.insert(serial, 0);
         self.asked.insert(serial, true);
         self.idempotency_keys.extend(call.idempotency_key.map(|idempotency_key| (serial, idempotency_key)));
     }
-    fn ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
+    fn attempt_ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
         let open = self.out.get_mut(&serial).and_then(Option::take);
         self.wrong |= open != Some(nth);
         self.done += u8::from(end.status == AttemptStatus::Served);
         self.asked.insert(serial, !last);
     }
-    fn left(&mut self, serial: RequestNumber) {
+    fn request_abandoned(&mut self, serial: RequestNumber) {
         self.asked.insert(serial, false);
     }
-    fn close(&mut self, serial: RequestNumber) {
+    fn request_finished(&mut self, serial: RequestNumber) {
         // The router reports what was ordered and never given; the table must leave nothing else open.
         self.wrong |= self.out.remove(&serial).is_none();
         self.asked.remove(&serial);
         self.idempotency_keys.remove(&serial);
     }
-    fn say(&mut self, stream: CallId, say: CallReply) {
+    fn reply(&mut self, stream: CallId, say: CallReply) {
         self.known_before_done |= matches!(say, CallReply::Replayed(_)) && self.done == 0;
         self.unsent.insert(stream, say);
     }
@@ -91,7 +96,7 @@
 /// Two proxies; `same` has both of them carry one request, else each its own with the same mark.
 struct Two {
     same: bool,
-    guards: Guards,
+    checks: EnabledChecks,
 }
 
 const MOST: u16 = 3;
@@ -102,18 +107,18 @@
 
     fn init_states(&self) -> Vec<State> {
         let ms = Span::millis;
-        let bounds = Bounds {
-            requests: 2,
-            idempotency_keys: 2,
-            over: 4,
-            waiters: 1,
+        let limits = Limits {
+            max_requests: 2,
+            max_idempotency_keys: 2,
+            max_finished: 4,
+            max_waiters: 1,
             use_within: ms(1),
-            report_within: ms(1),
-            again_within: ms(2),
-            window: ms(20),
-            longest: ms(9),
+            report_grace: ms(1),
+            retry_window: ms(2),
+            idempotency_window: ms(20),
+            max_request_time: ms(9),
         };
-        let calls = ExternalRequestTable::new(bounds, self.guards, Moment::default());
+        let calls = ExternalRequestTable::new(limits, self.checks, Moment::default());
         let proxies = [(0, None); 2];
         vec![State { calls, rest: Rest::default(), now: 100_000, streams: 0, proxies, changes: 0 }]
     }
@@ -146,7 +151,7 @@
         if state.changes < 1 {
             actions.push(Event::Change);
         }
-        if state.calls.next().is_some() {
+        if state.calls.next_timer().is_some() {
             actions.push(Event::Tick);
         }
     }
@@ -174,14 +179,14 @@
                     group,
                     idempotency_key,
                     client_retry,
-                    left,
+                    time_remaining: left,
                     authorization: Authorization::Granted,
                 };
-                calls.call(at, rest, stream, call);
+                calls.call_received(at, rest, stream, call);
             }
             Event::Send(stream) => {
                 let say = rest.unsent.remove(&stream)?;
-                if calls.leaves(stream, &say) {
+                if calls.confirm_send(stream, &say) {
                     let kind = match say {
                         CallReply::Decision { .. } => Kind::RoutingDecision,
                         CallReply::AwaitRetry => Kind::Again,
@@ -195,35 +200,39 @@
                 rest.attempts.insert(serial, nth + 1);
                 rest.out.insert(serial, Some(nth));
                 let decision = RoutingDecision {
-                    nth,
-                    cache: EndpointId(nth.into()),
+                    attempt_index: nth,
+                    endpoint: EndpointId(nth.into()),
                     directives: None,
-                    wait: Span::millis(3),
+                    timeout: Span::millis(3),
                 };
-                calls.ordered(at, rest, serial, decision);
+                calls.decision_made(at, rest, serial, decision);
             }
             Event::Refuse(serial) => {
                 rest.asked.insert(serial, false);
-                calls.refused_by_module(at, rest, serial, Some(None));
+                calls.request_rejected(at, rest, serial, None);
             }
             Event::Report(nth, verdict) => {
                 let known = StoredResult { status: 200, version: 0 };
-                let report = Report { verdict, note: OutcomeDetail::Unknown, known, used_after: None };
-                calls.reported(at, rest, proxies[nth].1?, None, report);
+                let report = Report {
+                    outcome: Outcome::new(verdict, OutcomeDetail::Unknown),
+                    stored_result: known,
+                    used_after: None,
+                };
+                calls.report_received(at, rest, proxies[nth].1?, None, report);
             }
             Event::End(nth) => {
                 let stream = proxies[nth].1.take()?;
                 rest.unsent.remove(&stream);
-                calls.ended(at, stream);
+                calls.call_ended(at, stream);
             }
             Event::Change => {
                 *changes += 1;
-                calls.told(rest, |_, decision| decision.cache == EndpointId(0));
+                calls.withdraw_stale_decisions(rest, |_, decision| decision.endpoint == EndpointId(0));
             }
             Event::Tick => {
-                let next = calls.next()?;
+                let next = calls.next_timer()?;
                 *now = (*now).max(next.since(Moment::default()).as_micros().div_ceil(1000));
-                calls.tick(Moment::at_micros(*now * 1000), rest);
+                calls.timer_fired(Moment::at_micros(*now * 1000), rest);
             }
         }
         Some(state)
@@ -251,14 +260,14 @@
             Property::<Self>::always("nothing is left for ever", |_, state| {
                 // Whatever no proxy waits for has a time at which it ends.
                 let waits = state.proxies.iter().any(|proxy| proxy.1.is_some());
-                state.calls.open() == 0 || waits || state.calls.next().is_some()
+                state.calls.in_flight() == 0 || waits || state.calls.next_timer().is_some()
             }),
             Property::<Self>::sometimes("a save is done", |_, state| state.rest.done == 1),
             Property::<Self>::sometimes("a choice is taken back", |_, state| {
-                state.calls.figures.withdrawn > 0
+                state.calls.counters.withdrawn > 0
             }),
             Property::<Self>::sometimes("a try overtakes another", |_, state| {
-                state.calls.figures.overtaken > 0
+                state.calls.counters.superseded > 0
             }),
         ]
     }
@@ -271,8 +280,8 @@
     }
 }
 
-fn check(same: bool, guards: Guards) -> Vec<&'static str> {
-    let checker = Two { same, guards }.checker().threads(4).target_max_depth(12).spawn_bfs().join();
+fn check(same: bool, checks: EnabledChecks) -> Vec<&'static str> {
+    let checker = Two { same, checks }.checker().threads(4).target_max_depth(12).spawn_bfs().join();
     eprintln!("{} states", checker.unique_state_count());
     let mut found: Vec<_> = checker.discoveries().into_keys().collect();
     found.retain(|name| {
@@ -286,16 +295,16 @@
 
 #[test]
 fn two_requests_of_one_mark_keep_the_rules_in_every_order() {
-    assert_eq!(check(false, Guards::default()), [""; 0]);
+    assert_eq!(check(false, EnabledChecks::default()), [""; 0]);
 }
 
 #[test]
 fn one_request_over_two_proxies_keeps_the_rules_in_every_order() {
-    assert_eq!(check(true, Guards::default()), [""; 0]);
+    assert_eq!(check(true, EnabledChecks::default()), [""; 0]);
 }
 
 #[test]
 fn without_the_guard_on_marks_the_checker_finds_a_save_run_twice() {
-    let found = check(false, Guards { idempotency_keys: false, ..Guards::default() });
+    let found = check(false, EnabledChecks { idempotency_keys: false, ..EnabledChecks::default() });
     assert!(found.contains(&"one view of a mark at a time"), "{found:?}");
 }
--- a/crates/external-requests/tests/stories.rs
+++ b/crates/external-requests/tests/stories.rs
@@ -22,19 +22,24 @@
 }
 
 impl TableHost for Fake {
-    fn begin(&mut self, serial: RequestNumber, _: &ExternalRequest, first_ran: Option<(Moment, EndpointId)>) {
+    fn request_started(
+        &mut self,
+        serial: RequestNumber,
+        _: &ExternalRequest,
+        first_ran: Option<(Moment, EndpointId)>,
+    ) {
         self.did.push(Did::Begin(serial, first_ran));
     }
-    fn ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
+    fn attempt_ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
         self.did.push(Did::Ended(serial, nth, end.status, last));
     }
-    fn left(&mut self, serial: RequestNumber) {
+    fn request_abandoned(&mut self, serial: RequestNumber) {
         self.did.push(Did::Left(serial));
     }
-    fn close(&mut self, serial: RequestNumber) {
+    fn request_finished(&mut self, serial: RequestNumber) {
         self.did.push(Did::Close(serial));
     }
-    fn say(&mut self, stream: CallId, say: CallReply) {
+    fn reply(&mut self, stream: CallId, say: CallReply) {
         self.says.entry(stream).or_default().push(say);
     }
     fn retry_after(&mut self) -> Option<Span> {
@@ -48,21 +53,21 @@
     now: u64,
 }
 
-const BOUNDS: Bounds = Bounds {
-    requests: 4,
-    idempotency_keys: 4,
-    over: 16,
-    waiters: 2,
+const BOUNDS: Limits = Limits {
+    max_requests: 4,
+    max_idempotency_keys: 4,
+    max_finished: 16,
+    max_waiters: 2,
     use_within: Span::millis(200),
-    report_within: Span::millis(250),
-    again_within: Span::millis(250),
-    window: Span::millis(3000),
-    longest: Span::millis(60_000),
+    report_grace: Span::millis(250),
+    retry_window: Span::millis(250),
+    idempotency_window: Span::millis(3000),
+    max_request_time: Span::millis(60_000),
 };
 
 fn world() -> World {
     // Well after the start, when every mark in its window would be known.
-    let calls = ExternalRequestTable::new(BOUNDS, Guards::default(), Moment::at_micros(0));
+    let calls = ExternalRequestTable::new(BOUNDS, EnabledChecks::default(), Moment::at_micros(0));
     World { calls, fake: Fake::default(), now: 100_000 }
 }
 
@@ -78,7 +83,7 @@
         group,
         idempotency_key,
         client_retry,
-        left,
+        time_remaining: left,
         authorization: Authorization::Granted,
     }
 }
@@ -89,7 +94,7 @@
 
 fn report(verdict: AttemptStatus) -> Report {
     let known = StoredResult { status: 200, version: 9 };
-    Report { verdict, note: OutcomeDetail::Unknown, known, used_after: None }
+    Report { outcome: Outcome::new(verdict, OutcomeDetail::Unknown), stored_result: known, used_after: None }
 }
 
 impl World {
@@ -97,32 +102,36 @@
         Moment::at_micros(self.now * 1000)
     }
     fn call(&mut self, stream: u64, call: ExternalRequest) {
-        self.calls.call(self.at(), &mut self.fake, CallId(stream), call);
+        self.calls.call_received(self.at(), &mut self.fake, CallId(stream), call);
     }
     fn order(&mut self, serial: u64, nth: u16, cache: u32) {
-        let decision =
-            RoutingDecision { nth, cache: EndpointId(cache), directives: None, wait: Span::millis(900) };
-        self.calls.ordered(self.at(), &mut self.fake, RequestNumber(serial), decision);
+        let decision = RoutingDecision {
+            attempt_index: nth,
+            endpoint: EndpointId(cache),
+            directives: None,
+            timeout: Span::millis(900),
+        };
+        self.calls.decision_made(self.at(), &mut self.fake, RequestNumber(serial), decision);
     }
     fn report(&mut self, stream: u64, verdict: AttemptStatus) {
-        self.calls.reported(self.at(), &mut self.fake, CallId(stream), None, report(verdict));
+        self.calls.report_received(self.at(), &mut self.fake, CallId(stream), None, report(verdict));
     }
     fn end(&mut self, stream: u64) {
-        self.calls.ended(self.at(), CallId(stream));
+        self.calls.call_ended(self.at(), CallId(stream));
     }
     fn refuse(&mut self, serial: u64) {
-        self.calls.refused_by_module(self.at(), &mut self.fake, RequestNumber(serial), Some(None));
+        self.calls.request_rejected(self.at(), &mut self.fake, RequestNumber(serial), None);
     }
     fn authorization(&mut self, millis: u64) {
         self.now += millis;
-        self.calls.tick(self.at(), &mut self.fake);
+        self.calls.timer_fired(self.at(), &mut self.fake);
     }
     fn said(&self, stream: u64) -> CallReply {
         *self.fake.says[&CallId(stream)].last().unwrap()
     }
     fn leaves(&mut self, stream: u64) -> bool {
         let say = self.said(stream);
-        self.calls.leaves(CallId(stream), &say)
+        self.calls.confirm_send(CallId(stream), &say)
     }
     fn ends(&self) -> Vec<(u16, AttemptStatus, bool)> {
         let end = |did: &Did| match did {
@@ -142,14 +151,18 @@
     world.call(1, page(5, 1));
     world.order(1, 0, 2);
     let CallReply::Decision { decision, use_within, .. } = world.said(1) else { panic!() };
-    assert_eq!((decision.cache, use_within), (EndpointId(2), Span::millis(200)));
+    assert_eq!((decision.endpoint, use_within), (EndpointId(2), Span::millis(200)));
     assert!(world.leaves(1));
     world.report(1, AttemptStatus::Served);
     assert_eq!(world.said(1), CallReply::PassThrough);
     assert_eq!(world.ends(), [(0, AttemptStatus::Served, true)]);
-    assert_eq!((world.fake.did.last(), world.calls.open()), (Some(&Did::Close(RequestNumber(1))), 0));
+    assert_eq!((world.fake.did.last(), world.calls.in_flight()), (Some(&Did::Close(RequestNumber(1))), 0));
     world.call(2, page(5, 2));
-    assert_eq!(world.said(2), CallReply::Failed(RefusalReason::Ticket), "a ticket is answered once");
+    assert_eq!(
+        world.said(2),
+        CallReply::Failed(RefusalReason::CorrelationIdInUse),
+        "a ticket is answered once"
+    );
 }
 
 #[test]
@@ -164,15 +177,15 @@
     assert!(world.is_choice(2));
     world.report(2, AttemptStatus::Incomplete);
     world.refuse(1);
-    assert_eq!(world.said(2), CallReply::Rejected(None, RefusalReason::GivenUp));
+    assert_eq!(world.said(2), CallReply::Rejected(None, RefusalReason::GaveUp));
     assert_eq!(world.ends(), [(0, AttemptStatus::Overloaded, false), (1, AttemptStatus::Incomplete, false)]);
     world.call(3, page(5, 3));
     assert_eq!(
         world.said(3),
-        CallReply::Rejected(None, RefusalReason::GivenUp),
+        CallReply::Rejected(None, RefusalReason::GaveUp),
         "the same answer again, and no ninth dispatch"
     );
-    assert_eq!(world.calls.open(), 0);
+    assert_eq!(world.calls.in_flight(), 0);
 }
 
 #[test]
@@ -189,7 +202,7 @@
     world.end(2);
     world.authorization(250);
     assert_eq!(world.ends()[1..], [(0, AttemptStatus::Cancelled, true)]);
-    assert_eq!(world.calls.open(), 0);
+    assert_eq!(world.calls.in_flight(), 0);
 }
 
 #[test]
@@ -212,19 +225,19 @@
     world.call(1, page(5, 1));
     world.order(1, 0, 2);
     world.call(2, page(5, 1));
-    assert_eq!(world.said(2), CallReply::Failed(RefusalReason::Ticket));
+    assert_eq!(world.said(2), CallReply::Failed(RefusalReason::CorrelationIdInUse));
     world.call(3, ExternalRequest { object: 8, ..page(5, 2) });
     assert_eq!(
         world.said(3),
-        CallReply::Failed(RefusalReason::Ticket),
+        CallReply::Failed(RefusalReason::CorrelationIdInUse),
         "another object is not the same view"
     );
     world.call(4, page(5, 2));
-    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::Overtaken));
+    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::Superseded));
     assert_eq!(world.ends(), [(0, AttemptStatus::Cancelled, false)], "one dispatch out at a time");
     world.report(1, AttemptStatus::Served);
-    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::NoChoice), "its report comes too late");
-    assert_eq!(world.calls.figures.strange_reports, 1);
+    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::UnknownDecision), "its report comes too late");
+    assert_eq!(world.calls.counters.unmatched_reports, 1);
 }
 
 #[test]
@@ -233,12 +246,12 @@
     world.call(1, page(5, 1));
     world.order(1, 0, 2);
     world.authorization(1349);
-    assert_eq!(world.calls.open(), 1);
+    assert_eq!(world.calls.in_flight(), 1);
     world.authorization(1);
-    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::Unreported));
+    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::NotReported));
     assert_eq!(world.ends(), [(0, AttemptStatus::Cancelled, true)]);
     world.report(1, AttemptStatus::Served);
-    assert_eq!((world.said(1), world.ends().len()), (CallReply::Failed(RefusalReason::NoChoice), 1));
+    assert_eq!((world.said(1), world.ends().len()), (CallReply::Failed(RefusalReason::UnknownDecision), 1));
 }
 
 #[test]
@@ -248,11 +261,20 @@
         world.call(stream, page(correlation_id, 1));
         world.order(stream, 0, 2);
     }
-    world.calls.reported(world.at(), &mut world.fake, CallId(2), Some(5), report(AttemptStatus::Served));
-    assert_eq!((world.said(2), world.calls.open()), (CallReply::Failed(RefusalReason::NoChoice), 2));
+    world.calls.report_received(
+        world.at(),
+        &mut world.fake,
+        CallId(2),
+        Some(5),
+        report(AttemptStatus::Served),
+    );
+    assert_eq!(
+        (world.said(2), world.calls.in_flight()),
+        (CallReply::Failed(RefusalReason::UnknownDecision), 2)
+    );
     world.report(1, AttemptStatus::Served);
     world.report(1, AttemptStatus::Served);
-    assert_eq!((world.ends().len(), world.calls.figures.strange_reports), (1, 2));
+    assert_eq!((world.ends().len(), world.calls.counters.unmatched_reports), (1, 2));
 }
 
 #[test]
@@ -277,12 +299,15 @@
     let mut world = world();
     world.call(1, save(5, 1, 77));
     world.order(1, 0, 2);
-    world.call(2, ExternalRequest { left: Span::millis(50), ..save(6, 1, 77) });
+    world.call(2, ExternalRequest { time_remaining: Span::millis(50), ..save(6, 1, 77) });
     world.call(3, save(7, 1, 77));
     world.call(4, save(8, 1, 77));
-    assert_eq!(world.said(4), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoRoom));
+    assert_eq!(world.said(4), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity));
     world.authorization(50);
-    assert_eq!(world.said(2), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::Mark));
+    assert_eq!(
+        world.said(2),
+        CallReply::Rejected(Some(Span::millis(100)), RefusalReason::IdempotencyKeyInUse)
+    );
     world.end(3);
     world.report(1, AttemptStatus::Served);
     assert!(!world.fake.says.contains_key(&CallId(3)), "it had left");
@@ -352,9 +377,13 @@
     );
     world.refuse(2);
     world.call(3, ExternalRequest { authorization: Authorization::Denied, ..save(5, 2, 77) });
-    assert_eq!(world.said(3), CallReply::Failed(RefusalReason::Ticket));
+    assert_eq!(world.said(3), CallReply::Failed(RefusalReason::CorrelationIdInUse));
     world.call(4, ExternalRequest { authorization: Authorization::Expired, ..save(5, 3, 77) });
-    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::Overtaken), "it was good when the view began");
+    assert_eq!(
+        world.said(1),
+        CallReply::Failed(RefusalReason::Superseded),
+        "it was good when the view began"
+    );
     world.order(1, 1, 2);
     world.report(4, AttemptStatus::Served);
     world.call(5, save(7, 1, 77));
@@ -362,7 +391,7 @@
     world.call(6, ExternalRequest { authorization: Authorization::Denied, ..save(5, 4, 77) });
     assert_eq!(
         world.said(6),
-        CallReply::Failed(RefusalReason::Ticket),
+        CallReply::Failed(RefusalReason::CorrelationIdInUse),
         "nor does its ticket tell what the write came to"
     );
 }
@@ -376,10 +405,10 @@
     world.order(2, 0, 2);
     assert!(world.leaves(1));
     let say = world.said(2);
-    world.calls.told(&mut world.fake, |_, decision| decision.cache == EndpointId(2));
+    world.calls.withdraw_stale_decisions(&mut world.fake, |_, decision| decision.endpoint == EndpointId(2));
     assert_eq!(world.ends(), [(0, AttemptStatus::Superseded, false)]);
-    assert!(!world.calls.leaves(CallId(2), &say), "it must not leave any more");
-    assert_eq!((world.calls.figures.withdrawn, world.calls.figures.stale), (1, 1));
+    assert!(!world.calls.confirm_send(CallId(2), &say), "it must not leave any more");
+    assert_eq!((world.calls.counters.withdrawn, world.calls.counters.stale), (1, 1));
     world.order(2, 1, 3);
     assert!(world.is_choice(2) && world.leaves(2));
 }
@@ -393,7 +422,7 @@
     world.refuse(1);
     assert!(world.is_choice(1), "nothing can be said before the report");
     world.report(1, AttemptStatus::TimedOut);
-    assert_eq!(world.said(1), CallReply::Rejected(None, RefusalReason::GivenUp));
+    assert_eq!(world.said(1), CallReply::Rejected(None, RefusalReason::GaveUp));
     assert_eq!(world.ends(), [(0, AttemptStatus::TimedOut, true)]);
 }
 
@@ -406,7 +435,7 @@
         world.report(nth, AttemptStatus::Served);
     }
     world.call(5, save(5, 1, 5));
-    assert_eq!(world.said(5), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoRoom));
+    assert_eq!(world.said(5), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity));
     world.call(6, save(6, 1, 1));
     assert!(matches!(world.said(6), CallReply::Replayed(_)));
     world.authorization(63_000);
@@ -415,7 +444,7 @@
         world.call(nth, page(nth, 1));
     }
     world.call(15, page(15, 1));
-    assert_eq!(world.said(15), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoRoom));
+    assert_eq!(world.said(15), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity));
 }
 
 #[test]
@@ -427,9 +456,9 @@
     world.order(2, 0, 2);
     world.order(3, 0, 2);
     world.end(3);
-    world.calls.abandon_all(world.at(), &mut world.fake);
-    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::Stopping));
-    assert_eq!(world.said(2), CallReply::Failed(RefusalReason::Stopping));
-    assert_eq!((world.calls.open(), world.ends().len()), (0, 2));
+    world.calls.shut_down(world.at(), &mut world.fake);
+    assert_eq!(world.said(1), CallReply::Failed(RefusalReason::ShuttingDown));
+    assert_eq!(world.said(2), CallReply::Failed(RefusalReason::ShuttingDown));
+    assert_eq!((world.calls.in_flight(), world.ends().len()), (0, 2));
     assert_eq!(world.fake.says[&CallId(3)].len(), 1, "it had left");
 }
--- a/crates/extproc/src/ask.rs
+++ b/crates/extproc/src/request.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use tindoor::host::{AttemptStatus, Authorization, OutcomeDetail};
+use tindoor::host::{AttemptStatus, Authorization, Outcome, OutcomeDetail};
 use tindoor::time::Span;
 use tindoor_external_requests::{ExternalRequest, Report, StoredResult};
 use xxhash_rust::xxh3::xxh3_64;
@@ -14,15 +14,15 @@
 pub struct RequestClass {
     pub name: String,
     /// A repeat is told by its mark.
-    pub tagged: bool,
+    pub requires_idempotency_key: bool,
     /// How long a client waits that says nothing of it.
-    pub cut_off: Duration,
+    pub default_deadline: Duration,
 }
 
 /// Which headers say what, in lower case.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Names {
+pub struct HeaderNames {
     pub path: String,
     #[serde(alias = "ticket")]
     pub correlation_id: String,
@@ -38,7 +38,7 @@
     pub attempt: String,
 }
 
-impl Default for Names {
+impl Default for HeaderNames {
     fn default() -> Self {
         let name = str::to_string;
         Self {
@@ -57,10 +57,10 @@
 
 /// A header that is missing, twice or can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{header}: {what}")]
-pub struct Fault {
+#[error("{header}: {problem}")]
+pub struct HeaderError {
     pub header: String,
-    pub what: &'static str,
+    pub problem: &'static str,
 }
 
 /// The headers of a request or an answer, by lower-case names.
@@ -75,8 +75,8 @@
     }
 
     /// The value of a header: graphic text of bounded length, given once.
-    fn text(&self, name: &str) -> Result<Option<&'a str>, Fault> {
-        let fault = |what| Fault { header: name.to_string(), what };
+    fn text(&self, name: &str) -> Result<Option<&'a str>, HeaderError> {
+        let fault = |problem| HeaderError { header: name.to_string(), problem };
         let mut values = self.0.iter().filter(|header| header.0 == name).map(|header| header.1);
         let Some(value) = values.next() else { return Ok(None) };
         if values.next().is_some() {
@@ -87,13 +87,13 @@
     }
 
     /// A whole number: digits alone, and none before them that mean nothing.
-    fn number(&self, name: &str, [least, most]: [u64; 2]) -> Result<Option<u64>, Fault> {
+    fn number(&self, name: &str, [least, most]: [u64; 2]) -> Result<Option<u64>, HeaderError> {
         let Some(text) = self.text(name)? else { return Ok(None) };
         let plain = text.bytes().all(|byte| byte.is_ascii_digit()) && (text == "0" || !text.starts_with('0'));
         let number = text.parse::<u64>().ok().filter(|number| plain && (least..=most).contains(number));
         number
             .map(Some)
-            .ok_or_else(|| Fault { header: name.to_string(), what: "no whole number within bounds" })
+            .ok_or_else(|| HeaderError { header: name.to_string(), problem: "no whole number within bounds" })
     }
 }
 
@@ -104,8 +104,12 @@
 }
 
 /// Reads what is asked; names the header at fault.
-pub fn call(headers: &Headers, names: &Names, classes: &[RequestClass]) -> Result<ExternalRequest, Fault> {
-    let fault = |header: &str, what| Fault { header: header.to_string(), what };
+pub fn read_request(
+    headers: &Headers,
+    names: &HeaderNames,
+    classes: &[RequestClass],
+) -> Result<ExternalRequest, HeaderError> {
+    let fault = |header: &str, problem| HeaderError { header: header.to_string(), problem };
     let path = headers.text(&names.path)?.ok_or_else(|| fault(&names.path, "missing"))?;
     let bad_path = |what| fault(&names.path, what);
     let rest =
@@ -136,12 +140,12 @@
         None => headers.number(&names.timeout, [1, u64::from(u32::MAX)])?,
     };
     let known = &classes[class];
-    let left = patience.map_or(Span::micros(known.cut_off.as_micros() as u64), Span::millis);
+    let left = patience.map_or(Span::micros(known.default_deadline.as_micros() as u64), Span::millis);
     let idempotency_key = match headers.text(&names.idempotency_key)? {
         Some(idempotency_key) => {
             Some(hex(idempotency_key, 32).ok_or_else(|| fault(&names.idempotency_key, "not 32 hex digits"))?)
         }
-        None if known.tagged => return Err(fault(&names.idempotency_key, "missing")),
+        None if known.requires_idempotency_key => return Err(fault(&names.idempotency_key, "missing")),
         None => None,
     };
     let client_retry = match headers.text(&names.client_retry)? {
@@ -156,15 +160,15 @@
         object: object as u64,
         part,
         group: headers.number(&names.group, [0, 255])?.unwrap_or(0) as u32,
-        idempotency_key: idempotency_key.filter(|_| known.tagged),
+        idempotency_key: idempotency_key.filter(|_| known.requires_idempotency_key),
         client_retry,
-        left,
+        time_remaining: left,
         authorization: Authorization::Granted,
     })
 }
 
 /// Reads what the headers of a cache's answer, or of a proxy's own, say of the attempt.
-pub fn report(headers: &Headers) -> Result<Report, Fault> {
+pub fn read_report(headers: &Headers) -> Result<Report, HeaderError> {
     let status = headers.number(":status", [100, 999])?;
     let shed = headers.text("x-shed")? == Some("1");
     let remark = headers.text("x-remark")?.unwrap_or_default();
@@ -177,9 +181,9 @@
         Some("broken") => AttemptStatus::Incomplete,
         Some("unused") => AttemptStatus::Superseded,
         Some("given-up") => AttemptStatus::Cancelled,
-        Some(_) => return Err(Fault { header: "x-tindoor-failed".into(), what: "an unknown word" }),
+        Some(_) => return Err(HeaderError { header: "x-tindoor-failed".into(), problem: "an unknown word" }),
         None => {
-            let status = status.ok_or(Fault { header: ":status".into(), what: "missing" })?;
+            let status = status.ok_or(HeaderError { header: ":status".into(), problem: "missing" })?;
             // An answer that no page names may be the proxy's own, of a cache that it did not reach or that
             // broke off: it may have run, and is not the cache's word.
             tindoor_http::attempt_status(status as u16, shed).unwrap_or(match status {
@@ -188,10 +192,10 @@
             })
         }
     };
+    let detail = tindoor_http::outcome_detail(remark).unwrap_or(OutcomeDetail::Unknown);
     Ok(Report {
-        verdict,
-        note: tindoor_http::outcome_detail(remark).unwrap_or(OutcomeDetail::Unknown),
-        known: StoredResult { status: status.unwrap_or_default() as u16, version },
+        outcome: Outcome::new(verdict, detail),
+        stored_result: StoredResult { status: status.unwrap_or_default() as u16, version },
         used_after: used.map(Span::millis),
     })
 }
--- a/crates/extproc/src/say.rs
+++ b/crates/extproc/src/response.rs
@@ -17,25 +17,25 @@
     pub source: Option<String>,
 }
 
-pub type Fields = Vec<(&'static str, String)>;
+pub type HeaderFields = Vec<(&'static str, String)>;
 
 fn millis(span: Span) -> u64 {
     span.as_micros() / 1000
 }
 
 /// The headers of a choice. Those of the platform's protocol are as a cache reads them.
-pub fn decision(
+pub fn decision_headers(
     call: &ExternalRequest,
     decision: &RoutingDecision,
     place: &RoutingTarget,
     use_within: Span,
     left: Span,
-) -> Fields {
+) -> HeaderFields {
     let mut fields = vec![
         ("x-tindoor-cache", place.cache.clone()),
         ("x-tindoor-address", place.address.clone()),
         ("x-tindoor-use-within-ms", millis(use_within).to_string()),
-        ("x-tindoor-nth", decision.nth.to_string()),
+        ("x-tindoor-nth", decision.attempt_index.to_string()),
         ("x-ticket", format!("{:016x}", call.correlation_id)),
         ("x-max-ms", millis(left).max(1).to_string()),
     ];
@@ -63,19 +63,19 @@
 
 fn reason(why: RefusalReason) -> &'static str {
     match why {
-        RefusalReason::GivenUp => "given-up",
-        RefusalReason::NoRoom => "no-room",
-        RefusalReason::Ticket => "ticket",
-        RefusalReason::Mark => "mark",
-        RefusalReason::Overtaken => "overtaken",
-        RefusalReason::NoChoice => "no-choice",
-        RefusalReason::Unreported => "unreported",
-        RefusalReason::Stopping => "stopping",
+        RefusalReason::GaveUp => "given-up",
+        RefusalReason::NoCapacity => "no-room",
+        RefusalReason::CorrelationIdInUse => "ticket",
+        RefusalReason::IdempotencyKeyInUse => "mark",
+        RefusalReason::Superseded => "overtaken",
+        RefusalReason::UnknownDecision => "no-choice",
+        RefusalReason::NotReported => "unreported",
+        RefusalReason::ShuttingDown => "stopping",
     }
 }
 
 /// A final answer as status and headers; none for what is not final or goes on as it is.
-pub fn refusal(say: &CallReply) -> Option<(u16, Fields)> {
+pub fn final_headers(say: &CallReply) -> Option<(u16, HeaderFields)> {
     Some(match say {
         CallReply::Rejected(retry_after, why) => {
             let mut fields = vec![("x-tindoor-reason", reason(*why).to_string())];
@@ -96,7 +96,7 @@
     })
 }
 
-fn mutation(fields: Fields, remove: &[&str]) -> HeaderMutation {
+fn mutation(fields: HeaderFields, remove: &[&str]) -> HeaderMutation {
     let set = |(name, value): (&str, String)| HeaderValueOption {
         header: Some(HeaderValue { key: name.into(), value: String::new(), raw_value: value.into_bytes() }),
         append_action: AppendAction::OverwriteIfExistsOrAdd as i32,
@@ -111,7 +111,7 @@
 }
 
 /// Go to that cache: only the headers of the answer are wanted of what follows.
-pub fn chosen(fields: Fields) -> ProcessingResponse {
+pub fn forward_request(fields: HeaderFields) -> ProcessingResponse {
     let mode = ProcessingMode {
         request_header_mode: HeaderSend::Default as i32,
         response_header_mode: HeaderSend::Send as i32,
@@ -130,7 +130,7 @@
 }
 
 /// The cache's answer goes on, with a cookie beside those that it may set itself.
-pub fn passed_on(cookie: Option<String>) -> ProcessingResponse {
+pub fn pass_through(cookie: Option<String>) -> ProcessingResponse {
     let added = |cookie: String| HeaderValueOption {
         header: Some(HeaderValue {
             key: "set-cookie".into(),
@@ -145,12 +145,12 @@
 }
 
 /// The cache's answer is not final: a proxy that retries by a header does so.
-pub fn again() -> ProcessingResponse {
+pub fn request_retry() -> ProcessingResponse {
     answered(Some(mutation(vec![("x-tindoor-again", "1".to_string())], &[])))
 }
 
 /// A final answer in place of whatever was to come.
-pub fn immediate(status: u16, fields: Fields) -> ProcessingResponse {
+pub fn immediate(status: u16, fields: HeaderFields) -> ProcessingResponse {
     let details = fields.iter().find(|field| field.0 == "x-tindoor-reason").map(|field| field.1.clone());
     let reply = Reply::Immediate(ImmediateResponse {
         status: Some(HttpStatus { code: status.into() }),
--- a/crates/extproc/tests/golden.rs
+++ b/crates/extproc/tests/golden.rs
@@ -10,17 +10,17 @@
 
 use bytes::BytesMut;
 use golden::Recording;
-use tindoor::host::{AttemptStatus, Authorization, EndpointId, FillDirectives, OutcomeDetail};
+use tindoor::host::{AttemptStatus, Authorization, EndpointId, FillDirectives, Outcome, OutcomeDetail};
 use tindoor::time::Span;
 use tindoor_external_requests::{
     CallReply, ExternalRequest, RefusalReason, Report, RoutingDecision, StoredResult,
 };
-use tindoor_extproc::ask::{self, Headers, Names, RequestClass};
 use tindoor_extproc::frames;
 use tindoor_extproc::messages::{
     HeaderMap, HeaderValue, HttpBody, HttpHeaders, HttpTrailers, Phase, ProcessingRequest, ProcessingResponse,
 };
-use tindoor_extproc::say;
+use tindoor_extproc::request::{self, HeaderNames, Headers, RequestClass};
+use tindoor_extproc::response;
 
 type Pairs<'a> = &'a [(&'a str, &'a str)];
 
@@ -55,7 +55,7 @@
     section(title, &frames::frame(response).escape_ascii().to_string())
 }
 
-fn pairs_text(fields: &say::Fields) -> String {
+fn pairs_text(fields: &response::HeaderFields) -> String {
     fields.iter().map(|(name, value)| format!("{name}: {value}")).collect::<Vec<_>>().join("; ")
 }
 
@@ -65,9 +65,9 @@
 const KEY: (&str, &str) = ("x-nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
 fn classes() -> Vec<RequestClass> {
-    let class = |name: &str, tagged, seconds| {
-        let cut_off = Duration::from_secs(seconds);
-        RequestClass { name: name.into(), tagged, cut_off }
+    let class = |name: &str, requires_idempotency_key, seconds| {
+        let default_deadline = Duration::from_secs(seconds);
+        RequestClass { name: name.into(), requires_idempotency_key, default_deadline }
     };
     vec![class("pages", false, 3), class("saves", true, 5)]
 }
@@ -76,8 +76,8 @@
     Headers(pairs.iter().map(|(name, value)| (*name, value.as_bytes())).collect())
 }
 
-fn call(pairs: Pairs) -> Result<ExternalRequest, ask::Fault> {
-    ask::call(&headers(pairs), &Names::default(), &classes())
+fn call(pairs: Pairs) -> Result<ExternalRequest, request::HeaderError> {
+    request::read_request(&headers(pairs), &HeaderNames::default(), &classes())
 }
 
 /// The message of a choice with these terms.
@@ -88,11 +88,12 @@
     spans: [Span; 2],
 ) -> String {
     let source = source.map(str::to_string);
-    let place = say::RoutingTarget { cache: "c-1".into(), address: "10.0.0.1:80".into(), source };
-    let decision = RoutingDecision { nth: 4, cache: EndpointId(1), directives, wait: Span::millis(900) };
+    let place = response::RoutingTarget { cache: "c-1".into(), address: "10.0.0.1:80".into(), source };
+    let decision =
+        RoutingDecision { attempt_index: 4, endpoint: EndpointId(1), directives, timeout: Span::millis(900) };
     let [use_within, left] = spans;
-    let fields = say::decision(&call(&[PATH, ID]).unwrap(), &decision, &place, use_within, left);
-    message(title, &say::chosen(fields))
+    let fields = response::decision_headers(&call(&[PATH, ID]).unwrap(), &decision, &place, use_within, left);
+    message(title, &response::forward_request(fields))
 }
 
 fn external() -> String {
@@ -140,33 +141,33 @@
 /// A reason by a name that stays; each has its own place in `REASONS`.
 fn reason_name(why: RefusalReason) -> &'static str {
     match why {
-        RefusalReason::GivenUp => "given up",
-        RefusalReason::NoRoom => "no room",
-        RefusalReason::Ticket => "id in use",
-        RefusalReason::Mark => "idempotency key in use",
-        RefusalReason::Overtaken => "overtaken",
-        RefusalReason::NoChoice => "no choice",
-        RefusalReason::Unreported => "unreported",
-        RefusalReason::Stopping => "stopping",
+        RefusalReason::GaveUp => "given up",
+        RefusalReason::NoCapacity => "no room",
+        RefusalReason::CorrelationIdInUse => "id in use",
+        RefusalReason::IdempotencyKeyInUse => "idempotency key in use",
+        RefusalReason::Superseded => "overtaken",
+        RefusalReason::UnknownDecision => "no choice",
+        RefusalReason::NotReported => "unreported",
+        RefusalReason::ShuttingDown => "stopping",
     }
 }
 
 const REASONS: [RefusalReason; 8] = [
-    RefusalReason::GivenUp,
-    RefusalReason::NoRoom,
-    RefusalReason::Ticket,
-    RefusalReason::Mark,
-    RefusalReason::Overtaken,
-    RefusalReason::NoChoice,
-    RefusalReason::Unreported,
-    RefusalReason::Stopping,
+    RefusalReason::GaveUp,
+    RefusalReason::NoCapacity,
+    RefusalReason::CorrelationIdInUse,
+    RefusalReason::IdempotencyKeyInUse,
+    RefusalReason::Superseded,
+    RefusalReason::UnknownDecision,
+    RefusalReason::NotReported,
+    RefusalReason::ShuttingDown,
 ];
 
 /// What is said in place of a response: as status and headers, and as a message.
 fn refusal(title: &str, say: &CallReply) -> String {
-    let Some((status, fields)) = say::refusal(say) else { return section(title, "none") };
+    let Some((status, fields)) = response::final_headers(say) else { return section(title, "none") };
     let plain = format!("{status} {}", pairs_text(&fields));
-    section(title, &plain) + &message(&format!("{title}, message"), &say::immediate(status, fields))
+    section(title, &plain) + &message(&format!("{title}, message"), &response::immediate(status, fields))
 }
 
 fn refusals() -> String {
@@ -177,7 +178,7 @@
         out += &refusal(&format!("failed, {name}"), &CallReply::Failed(why));
     }
     for micros in [0, 999, 1000, 1_000_000, 1_000_001, 1_200_000, 60_000_000] {
-        let say = CallReply::Rejected(Some(Span::micros(micros)), RefusalReason::GivenUp);
+        let say = CallReply::Rejected(Some(Span::micros(micros)), RefusalReason::GaveUp);
         out += &refusal(&format!("rejected with a pause of {micros} microseconds"), &say);
     }
     for status in [0, 200, 201, 404] {
@@ -196,12 +197,12 @@
     let cookie = "name=value; Path=/; HttpOnly".to_string();
     let fields = vec![("x-tindoor-reason", "no-room".to_string()), ("retry-after", "1".to_string())];
     [
-        message("passed on", &say::passed_on(None)),
-        message("passed on with a cookie", &say::passed_on(Some(cookie))),
-        message("again", &say::again()),
-        message("immediate without headers", &say::immediate(200, Vec::new())),
-        message("immediate with a reason", &say::immediate(503, fields)),
-        message("chosen without headers", &say::chosen(Vec::new())),
+        message("passed on", &response::pass_through(None)),
+        message("passed on with a cookie", &response::pass_through(Some(cookie))),
+        message("again", &response::request_retry()),
+        message("immediate without headers", &response::immediate(200, Vec::new())),
+        message("immediate with a reason", &response::immediate(503, fields)),
+        message("chosen without headers", &response::forward_request(Vec::new())),
     ]
     .concat()
 }
@@ -216,7 +217,7 @@
         group,
         idempotency_key,
         client_retry,
-        left,
+        time_remaining: left,
         authorization,
     } = *call;
     let unsigned = match authorization {
@@ -341,7 +342,8 @@
 }
 
 fn report_text(report: &Report) -> String {
-    let Report { verdict, note, known, used_after } = *report;
+    let Report { outcome, stored_result: known, used_after } = *report;
+    let Outcome { status: verdict, detail: note } = outcome;
     let used = used_after.map_or("untold".to_string(), |span| format!("{} us", span.as_micros()));
     format!(
         "{}, remark {}, status {}, version {:016x}, used after {used}",
@@ -353,7 +355,7 @@
 }
 
 fn report(pairs: Pairs) -> String {
-    let read = match ask::report(&headers(pairs)) {
+    let read = match request::read_report(&headers(pairs)) {
         Ok(report) => report_text(&report),
         Err(fault) => format!("fault: {fault}"),
     };
--- a/crates/extproc/tests/stories.rs
+++ b/crates/extproc/tests/stories.rs
@@ -8,20 +8,23 @@
 use tindoor::host::{AttemptStatus, EndpointId, FillDirectives, OutcomeDetail};
 use tindoor::time::Span;
 use tindoor_external_requests::{CallReply, RefusalReason, RoutingDecision, StoredResult};
-use tindoor_extproc::ask::{self, Headers, Names, RequestClass};
-use tindoor_extproc::frames::{self, Fault};
+use tindoor_extproc::frames::{self, FrameError};
 use tindoor_extproc::messages::{HttpBody, Phase, ProcessingRequest};
-use tindoor_extproc::say;
+use tindoor_extproc::request::{self, HeaderNames, Headers, RequestClass};
+use tindoor_extproc::response;
 
 fn classes() -> Vec<RequestClass> {
-    let class =
-        |name: &str, tagged| RequestClass { name: name.into(), tagged, cut_off: Duration::from_secs(3) };
+    let class = |name: &str, requires_idempotency_key| RequestClass {
+        name: name.into(),
+        requires_idempotency_key,
+        default_deadline: Duration::from_secs(3),
+    };
     vec![class("pages", false), class("saves", true)]
 }
 
-fn call(fields: &[(&str, &str)]) -> Result<tindoor_external_requests::ExternalRequest, ask::Fault> {
+fn call(fields: &[(&str, &str)]) -> Result<tindoor_external_requests::ExternalRequest, request::HeaderError> {
     let headers = Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect());
-    ask::call(&headers, &Names::default(), &classes())
+    request::read_request(&headers, &HeaderNames::default(), &classes())
 }
 
 const PATH: (&str, &str) = (":path", "/v1/store/pages/7f3a9c21e0b4d655/3");
@@ -35,16 +38,16 @@
         (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655, 3)
     );
     assert_eq!(
-        (asked.attempt, asked.group, asked.client_retry, asked.left),
+        (asked.attempt, asked.group, asked.client_retry, asked.time_remaining),
         (1, 0, false, Span::millis(3000))
     );
     let by_request = |id| call(&[PATH, ("x-request-id", id)]).unwrap().correlation_id;
     assert_eq!(by_request("a"), by_request("a"));
     assert_ne!(by_request("a"), by_request("b"));
     let timed = call(&[PATH, TICKET, ("x-envoy-expected-rq-timeout-ms", "900")]).unwrap();
-    assert_eq!(timed.left, Span::millis(900));
+    assert_eq!(timed.time_remaining, Span::millis(900));
     let both = call(&[PATH, TICKET, ("x-envoy-expected-rq-timeout-ms", "900"), ("x-max-ms", "700")]).unwrap();
-    assert_eq!(both.left, Span::millis(700));
+    assert_eq!(both.time_remaining, Span::millis(700));
 }
 
 #[test]
@@ -62,7 +65,7 @@
 #[test]
 fn a_report_blames_a_cache_for_no_more_than_it_said() {
     let read = |fields: &[(&str, &str)]| {
-        ask::report(&Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect()))
+        request::read_report(&Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect()))
     };
     for (fields, verdict, note) in [
         (&[(":status", "200"), ("x-remark", "piggy")][..], AttemptStatus::Served, OutcomeDetail::JoinedFill),
@@ -86,7 +89,7 @@
         (&[(":status", "404")], AttemptStatus::Miss, OutcomeDetail::Unknown),
     ] {
         let report = read(fields).unwrap();
-        assert_eq!((report.verdict, report.note), (verdict, note), "{fields:?}");
+        assert_eq!((report.outcome.status, report.outcome.detail), (verdict, note), "{fields:?}");
     }
     assert_eq!(read(&[]).unwrap_err().header, ":status");
     assert_eq!(
@@ -98,7 +101,7 @@
 #[test]
 fn a_choice_names_what_the_cache_reads_and_takes_out_what_a_client_put_there() {
     let asked = call(&[PATH, TICKET]).unwrap();
-    let place = say::RoutingTarget { cache: "c-1".into(), address: "10.0.0.1:80".into(), source: None };
+    let place = response::RoutingTarget { cache: "c-1".into(), address: "10.0.0.1:80".into(), source: None };
     let max_age = Some(Span::micros(300));
     let directives = FillDirectives {
         source: EndpointId(2),
@@ -109,12 +112,12 @@
         retention_rank: 2,
     };
     let decision = RoutingDecision {
-        nth: 4,
-        cache: EndpointId(1),
+        attempt_index: 4,
+        endpoint: EndpointId(1),
         directives: Some(directives),
-        wait: Span::millis(900),
+        timeout: Span::millis(900),
     };
-    let fields = say::decision(&asked, &decision, &place, Span::millis(200), Span::millis(700));
+    let fields = response::decision_headers(&asked, &decision, &place, Span::millis(200), Span::millis(700));
     let field = |name: &str| fields.iter().find(|field| field.0 == name).map(|field| field.1.as_str());
     assert_eq!(
         (field("x-tier"), field("x-mode"), field("x-tindoor-nth")),
@@ -122,7 +125,9 @@
     );
     assert_eq!(field("x-accept-age"), Some("1"), "0 would mean that any fresh copy will do");
     assert_eq!(field("x-source"), None);
-    let Some(tindoor_extproc::messages::Reply::RequestHeaders(said)) = say::chosen(fields).reply else {
+    let Some(tindoor_extproc::messages::Reply::RequestHeaders(said)) =
+        response::forward_request(fields).reply
+    else {
         panic!()
     };
     let mutation = said.response.unwrap().header_mutation.unwrap();
@@ -133,13 +138,20 @@
 #[test]
 fn a_refusal_tells_when_to_come_back_in_whole_seconds_and_in_milliseconds() {
     let (status, fields) =
-        say::refusal(&CallReply::Rejected(Some(Span::millis(1200)), RefusalReason::GivenUp)).unwrap();
+        response::final_headers(&CallReply::Rejected(Some(Span::millis(1200)), RefusalReason::GaveUp))
+            .unwrap();
     assert_eq!(status, 503);
     assert!(fields.contains(&("retry-after", "2".to_string())));
     assert!(fields.contains(&("x-tindoor-pause-ms", "1200".to_string())));
-    assert_eq!(say::refusal(&CallReply::Failed(RefusalReason::Ticket)).unwrap().0, 502);
-    assert_eq!(say::refusal(&CallReply::Replayed(StoredResult { status: 0, version: 0 })).unwrap().0, 200);
-    assert!(say::refusal(&CallReply::PassThrough).is_none());
+    assert_eq!(
+        response::final_headers(&CallReply::Failed(RefusalReason::CorrelationIdInUse)).unwrap().0,
+        502
+    );
+    assert_eq!(
+        response::final_headers(&CallReply::Replayed(StoredResult { status: 0, version: 0 })).unwrap().0,
+        200
+    );
+    assert!(response::final_headers(&CallReply::PassThrough).is_none());
 }
 
 #[test]
@@ -157,7 +169,7 @@
     let mut long = BytesMut::from(&[0, 0, 0, 4, 0][..]);
     assert_eq!(
         frames::take::<ProcessingRequest>(&mut long, 1000),
-        Err(Fault::Long),
+        Err(FrameError::TooLong),
         "refused before it comes"
     );
 }
@@ -176,7 +188,7 @@
     #[test]
     fn a_number_that_is_accepted_is_written_in_one_way(text in "[0-9+ -]{1,7}") {
         if let Ok(asked) = call(&[PATH, TICKET, ("x-max-ms", &text)]) {
-            prop_assert_eq!(format!("{}", asked.left.as_micros() / 1000), text);
+            prop_assert_eq!(format!("{}", asked.time_remaining.as_micros() / 1000), text);
         }
     }
 
--- a/crates/request-runtime/src/desk.rs
+++ b/crates/request-runtime/src/desk.rs
@@ -26,12 +26,12 @@
 /// One attempt that the routing engine ordered.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    pub nth: u16,
-    pub cache: EndpointId,
-    pub wait: Duration,
+    pub index: u16,
+    pub endpoint: EndpointId,
+    pub timeout: Duration,
     /// None for a plain look.
     pub directives: Option<FillDirectives>,
-    pub ordered: Instant,
+    pub issued_at: Instant,
 }
 
 /// Where what is for one task waits for it: the orders of a request, by default.
@@ -48,25 +48,25 @@
 
 impl<T> Mailbox<T> {
     /// The same in place of all that waits.
-    pub fn put_alone(&self, order: T) {
+    pub fn replace(&self, order: T) {
         self.orders.borrow_mut().clear();
-        self.put(order);
+        self.push(order);
     }
 
     /// Takes what waits, without waiting.
-    pub fn take(&self) -> Option<T> {
+    pub fn try_next(&self) -> Option<T> {
         self.orders.borrow_mut().pop_front()
     }
 
-    pub fn put(&self, order: T) {
+    pub fn push(&self, order: T) {
         self.orders.borrow_mut().push_back(order);
         if let Some(task) = self.task.take() {
             task.wake();
         }
     }
 
-    pub fn has_orders(&self) -> bool {
-        !self.orders.borrow().is_empty()
+    pub fn is_empty(&self) -> bool {
+        self.orders.borrow().is_empty()
     }
 
     pub async fn next(&self) -> T {
@@ -90,12 +90,12 @@
 
 impl InFlightIds {
     /// Whether a request of that id is in hand.
-    pub fn has(&self, id: u64) -> bool {
+    pub fn contains(&self, id: u64) -> bool {
         self.0.borrow().contains(&id)
     }
 
     /// None where a request of that id is in hand.
-    pub fn take(&self, id: u64) -> Option<InFlightId> {
+    pub fn reserve(&self, id: u64) -> Option<InFlightId> {
         self.0.borrow_mut().insert(id).then(|| InFlightId(Rc::clone(&self.0), id))
     }
 }
@@ -124,7 +124,7 @@
     }
 
     /// A Unix millisecond as a point on the routing engine's clock.
-    pub fn unix_ms(ms: u64) -> Moment {
+    pub fn at_unix_ms(ms: u64) -> Moment {
         Moment::at_micros(ms.saturating_mul(1000))
     }
 }
@@ -171,7 +171,7 @@
     }
 
     /// Waits until it rings, which clears it.
-    pub async fn rings(&self) {
+    pub async fn fired(&self) {
         loop {
             let Some(at) = self.at.get() else {
                 self.changed().await;
@@ -206,7 +206,7 @@
 impl EngineHost {
     fn put(&self, request: RequestSlot, order: Action) {
         match self.mailboxes.get(request.0 as usize).and_then(Option::as_ref) {
-            Some(open) => open.mailbox.put(order),
+            Some(open) => open.mailbox.push(order),
             None => tracing::error!(?request, ?order, "an order for a view that is not there"),
         }
     }
@@ -219,16 +219,25 @@
         directives: Option<FillDirectives>,
     ) {
         let Some(Some(open)) = self.mailboxes.get_mut(request.0 as usize) else { return };
-        let nth = open.sent;
+        let index = open.sent;
         open.sent += 1;
         for no in [Some(cache), directives.map(|directives| directives.source)].into_iter().flatten() {
             open.names.push(no);
             self.named.resize(self.named.len().max(no.0 as usize + 1), 0);
             self.named[no.0 as usize] += 1;
         }
-        tracing::debug!(request = request.0, nth, cache = cache.0, "ordered");
+        tracing::debug!(request = request.0, index, cache = cache.0, "ordered");
         let wait = Duration::from_micros(wait.as_micros());
-        self.put(request, Action::Send(Attempt { nth, cache, wait, directives, ordered: Instant::now() }));
+        self.put(
+            request,
+            Action::Send(Attempt {
+                index,
+                endpoint: cache,
+                timeout: wait,
+                directives,
+                issued_at: Instant::now(),
+            }),
+        );
     }
 }
 
@@ -247,8 +256,8 @@
         self.attempt(request, cache, wait, Some(directives));
     }
 
-    fn cancel(&mut self, request: RequestSlot, nth: u16) {
-        self.put(request, Action::Cancel(nth));
+    fn cancel(&mut self, request: RequestSlot, index: u16) {
+        self.put(request, Action::Cancel(index));
     }
 
     fn reject(&mut self, request: RequestSlot, retry_after: Option<Span>) {
@@ -290,20 +299,20 @@
 pub trait AdmissionGate {
     /// The settings to apply now, where they have changed; else, where no request may be taken, when clients may come
     /// again.
-    fn renews(&self) -> Result<Option<Settings>, Span>;
+    fn updated_settings(&self) -> Result<Option<Settings>, Span>;
     /// How many requests may be in hand, by what is gone by.
-    fn most_in_hand(&self) -> usize;
-    /// Asked in the moment in which a request of that account is taken, right after [`renews`](Self::renews): the
+    fn max_in_flight(&self) -> usize;
+    /// Asked in the moment in which a request of that account is taken, right after [`updated_settings`](Self::updated_settings): the
     /// generation of what it is decided by; else when its client may come again.
-    fn admits(&self, account: u64) -> Result<u64, Span>;
+    fn admit(&self, account: u64) -> Result<u64, Span>;
     /// A request ended that was taken under that generation.
-    fn ended(&self, generation: u64, class: u16, done: bool, took: Duration);
+    fn request_ended(&self, generation: u64, class: u16, done: bool, took: Duration);
     /// Whether a fill by the origin is to be had of what all share.
     fn can_afford_fill(&self, class: u16) -> bool;
     /// Draws on what all share for one attempt; none where it is not to be had.
     fn charge_quota(&self, draw: &QuotaCharge) -> Option<FillCharge>;
     /// A attempt ended that drew on fills, and how.
-    fn settle(&self, drawn: FillCharge, end: Outcome);
+    fn settle_charge(&self, drawn: FillCharge, end: Outcome);
     /// This router's part of what a cold cache, or parent, bears; none where that is not divided.
     fn slow_start_share(&self, stable: u64, parent: bool) -> Option<f64>;
 }
@@ -356,9 +365,9 @@
 
     /// Has the routing engine go by what is in force now; else, where no request may be taken, when clients may come again. A
     /// request in hand stays with what it was taken by.
-    fn keep_up(&self) -> Result<(), Span> {
+    fn reconcile_settings(&self) -> Result<(), Span> {
         let gate = self.gate.borrow().clone();
-        if let Some(settings) = gate.map_or(Ok(None), |gate| gate.renews())? {
+        if let Some(settings) = gate.map_or(Ok(None), |gate| gate.updated_settings())? {
             self.with(|control| control.apply_settings(settings));
         }
         Ok(())
@@ -367,14 +376,14 @@
     /// Whether one more request may come to be in hand, of so many at most. What is decided at the door is decided by
     /// what is in force as well: else a router whose places are all taken would go by the old for as long.
     pub fn has_capacity(&self, most: usize) -> bool {
-        let _ = self.keep_up();
+        let _ = self.reconcile_settings();
         let gate = self.gate.borrow();
-        self.open.get() < gate.as_ref().map_or(most, |gate| most.min(gate.most_in_hand()))
+        self.open.get() < gate.as_ref().map_or(most, |gate| most.min(gate.max_in_flight()))
     }
 
     /// When the client of a request that is refused at the door may come again, where that is told.
     pub fn retry_after(&self) -> Option<Span> {
-        match self.keep_up() {
+        match self.reconcile_settings() {
             Ok(()) => self.with(RoutingEngine::retry_after),
             Err(pause) => Some(pause),
         }
@@ -384,7 +393,8 @@
     pub fn admit(&self, no: RequestSlot, asked: RequestMeta, left: Span) -> Option<AdmittedRequest> {
         let gate = self.gate.borrow().clone();
         let account = u64::from(asked.group);
-        let admits = |gate: Rc<dyn AdmissionGate>| self.keep_up().and_then(|()| gate.admits(account));
+        let admits =
+            |gate: Rc<dyn AdmissionGate>| self.reconcile_settings().and_then(|()| gate.admit(account));
         match gate.map(admits) {
             Some(Err(pause)) => {
                 self.control.borrow_mut().host().put(no, Action::Reject(Some(pause)));
@@ -403,35 +413,35 @@
         if let (Some(AdmittedRequest { generation, class, at }), Some(gate)) =
             (taken, self.gate.borrow().as_ref())
         {
-            gate.ended(generation, class, done, at.elapsed());
+            gate.request_ended(generation, class, done, at.elapsed());
         }
     }
 
     /// Tells the routing engine how a attempt ended; `last` says that the request is finished.
     pub fn attempt_ended(&self, no: RequestSlot, attempt: &Attempt, end: Outcome, last: bool) {
-        let took = Span::micros(attempt.ordered.elapsed().as_micros() as u64);
+        let took = Span::micros(attempt.issued_at.elapsed().as_micros() as u64);
         tracing::debug!(
             request = no.0,
-            nth = attempt.nth,
-            cache = attempt.cache.0,
+            index = attempt.index,
+            cache = attempt.endpoint.0,
             ?end,
             ?took,
             last,
             "ended"
         );
-        self.settle(no, attempt.nth, end);
-        self.with(|control| control.attempt_ended(no, attempt.nth, end, took, last));
+        self.settle(no, attempt.index, end);
+        self.with(|control| control.attempt_ended(no, attempt.index, end, took, last));
     }
 
     /// What a attempt drew on that routers share is settled before anything else is decided.
-    fn settle(&self, no: RequestSlot, nth: u16, end: Outcome) {
+    fn settle(&self, no: RequestSlot, index: u16, end: Outcome) {
         let gate = self.gate.borrow();
         let Some(gate) = gate.as_ref() else { return };
         let mut control = self.control.borrow_mut();
         let open = control.host().mailboxes.get_mut(no.0 as usize).and_then(Option::as_mut);
-        let drawn = open.and_then(|open| open.drawn.get_mut(usize::from(nth))?.take());
+        let drawn = open.and_then(|open| open.drawn.get_mut(usize::from(index))?.take());
         if let Some(drawn) = drawn {
-            gate.settle(drawn, end);
+            gate.settle_charge(drawn, end);
         }
     }
 
@@ -469,7 +479,7 @@
             .mailboxes
             .iter()
             .flatten()
-            .for_each(|open| open.mailbox.put(Action::Abandon));
+            .for_each(|open| open.mailbox.push(Action::Abandon));
     }
 
     /// The request has its final answer and every attempt of it was reported.
@@ -490,7 +500,7 @@
     /// Wakes the routing engine whenever it asked for it; never ends.
     pub async fn run_timers(&self) {
         loop {
-            self.alarm.rings().await;
+            self.alarm.fired().await;
             self.with(RoutingEngine::timer_fired);
         }
     }
--- a/crates/request-runtime/src/lib.rs
+++ b/crates/request-runtime/src/lib.rs
@@ -8,4 +8,4 @@
     Action, AdmissionGate, AdmittedRequest, Attempt, Clock, EngineHandle, EngineHost, FillCharge, InFlightId,
     InFlightIds, Mailbox, WakeTimer,
 };
-pub use life::{AttemptEnd, FinalAnswer, RequestTransport, run_request};
+pub use life::{AttemptEnd, FinalAnswer, IncomingRequest, RequestTransport, run_request};
--- a/crates/request-runtime/src/life.rs
+++ b/crates/request-runtime/src/life.rs
@@ -10,19 +10,18 @@
 
 /// How a attempt ended, with what it brought for the client.
 pub struct AttemptEnd<G> {
-    pub verdict: AttemptStatus,
-    pub note: OutcomeDetail,
+    pub outcome: Outcome,
     pub payload: G,
 }
 
 /// The one final answer of a request.
 pub enum FinalAnswer<G> {
-    Done(G),
+    Served(G),
     /// Trying again is harmless, best after this long.
-    TurnedBack(Option<Span>),
-    WrittenOff,
+    Rejected(Option<Span>),
+    Failed,
     /// Nobody waits any more, or the router or its connection ends.
-    Left,
+    Abandoned,
 }
 
 /// What a front does for one request.
@@ -30,7 +29,7 @@
     /// What a attempt brings.
     type Payload;
     /// Carries out one attempt. Dropped, it gives the attempt up at once.
-    fn carry(&self, attempt: Attempt) -> impl Future<Output = AttemptEnd<Self::Payload>>;
+    fn send(&self, attempt: Attempt) -> impl Future<Output = AttemptEnd<Self::Payload>>;
     /// Gives the final answer; called once.
     fn answer(&self, answer: FinalAnswer<Self::Payload>);
 }
@@ -42,20 +41,27 @@
 
 type Carried<'a, G> = Pin<Box<dyn Future<Output = AttemptEnd<G>> + 'a>>;
 
+/// A request that was read and checked, before it is admitted.
+pub struct IncomingRequest<'a> {
+    /// Its slot at the routing engine.
+    pub slot: RequestSlot,
+    /// Where the routing engine's actions for it arrive.
+    pub mailbox: &'a Mailbox,
+    /// What it asks for.
+    pub meta: RequestMeta,
+    /// How long its client waits from now on.
+    pub time_remaining: Span,
+}
+
 /// Lives one request through: asks the routing engine at each point of choice and does what it says, until the client
 /// has its one final answer and every attempt has been reported.
-pub async fn run_request<H: RequestTransport>(
-    engine: &EngineHandle,
-    no: RequestSlot,
-    mailbox: &Mailbox,
-    (asked, left): (RequestMeta, Span),
-    hand: &H,
-) {
+pub async fn run_request<H: RequestTransport>(engine: &EngineHandle, request: IncomingRequest<'_>, hand: &H) {
+    let IncomingRequest { slot: no, mailbox, meta: asked, time_remaining: left } = request;
     let taken = engine.admit(no, asked, left);
     // One attempt is out at a time; its end is told even where the answer is long given.
     let mut out: Option<(Attempt, Carried<H::Payload>)> = None;
     let mut answered = false;
-    while !answered || out.is_some() || mailbox.has_orders() {
+    while !answered || out.is_some() || !mailbox.is_empty() {
         let order = async { Happened::Action(mailbox.next().await) };
         let end = async {
             match &mut out {
@@ -66,7 +72,7 @@
         let happened = future::or(order, end).await;
         match happened {
             Happened::Action(Action::Send(attempt)) if out.is_none() && !answered => {
-                out = Some((attempt, Box::pin(hand.carry(attempt))));
+                out = Some((attempt, Box::pin(hand.send(attempt))));
             }
             // Each that was ordered is told of, also where the client left before it began: else the routing engine
             // counts it as out for ever, and takes its cache and the way of its fills for full.
@@ -80,7 +86,7 @@
             }
             Happened::Action(Action::Cancel(nth)) => {
                 // Dropping what carries it gives the request up.
-                if let Some((attempt, _)) = out.take_if(|(attempt, _)| attempt.nth == nth) {
+                if let Some((attempt, _)) = out.take_if(|(attempt, _)| attempt.index == nth) {
                     engine.attempt_ended(
                         no,
                         &attempt,
@@ -90,19 +96,19 @@
                 }
             }
             Happened::Action(Action::Reject(retry_after)) => {
-                hand.answer(FinalAnswer::TurnedBack(retry_after));
+                hand.answer(FinalAnswer::Rejected(retry_after));
                 engine.record_outcome(taken, false);
                 answered = true;
             }
             Happened::Action(Action::Fail) => {
-                hand.answer(FinalAnswer::WrittenOff);
+                hand.answer(FinalAnswer::Failed);
                 engine.record_outcome(taken, false);
                 answered = true;
             }
             Happened::Action(Action::Abandon) => {
                 // Only where the router or its connection ends is there somebody to tell.
                 if !answered {
-                    hand.answer(FinalAnswer::Left);
+                    hand.answer(FinalAnswer::Abandoned);
                 }
                 engine.with(|control| control.request_abandoned(no));
                 if let Some((attempt, _)) = out.take() {
@@ -115,12 +121,12 @@
                 }
                 answered = true;
             }
-            Happened::AttemptEnd(AttemptEnd { verdict, note, payload }) => {
+            Happened::AttemptEnd(AttemptEnd { outcome, payload }) => {
                 let Some((attempt, _)) = out.take() else { continue };
-                let done = verdict == AttemptStatus::Served;
-                engine.attempt_ended(no, &attempt, Outcome::new(verdict, note), answered || done);
+                let done = outcome.status == AttemptStatus::Served;
+                engine.attempt_ended(no, &attempt, outcome, answered || done);
                 if done && !answered {
-                    hand.answer(FinalAnswer::Done(payload));
+                    hand.answer(FinalAnswer::Served(payload));
                     engine.record_outcome(taken, true);
                     answered = true;
                 }
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -155,7 +155,7 @@
         if self.phase.get() == Phase::Open {
             self.phase.set(Phase::Closing);
         }
-        self.open.borrow().values().for_each(|mailbox| mailbox.put(Action::Abandon));
+        self.open.borrow().values().for_each(|mailbox| mailbox.push(Action::Abandon));
         self.wake_writer();
     }
 
@@ -175,7 +175,7 @@
         let unwritten = self.replies.borrow_mut().drain(..).count();
         self.unwritten.set(self.unwritten.get() - unwritten);
         for (_, mailbox) in self.open.borrow_mut().drain() {
-            mailbox.put(Action::Abandon);
+            mailbox.push(Action::Abandon);
         }
     }
 
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -86,7 +86,7 @@
         }
         Ok(Message::Cancel { seq }) => {
             if let Some(mailbox) = client.open.borrow_mut().remove(&seq) {
-                mailbox.put(Action::Abandon);
+                mailbox.push(Action::Abandon);
             }
         }
         Ok(Message::Call { seq, fields, body }) => {
--- a/crates/router/src/processor.rs
+++ b/crates/router/src/external/grpc.rs
@@ -13,19 +13,19 @@
 use h2::{Reason, RecvStream, SendStream};
 use http::{HeaderMap, Method, Request, Response};
 use tindoor_external_requests::{CallReply, RefusalReason};
-use tindoor_extproc::ask::{self, Headers, Names};
-use tindoor_extproc::frames::{self, Fault};
+use tindoor_extproc::frames::{self, FrameError};
 use tindoor_extproc::messages::{
     HeadersResponse, HttpHeaders, Phase, ProcessingRequest, ProcessingResponse, Reply, TrailersResponse,
 };
-use tindoor_extproc::say;
+use tindoor_extproc::request::{self, HeaderNames, Headers};
+use tindoor_extproc::response;
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 
-use crate::external::Open;
+use crate::external::Call;
+use crate::external::request::{CheckedRequest, final_reply, read_request, unix_ms};
+use crate::external::target;
 use crate::limits::within;
-use crate::places;
 use crate::router::Router;
-use crate::wanted::{Wanted, refused, unix_ms, wanted};
 
 /// How one stream ended, as gRPC's status: a code and words.
 type Status = (u16, &'static str);
@@ -39,7 +39,11 @@
 const UNAVAILABLE: u16 = 14;
 
 /// One connection, until either side ends it.
-pub async fn converse(router: Rc<Router>, stream: Async<TcpStream>, names: Rc<Names>) -> io::Result<()> {
+pub async fn serve_connection(
+    router: Rc<Router>,
+    stream: Async<TcpStream>,
+    names: Rc<HeaderNames>,
+) -> io::Result<()> {
     let limits = &router.limits;
     let mut builder = h2::server::Builder::new();
     // Guards against one proxy's flood: streams, resets before they are taken, and headers are bounded by
@@ -97,7 +101,7 @@
     router: &Rc<Router>,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
-    names: &Names,
+    names: &HeaderNames,
 ) {
     let head = || Response::builder().status(200).header("content-type", "application/grpc");
     let kind = request.headers().get("content-type").map(|kind| kind.as_bytes());
@@ -155,9 +159,9 @@
                 Ok(Some(ProcessingRequest { phase: Some(phase), .. })) => return Ok(Some(phase)),
                 Ok(Some(_)) => return Err(Some((INVALID, "a message of no known kind"))),
                 Ok(None) => {}
-                Err(Fault::Long) => return Err(Some((EXHAUSTED, "a message is over the limit"))),
-                Err(Fault::Compressed) => return Err(Some((UNIMPLEMENTED, "compressed"))),
-                Err(Fault::Unreadable) => return Err(Some((INVALID, "a message can't be read"))),
+                Err(FrameError::TooLong) => return Err(Some((EXHAUSTED, "a message is over the limit"))),
+                Err(FrameError::Compressed) => return Err(Some((UNIMPLEMENTED, "compressed"))),
+                Err(FrameError::Unreadable) => return Err(Some((INVALID, "a message can't be read"))),
             }
             match self.reader.data().await {
                 Some(Ok(data)) => {
@@ -203,7 +207,7 @@
 }
 
 /// Serves one request of a proxy, from its headers to the end of its stream.
-async fn serve(router: &Rc<Router>, talk: &mut Talk<'_>, names: &Names) -> Result<(), Over> {
+async fn serve(router: &Rc<Router>, talk: &mut Talk<'_>, names: &HeaderNames) -> Result<(), Over> {
     // Read strictly, before anybody is asked.
     let first = within(router.limits.frame_wait, async { Ok(talk.next().await) }).await;
     let first = first.map_err(|_| Some((LATE, "no headers came in time")))??;
@@ -212,12 +216,12 @@
         Some(_) => return Err(Some((INVALID, "the first message is not the request's headers"))),
         None => return Ok(()),
     };
-    let Wanted { call, path, why, playback } = match wanted(router, &pairs(&asked), names) {
-        Ok(wanted) => wanted,
+    let CheckedRequest { call, path, why, playback } = match read_request(router, &pairs(&asked), names) {
+        Ok(checked) => checked,
         Err(fault) => {
             tracing::debug!(%fault, "a request that can't be used");
             let fields = vec![("x-tindoor-reason", fault.to_string())];
-            talk.send(&say::immediate(400, fields)).await?;
+            talk.send(&response::immediate(400, fields)).await?;
             return drain(talk).await;
         }
     };
@@ -228,24 +232,24 @@
     let participant = loop {
         let said = listen(&open, talk).await?;
         match &said {
-            CallReply::Decision { decision, use_within, left } => {
-                let place = places::of(router, decision);
-                let mut fields = say::decision(&call, decision, &place, *use_within, *left);
+            CallReply::Decision { decision, use_within, time_remaining: left } => {
+                let place = target::resolve(router, decision);
+                let mut fields = response::decision_headers(&call, decision, &place, *use_within, *left);
                 // What was checked is what goes on.
                 fields.extend(path.clone().map(|path| (":path", path)));
-                let message = say::chosen(fields);
+                let message = response::forward_request(fields);
                 let bytes = frames::frame(&message);
                 talk.room(bytes.len()).await?;
                 // It may have been taken back while there was no room to send it.
-                if router.external.leaves(&open, &said) {
+                if router.external.confirm_send(&open, &said) {
                     talk.sender.send_data(bytes, false).map_err(|_| None)?;
                     // Whose answer it will be: caches tell the time by it.
-                    break 1 + u64::from(decision.cache.0);
+                    break 1 + u64::from(decision.endpoint.0);
                 }
             }
             other => {
-                let (status, fields) = refused(other, why.as_deref());
-                talk.send(&say::immediate(status, fields)).await?;
+                let (status, fields) = final_reply(other, why.as_deref());
+                talk.send(&response::immediate(status, fields)).await?;
                 return drain(talk).await;
             }
         }
@@ -262,7 +266,7 @@
                     if let Some(links) = &router.links {
                         links.heard_date(participant, &pairs(&headers), unix_ms(router));
                     }
-                    match ask::report(&pairs(&headers)) {
+                    match request::read_report(&pairs(&headers)) {
                         Ok(report) => router.external.report(&open, report),
                         Err(fault) => {
                             tracing::debug!(%fault, "a report that can't be used");
@@ -278,10 +282,10 @@
                 Some(other) => talk.send(&passed(&other)).await?,
             },
             // Nothing can be said now but that it is over.
-            Happened::Said(CallReply::Failed(RefusalReason::Unreported) | CallReply::Rejected(..)) => {
+            Happened::Said(CallReply::Failed(RefusalReason::NotReported) | CallReply::Rejected(..)) => {
                 return Err(Some((LATE, "nothing was reported in time")));
             }
-            Happened::Said(CallReply::Failed(RefusalReason::Stopping)) => {
+            Happened::Said(CallReply::Failed(RefusalReason::ShuttingDown)) => {
                 return Err(Some((UNAVAILABLE, "the router ends")));
             }
             Happened::Said(_) => return Err(Some((ABORTED, "a later try of this request came"))),
@@ -291,14 +295,14 @@
         CallReply::PassThrough => {
             let links = router.links.as_ref().zip(playback.as_ref());
             let cookie = links.and_then(|(links, playback)| links.renewal(playback, unix_ms(router)));
-            talk.send(&say::passed_on(cookie)).await?;
+            talk.send(&response::pass_through(cookie)).await?;
         }
-        CallReply::AwaitRetry => talk.send(&say::again()).await?,
+        CallReply::AwaitRetry => talk.send(&response::request_retry()).await?,
         other => {
-            let Some((status, fields)) = say::refusal(&other) else {
+            let Some((status, fields)) = response::final_headers(&other) else {
                 return Err(Some((ABORTED, "no answer")));
             };
-            talk.send(&say::immediate(status, fields)).await?;
+            talk.send(&response::immediate(status, fields)).await?;
         }
     }
     drain(talk).await
@@ -310,7 +314,7 @@
 }
 
 /// What the table says next, while the proxy waits; other phases that come meanwhile are answered.
-async fn listen(open: &Open, talk: &mut Talk<'_>) -> Result<CallReply, Over> {
+async fn listen(open: &Call, talk: &mut Talk<'_>) -> Result<CallReply, Over> {
     loop {
         let said = async { Happened::Said(open.says.next().await) };
         let phase = async { Happened::Phase(talk.next().await) };
--- a/crates/router/src/subrequests.rs
+++ b/crates/router/src/external/http.rs
@@ -8,14 +8,14 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use tindoor_external_requests::{CallId, CallReply};
-use tindoor_extproc::ask::{self, Headers, Names};
-use tindoor_extproc::say::{self, Fields};
+use tindoor_extproc::request::{self, HeaderNames, Headers};
+use tindoor_extproc::response::{self, HeaderFields};
 
-use crate::external::Open;
+use crate::external::Call;
+use crate::external::request::{CheckedRequest, final_reply, read_request, unix_ms};
+use crate::external::target;
 use crate::limits::within;
-use crate::places;
 use crate::router::Router;
-use crate::wanted::{Wanted, refused, unix_ms, wanted};
 
 /// A request's head as it was read.
 struct Asked {
@@ -43,7 +43,11 @@
 }
 
 /// One connection: one request after another, each answered before the next is read.
-pub async fn converse(router: Rc<Router>, mut stream: Async<TcpStream>, names: Rc<Names>) -> io::Result<()> {
+pub async fn serve_connection(
+    router: Rc<Router>,
+    mut stream: Async<TcpStream>,
+    names: Rc<HeaderNames>,
+) -> io::Result<()> {
     let (router, names) = (&router, &*names);
     let mut read = Vec::new();
     loop {
@@ -113,7 +117,7 @@
     router: &Router,
     stream: &mut Async<TcpStream>,
     status: u16,
-    fields: &Fields,
+    fields: &HeaderFields,
     closes: bool,
 ) -> io::Result<()> {
     let mut head = format!("HTTP/1.1 {status} X\r\n");
@@ -132,10 +136,10 @@
     router: &Rc<Router>,
     stream: &mut Async<TcpStream>,
     asked: &Asked,
-    names: &Names,
+    names: &HeaderNames,
 ) -> io::Result<()> {
-    let Wanted { call, path, why, playback } = match wanted(router, &asked.pairs(), names) {
-        Ok(wanted) => wanted,
+    let CheckedRequest { call, path, why, playback } = match read_request(router, &asked.pairs(), names) {
+        Ok(checked) => checked,
         Err(fault) => {
             let fields = vec![("x-tindoor-reason", fault.to_string())];
             return give(router, stream, 400, &fields, asked.closes).await;
@@ -146,9 +150,11 @@
     loop {
         let said = said_or_gone(&open, stream).await?;
         match &said {
-            CallReply::Decision { decision, use_within, left } if router.external.leaves(&open, &said) => {
-                let place = places::of(router, decision);
-                let mut fields = say::decision(&call, decision, &place, *use_within, *left);
+            CallReply::Decision { decision, use_within, time_remaining: left }
+                if router.external.confirm_send(&open, &said) =>
+            {
+                let place = target::resolve(router, decision);
+                let mut fields = response::decision_headers(&call, decision, &place, *use_within, *left);
                 fields.push(("x-tindoor-lease", open.stream.0.to_string()));
                 fields.extend(path.clone().map(|path| ("x-tindoor-path", path)));
                 let links = router.links.as_ref().zip(playback.as_ref());
@@ -161,14 +167,14 @@
             }
             CallReply::Decision { .. } => {}
             other => {
-                let (status, fields) = refused(other, why.as_deref());
+                let (status, fields) = final_reply(other, why.as_deref());
                 return give(router, stream, status, &fields, asked.closes).await;
             }
         }
     }
 }
 
-async fn said_or_gone(open: &Open, stream: &Async<TcpStream>) -> io::Result<CallReply> {
+async fn said_or_gone(open: &Call, stream: &Async<TcpStream>) -> io::Result<CallReply> {
     let said = async { Ok(open.says.next().await) };
     let gone = async {
         stream.readable().await?;
@@ -188,7 +194,7 @@
     router: &Rc<Router>,
     stream: &mut Async<TcpStream>,
     asked: &Asked,
-    names: &Names,
+    names: &HeaderNames,
 ) -> io::Result<()> {
     let mut pairs = asked.pairs();
     // The cache's status comes as a header of its own.
@@ -206,7 +212,7 @@
         let fields = vec![("x-tindoor-reason", "x-tindoor-lease or the ticket: missing".to_string())];
         return give(router, stream, 400, &fields, asked.closes).await;
     };
-    let report = match ask::report(&pairs) {
+    let report = match request::read_report(&pairs) {
         Ok(report) => report,
         Err(fault) => {
             let fields = vec![("x-tindoor-reason", fault.to_string())];
@@ -226,7 +232,7 @@
             give(router, stream, 200, &vec![("x-tindoor-again", "1".into())], asked.closes).await
         }
         other => {
-            let (status, fields) = say::refusal(&other).unwrap_or((502, Vec::new()));
+            let (status, fields) = response::final_headers(&other).unwrap_or((502, Vec::new()));
             give(router, stream, status, &fields, asked.closes).await
         }
     }
--- a/crates/router/src/callers.rs
+++ b/crates/router/src/external/listener.rs
@@ -9,7 +9,7 @@
 use crate::router::Router;
 
 /// Accepts for as long as the router runs, and has each connection served until `talk` ends.
-pub async fn accept<F>(
+pub async fn accept_connections<F>(
     router: Rc<Router>,
     listener: Async<TcpListener>,
     talk: impl Fn(Rc<Router>, Async<TcpStream>) -> F,
--- a/crates/router/src/external.rs
+++ b/crates/router/src/external/mod.rs
@@ -1,6 +1,12 @@
 //! The table of calls between the fronts that only choose and the routing engine: it carries what either
 //! says to the other, and knows no protocol.
 
+pub mod grpc;
+pub mod http;
+pub mod listener;
+mod request;
+mod target;
+
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,7 +16,7 @@
 use tindoor::host::{AttemptStatus, EndpointId, Outcome, OutcomeDetail, RequestMeta, RequestSlot};
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::{
-    Bounds, CallId, CallReply, Counters, ExternalRequest, ExternalRequestTable, Guards, RefusalReason,
+    CallId, CallReply, Counters, EnabledChecks, ExternalRequest, ExternalRequestTable, Limits, RefusalReason,
     Report, RequestNumber, RoutingDecision, TableHost,
 };
 use tindoor_request_runtime::{
@@ -49,7 +55,7 @@
 }
 
 /// One call; over when it is dropped.
-pub struct Open {
+pub struct Call {
     external: Rc<ExternalProcessing>,
     pub stream: CallId,
     pub says: Rc<Mailbox<CallReply>>,
@@ -57,10 +63,10 @@
     pub outlives: bool,
 }
 
-impl Drop for Open {
+impl Drop for Call {
     fn drop(&mut self) {
         if !self.outlives {
-            self.external.tell(|calls, now, _| calls.ended(now, self.stream));
+            self.external.tell(|calls, now, _| calls.call_ended(now, self.stream));
         }
         self.external.ends.borrow_mut().streams.remove(&self.stream);
     }
@@ -73,7 +79,7 @@
 }
 
 impl TableHost for Reach<'_> {
-    fn begin(
+    fn request_started(
         &mut self,
         serial: RequestNumber,
         call: &ExternalRequest,
@@ -81,11 +87,20 @@
     ) {
         let external = Rc::clone(self.external);
         let (no, mailbox) = external.engine.open_request();
-        let ExternalRequest { object, part, group, class, client_retry, left, authorization, .. } = *call;
+        let ExternalRequest {
+            object,
+            part,
+            group,
+            class,
+            client_retry,
+            time_remaining: left,
+            authorization,
+            ..
+        } = *call;
         let asked =
             RequestMeta { object, part, group, class, size_kb: None, client_retry, first_ran, authorization };
         let taken = external.engine.admit(no, asked, left);
-        let (id, orders) = (external.ids.take(call.correlation_id), Rc::clone(&mailbox));
+        let (id, orders) = (external.ids.reserve(call.correlation_id), Rc::clone(&mailbox));
         let _orders = self.external.executor.spawn(async move {
             loop {
                 let order = orders.next().await;
@@ -95,9 +110,9 @@
         self.ends.requests.insert(serial, InHand { no, mailbox, out: Vec::new(), taken, _id: id, _orders });
     }
 
-    fn ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
+    fn attempt_ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
         let Some(request) = self.ends.requests.get_mut(&serial) else { return };
-        let Some(at) = request.out.iter().position(|attempt| attempt.nth == nth) else { return };
+        let Some(at) = request.out.iter().position(|attempt| attempt.index == nth) else { return };
         let attempt = request.out.swap_remove(at);
         if end.status == AttemptStatus::Served {
             self.external.engine.record_outcome(request.taken.take(), true);
@@ -105,7 +120,7 @@
         self.external.engine.attempt_ended(request.no, &attempt, end, last);
     }
 
-    fn left(&mut self, serial: RequestNumber) {
+    fn request_abandoned(&mut self, serial: RequestNumber) {
         if let Some(request) = self.ends.requests.get_mut(&serial) {
             // Whose client leaves says nothing of a policy.
             request.taken = None;
@@ -113,11 +128,11 @@
         }
     }
 
-    fn close(&mut self, serial: RequestNumber) {
+    fn request_finished(&mut self, serial: RequestNumber) {
         let Some(request) = self.ends.requests.remove(&serial) else { return };
         self.external.engine.record_outcome(request.taken, false);
         // What was ordered and never given out is told of as well: else it counts as out for ever.
-        let orders = std::iter::from_fn(|| request.mailbox.take());
+        let orders = std::iter::from_fn(|| request.mailbox.try_next());
         let ordered = orders.filter_map(|order| match order {
             Action::Send(attempt) => Some(attempt),
             _ => None,
@@ -133,9 +148,9 @@
         self.external.engine.close_request(request.no);
     }
 
-    fn say(&mut self, stream: CallId, say: CallReply) {
+    fn reply(&mut self, stream: CallId, say: CallReply) {
         if let Some(says) = self.ends.streams.get(&stream) {
-            says.put_alone(say);
+            says.replace(say);
         }
     }
 
@@ -150,9 +165,9 @@
         engine: Rc<EngineHandle>,
         ids: InFlightIds,
         most: usize,
-        bounds: Bounds,
+        limits: Limits,
     ) -> Rc<Self> {
-        let calls = RefCell::new(ExternalRequestTable::new(bounds, guards(), engine.clock.now()));
+        let calls = RefCell::new(ExternalRequestTable::new(limits, guards(), engine.clock.now()));
         let (ends, alarm) = Default::default();
         Rc::new(Self { executor, engine, ids, most, calls, ends, alarm })
     }
@@ -162,22 +177,22 @@
         let (mut calls, mut ends) = (self.calls.borrow_mut(), self.ends.borrow_mut());
         let now = self.engine.clock.now();
         let told = what(&mut calls, now, &mut Reach { external: self, ends: &mut ends });
-        if let Some(next) = calls.next() {
+        if let Some(next) = calls.next_timer() {
             self.alarm.set(Instant::now() + Duration::from_micros(next.since(now).as_micros()));
         }
         told
     }
 
     /// A new call.
-    pub fn open(self: &Rc<Self>) -> Open {
+    pub fn open(self: &Rc<Self>) -> Call {
         let mut ends = self.ends.borrow_mut();
         ends.next += 1;
         let (stream, says) = (CallId(ends.next), Rc::default());
         ends.streams.insert(stream, Rc::clone(&says));
-        Open { external: Rc::clone(self), stream, says, outlives: false }
+        Call { external: Rc::clone(self), stream, says, outlives: false }
     }
 
-    pub fn call(self: &Rc<Self>, open: &Open, call: ExternalRequest) {
+    pub fn call(self: &Rc<Self>, open: &Call, call: ExternalRequest) {
         // An id names one request at a time, on whichever front it came.
         tracing::debug!(
             stream = open.stream.0,
@@ -185,26 +200,26 @@
             attempt = call.attempt,
             "called"
         );
-        let mine = self.calls.borrow().has(call.correlation_id);
+        let mine = self.calls.borrow().contains(call.correlation_id);
         let full = !self.engine.has_capacity(self.most);
-        if !mine && self.ids.has(call.correlation_id) {
-            return open.says.put_alone(CallReply::Failed(RefusalReason::Ticket));
+        if !mine && self.ids.contains(call.correlation_id) {
+            return open.says.replace(CallReply::Failed(RefusalReason::CorrelationIdInUse));
         }
         if !mine && full {
             let retry_after = self.engine.retry_after();
-            return open.says.put_alone(CallReply::Rejected(retry_after, RefusalReason::NoRoom));
+            return open.says.replace(CallReply::Rejected(retry_after, RefusalReason::NoCapacity));
         }
-        self.tell(|calls, now, host| calls.call(now, host, open.stream, call));
+        self.tell(|calls, now, host| calls.call_received(now, host, open.stream, call));
     }
 
     /// Whether what was said may leave; false where it was taken back.
-    pub fn leaves(&self, open: &Open, say: &CallReply) -> bool {
-        self.calls.borrow_mut().leaves(open.stream, say)
+    pub fn confirm_send(&self, open: &Call, say: &CallReply) -> bool {
+        self.calls.borrow_mut().confirm_send(open.stream, say)
     }
 
     /// A report on the call itself.
-    pub fn report(self: &Rc<Self>, open: &Open, report: Report) {
-        self.tell(|calls, now, host| calls.reported(now, host, open.stream, None, report));
+    pub fn report(self: &Rc<Self>, open: &Call, report: Report) {
+        self.tell(|calls, now, host| calls.report_received(now, host, open.stream, None, report));
     }
 
     /// A report on an earlier call, by its number and ticket; what is said to that one from now on is for
@@ -212,19 +227,19 @@
     /// so: nobody takes over another's call by a number.
     pub fn report_on(
         self: &Rc<Self>,
-        open: &Open,
+        open: &Call,
         stream: CallId,
         correlation_id: u64,
         report: Report,
     ) -> bool {
         let attached = self.ends.borrow().streams.contains_key(&stream);
-        if attached || !self.calls.borrow().is_out(stream, correlation_id) {
+        if attached || !self.calls.borrow().awaits_report(stream, correlation_id) {
             self.report(open, report);
             return false;
         }
         self.ends.borrow_mut().streams.insert(stream, Rc::clone(&open.says));
         self.tell(|calls, now, host| {
-            calls.reported(now, host, stream, Some(correlation_id), report);
+            calls.report_received(now, host, stream, Some(correlation_id), report);
         });
         true
     }
@@ -241,47 +256,51 @@
             request.out.push(attempt);
         }
         self.tell(|calls, now, host| match order {
-            Action::Send(Attempt { nth, cache, wait, directives, .. }) => {
-                let wait = Span::micros(wait.as_micros() as u64);
-                calls.ordered(now, host, serial, RoutingDecision { nth, cache, directives, wait });
+            Action::Send(Attempt { index, endpoint, timeout, directives, .. }) => {
+                let timeout = Span::micros(timeout.as_micros() as u64);
+                let decision = RoutingDecision { attempt_index: index, endpoint, directives, timeout };
+                calls.decision_made(now, host, serial, decision);
             }
-            Action::Cancel(nth) => calls.cancelled(host, serial, nth),
-            Action::Reject(retry_after) => calls.refused_by_module(now, host, serial, Some(retry_after)),
-            Action::Fail => calls.refused_by_module(now, host, serial, None),
+            Action::Cancel(nth) => calls.attempt_cancelled(host, serial, nth),
+            Action::Reject(retry_after) => calls.request_rejected(now, host, serial, retry_after),
+            Action::Fail => calls.request_failed(now, host, serial),
             // The router ends: all at once, as each is one of them.
-            Action::Abandon => calls.abandon_all(now, host),
+            Action::Abandon => calls.shut_down(now, host),
         });
     }
 
     /// The list or a purge was told: what is no longer the right choice is taken back where it can be.
-    pub fn told(self: &Rc<Self>, stale: impl Fn(&ExternalRequest, &RoutingDecision) -> bool) {
-        self.tell(|calls, _, host| calls.told(host, stale));
+    pub fn withdraw_stale_decisions(
+        self: &Rc<Self>,
+        stale: impl Fn(&ExternalRequest, &RoutingDecision) -> bool,
+    ) {
+        self.tell(|calls, _, host| calls.withdraw_stale_decisions(host, stale));
     }
 
-    pub fn figures(&self) -> Counters {
-        self.calls.borrow().figures
+    pub fn counters(&self) -> Counters {
+        self.calls.borrow().counters
     }
 
     /// Ends what is due; never ends itself.
-    pub async fn keep_time(self: &Rc<Self>) {
+    pub async fn run_timers(self: &Rc<Self>) {
         loop {
-            self.alarm.rings().await;
-            self.tell(|calls, now, host| calls.tick(now, host));
+            self.alarm.fired().await;
+            self.tell(|calls, now, host| calls.timer_fired(now, host));
         }
     }
 }
 
 /// All guards stand. An experiment of the lab may name one to take out, in a build for tests only, to see
 /// that its audit notices.
-fn guards() -> Guards {
-    let mut guards = Guards::default();
+fn guards() -> EnabledChecks {
+    let mut guards = EnabledChecks::default();
     if cfg!(debug_assertions)
         && let Ok(without) = std::env::var("TINDOOR_WITHOUT")
     {
         match without.as_str() {
             "marks" => guards.idempotency_keys = false,
             "tickets" => guards.correlation_ids = false,
-            "withdraw" => guards.withdraw = false,
+            "withdraw" => guards.withdrawal = false,
             "leases" => guards.leases = false,
             // Those of links are taken out there.
             "links" | "revoked" | "clock" => {}
--- a/crates/router/src/wanted.rs
+++ b/crates/router/src/external/request.rs
@@ -2,15 +2,15 @@
 
 use tindoor::time::Moment;
 use tindoor_external_requests::{CallReply, ExternalRequest};
-use tindoor_extproc::ask::{self, Headers, Names};
-use tindoor_extproc::say::{self, Fields};
+use tindoor_extproc::request::{self as extproc_request, HeaderError, HeaderNames, Headers};
+use tindoor_extproc::response::{self, HeaderFields};
 use tindoor_signed_urls::playback::Playback;
 
 use crate::links::Judged;
 use crate::router::Router;
 
 /// What is asked, read and checked.
-pub struct Wanted {
+pub struct CheckedRequest {
     pub call: ExternalRequest,
     /// Where links are checked: the path that goes on.
     pub path: Option<String>,
@@ -26,28 +26,32 @@
 }
 
 /// Reads a call; names the header that can't be used.
-pub fn wanted(router: &Router, headers: &Headers, names: &Names) -> Result<Wanted, ask::Fault> {
+pub fn read_request(
+    router: &Router,
+    headers: &Headers,
+    names: &HeaderNames,
+) -> Result<CheckedRequest, HeaderError> {
     let Some(links) = &router.links else {
-        let call = ask::call(headers, names, &router.asked)?;
-        return Ok(Wanted { call, path: None, why: None, playback: None });
+        let call = extproc_request::read_request(headers, names, &router.asked)?;
+        return Ok(CheckedRequest { call, path: None, why: None, playback: None });
     };
     let path = headers.one(&names.path).unwrap_or_default();
     let judged = links.judge(path, headers, unix_ms(router));
-    let judged = judged.map_err(|_| ask::Fault { header: names.path.clone(), what: "no normal form" })?;
+    let judged = judged.map_err(|_| HeaderError { header: names.path.clone(), problem: "no normal form" })?;
     let rest = headers.0.iter().copied().filter(|header| header.0 != names.path);
     let headers = Headers(rest.chain([(names.path.as_str(), judged.path.as_bytes())]).collect());
-    let mut call = ask::call(&headers, names, &router.asked)?;
+    let mut call = extproc_request::read_request(&headers, names, &router.asked)?;
     let Judged { path, authorization, why, playback } = judged;
     if !links.needs(call.class) {
-        return Ok(Wanted { call, path: Some(path), why: None, playback: None });
+        return Ok(CheckedRequest { call, path: Some(path), why: None, playback: None });
     }
     call.authorization = authorization;
-    Ok(Wanted { call, path: Some(path), why, playback })
+    Ok(CheckedRequest { call, path: Some(path), why, playback })
 }
 
 /// A final answer; `why` says what is wrong with the client's link.
-pub fn refused(say: &CallReply, why: Option<&str>) -> (u16, Fields) {
-    let (mut status, mut fields) = say::refusal(say).unwrap_or((502, Vec::new()));
+pub fn final_reply(say: &CallReply, why: Option<&str>) -> (u16, HeaderFields) {
+    let (mut status, mut fields) = response::final_headers(say).unwrap_or((502, Vec::new()));
     if let Some(why) = why {
         // The client's own link is at fault, not the caches.
         status = if status == 502 { 403 } else { status };
--- a/crates/router/src/places.rs
+++ b/crates/router/src/external/target.rs
@@ -1,16 +1,16 @@
 //! Where the cache and the source of a choice are to be found.
 
 use tindoor_external_requests::RoutingDecision;
-use tindoor_extproc::say::RoutingTarget;
+use tindoor_extproc::response::RoutingTarget;
 
 use crate::router::Router;
 
-pub fn of(router: &Router, decision: &RoutingDecision) -> RoutingTarget {
-    let address = router.caches.address(decision.cache).map(|address| address.to_string());
+pub fn resolve(router: &Router, decision: &RoutingDecision) -> RoutingTarget {
+    let address = router.caches.address(decision.endpoint).map(|address| address.to_string());
     let source =
-        decision.directives.map(|directives| directives.source).filter(|source| *source != decision.cache);
+        decision.directives.map(|directives| directives.source).filter(|source| *source != decision.endpoint);
     RoutingTarget {
-        cache: router.caches.id(decision.cache),
+        cache: router.caches.id(decision.endpoint),
         address: address.unwrap_or_default(),
         source: source.map(|source| router.caches.id(source)),
     }
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/feed.rs
@@ -138,7 +138,7 @@
             cache,
             stable: stable(&member.id),
             standing,
-            started: Some(member.up_since_ms).filter(|at| *at > 0).map(Clock::unix_ms),
+            started: Some(member.up_since_ms).filter(|at| *at > 0).map(Clock::at_unix_ms),
             location: place(&router.locations, &member.locality),
             size: member.size,
             kind: place(&router.kinds, &member.flavor),
@@ -152,8 +152,8 @@
     let form = if fleet.complete { ListUpdateKind::Full } else { ListUpdateKind::Delta };
     router.engine.with(|control| control.endpoints_changed(form, &lines));
     let ready = |no| router.caches.is_ready(no);
-    router.external.told(|_, decision| {
-        !ready(decision.cache) || decision.directives.is_some_and(|directives| !ready(directives.source))
+    router.external.withdraw_stale_decisions(|_, decision| {
+        !ready(decision.endpoint) || decision.directives.is_some_and(|directives| !ready(directives.source))
     });
 }
 
@@ -167,12 +167,12 @@
     };
     router.caches.purged();
     let now: Moment = router.engine.clock.now();
-    let ago = now.since(Clock::unix_ms(purge.time));
+    let ago = now.since(Clock::at_unix_ms(purge.time));
     if let Some(links) = &router.links {
         links.heard(0, purge.time, now.since(Moment::default()).as_micros() / 1000);
     }
     router.engine.with(|control| control.purged(object, group, ago));
-    router.external.told(|call, _| match object {
+    router.external.withdraw_stale_decisions(|call, _| match object {
         Some(object) => call.object == object,
         None => call.group == group,
     });
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -435,7 +435,7 @@
 }
 
 impl AdmissionGate for Fleet {
-    fn renews(&self) -> std::result::Result<Option<Settings>, Span> {
+    fn updated_settings(&self) -> std::result::Result<Option<Settings>, Span> {
         let _whole = Whole;
         let mut node = self.node.borrow_mut();
         let (now, jumped) = self.clock.now();
@@ -449,11 +449,11 @@
         }
     }
 
-    fn most_in_hand(&self) -> usize {
+    fn max_in_flight(&self) -> usize {
         self.most_in_hand.get()
     }
 
-    fn admits(&self, account: u64) -> std::result::Result<u64, Span> {
+    fn admit(&self, account: u64) -> std::result::Result<u64, Span> {
         // One account's flood is rejected before it costs others anything.
         match self.shares(|participant, now| participant.spend(now, &[Budget::Accounts.of(account)])) {
             true => Ok(self.adopted.get()),
@@ -461,7 +461,7 @@
         }
     }
 
-    fn ended(&self, generation: u64, class: u16, done: bool, took: Duration) {
+    fn request_ended(&self, generation: u64, class: u16, done: bool, took: Duration) {
         if done {
             self.further.set(self.further.get().map(RetryBudget::filled));
         }
@@ -496,7 +496,7 @@
         Some(FillCharge { at, class: draw.class, fills: draw.fills })
     }
 
-    fn settle(&self, drawn: FillCharge, end: Outcome) {
+    fn settle_charge(&self, drawn: FillCharge, end: Outcome) {
         let lines = self.place.fills(drawn.class);
         self.shares(|participant, now| {
             participant.settled(now, drawn.at, &lines, self.place.by_origin(end));
--- a/crates/router/src/fronts.rs
+++ b/crates/router/src/fronts.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Result, anyhow};
 use serde::Deserialize;
-use tindoor_extproc::ask::Names;
+use tindoor_extproc::request::HeaderNames;
 
 use crate::links::Told;
 
@@ -29,7 +29,7 @@
     pub listen: SocketAddr,
     /// Which headers say what.
     #[serde(default)]
-    pub headers: Names,
+    pub headers: HeaderNames,
 }
 
 /// Reads the file from its JSON text; an error names the line and the key at fault.
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use tindoor::time::Span;
-use tindoor_external_requests::Bounds;
+use tindoor_external_requests::Limits as ExternalRequestLimits;
 
 /// How many descriptors are kept for what is neither a client's nor a cache's: about a dozen are in use.
 const KEPT_AT_LEAST: usize = 16;
@@ -212,18 +212,18 @@
     /// Those of the table of calls, with the shortest grace and the longest window of the deployment. A
     /// choice that is given just before a drain or purge is told must be used within half the grace: the
     /// other half is for what is told to reach this router.
-    pub fn calls(&self, grace: Duration, window: Duration) -> Bounds {
+    pub fn external_requests(&self, grace: Duration, window: Duration) -> ExternalRequestLimits {
         let span = |time: Duration| Span::micros(time.as_micros() as u64);
-        Bounds {
-            requests: self.open_requests,
-            idempotency_keys: self.idempotency_keys,
-            over: self.over,
-            waiters: self.waiters,
+        ExternalRequestLimits {
+            max_requests: self.open_requests,
+            max_idempotency_keys: self.idempotency_keys,
+            max_finished: self.over,
+            max_waiters: self.waiters,
             use_within: span(self.use_within.min(grace / 2)),
-            report_within: span(self.report_within),
-            again_within: span(self.again_within),
-            window: span(window),
-            longest: span(self.patience),
+            report_grace: span(self.report_within),
+            retry_window: span(self.again_within),
+            idempotency_window: span(window),
+            max_request_time: span(self.patience),
         }
     }
 }
--- a/crates/router/src/links.rs
+++ b/crates/router/src/links.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use tindoor::host::Authorization;
 use tindoor::time::Span;
-use tindoor_extproc::ask::{Headers, RequestClass};
+use tindoor_extproc::request::{Headers, RequestClass};
 use tindoor_signed_urls::Format;
 use tindoor_signed_urls::claims::{Asked, Now, Refusal};
 use tindoor_signed_urls::clock::Clock;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -2,7 +2,6 @@
 
 mod accept;
 mod caches;
-mod callers;
 mod client;
 mod clients;
 mod command;
@@ -18,13 +17,9 @@
 mod locate;
 mod operate;
 mod peers;
-mod places;
-mod processor;
 mod request;
 mod router;
 mod signals;
-mod subrequests;
-mod wanted;
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -54,7 +49,7 @@
 use router::Router;
 use tindoor::time::Span;
 use tindoor_discovery::Place;
-use tindoor_extproc::ask::RequestClass;
+use tindoor_extproc::request::RequestClass;
 use tindoor_request_runtime::{AdmissionGate, EngineHandle, InFlightIds};
 
 fn main() -> ExitCode {
@@ -112,8 +107,8 @@
 fn asked(deployment: &Deployment) -> Vec<RequestClass> {
     let class = |class: &configuration::RequestClass| RequestClass {
         name: class.name.clone(),
-        tagged: class.tagged,
-        cut_off: class.cut_off,
+        requires_idempotency_key: class.tagged,
+        default_deadline: class.cut_off,
     };
     deployment.classes.iter().map(class).collect()
 }
@@ -178,7 +173,7 @@
         Rc::clone(&engine),
         ids.clone(),
         limits.open_requests,
-        limits.calls(deployment.grace, deployment.window),
+        limits.external_requests(deployment.grace, deployment.window),
     );
     let links = match fronts.links {
         Some(told) => Some(Links::start(told, &asked, seed).context("fronts")?),
@@ -261,19 +256,19 @@
     if let Some(front) = fronts.external_processing {
         let listener = bind("external_processing", front.listen)?;
         let names = Rc::new(front.headers);
-        let talk = move |router, stream| processor::converse(router, stream, Rc::clone(&names));
-        executor.spawn(callers::accept(Rc::clone(&router), listener, talk)).detach();
+        let talk = move |router, stream| external::grpc::serve_connection(router, stream, Rc::clone(&names));
+        executor.spawn(external::listener::accept_connections(Rc::clone(&router), listener, talk)).detach();
     }
     if let Some(front) = fronts.call {
         let listener = bind("call", front.listen)?;
         let names = Rc::new(front.headers);
-        let talk = move |router, stream| subrequests::converse(router, stream, Rc::clone(&names));
-        executor.spawn(callers::accept(Rc::clone(&router), listener, talk)).detach();
+        let talk = move |router, stream| external::http::serve_connection(router, stream, Rc::clone(&names));
+        executor.spawn(external::listener::accept_connections(Rc::clone(&router), listener, talk)).detach();
     }
     let timed = Rc::clone(&router);
     executor.spawn(async move { timed.engine.run_timers().await }).detach();
     let timed = Rc::clone(&router);
-    executor.spawn(async move { timed.external.keep_time().await }).detach();
+    executor.spawn(async move { timed.external.run_timers().await }).detach();
     let swept = Rc::clone(&router);
     let sweep = async move {
         loop {
@@ -353,5 +348,5 @@
         fleet.tell(|node, now| node.leave(now));
         look_again().await;
     }
-    tracing::info!(calls = ?router.external.figures(), "stopped");
+    tracing::info!(calls = ?router.external.counters(), "stopped");
 }
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -7,10 +7,12 @@
 use async_io::Timer;
 use bytes::Bytes;
 use futures_lite::future;
-use tindoor::host::{AttemptStatus, Authorization, RequestMeta, RequestSlot};
+use tindoor::host::{AttemptStatus, Authorization, Outcome, RequestMeta, RequestSlot};
 use tindoor::time::Span;
 use tindoor_http::Ask;
-use tindoor_request_runtime::{Attempt, AttemptEnd, FinalAnswer, Mailbox, RequestTransport, run_request};
+use tindoor_request_runtime::{
+    Attempt, AttemptEnd, FinalAnswer, IncomingRequest, Mailbox, RequestTransport, run_request,
+};
 use tindoor_thrift::{Fields, Reply, aborted, answer, try_later};
 
 use crate::caches::{End, Held};
@@ -47,20 +49,20 @@
 impl RequestTransport for Served<'_> {
     type Payload = (End, Option<Held>);
 
-    async fn carry(&self, attempt: Attempt) -> AttemptEnd<Self::Payload> {
+    async fn send(&self, attempt: Attempt) -> AttemptEnd<Self::Payload> {
         let (end, held) = exchange(self, attempt).await;
-        AttemptEnd { verdict: end.verdict, note: end.note, payload: (end, held) }
+        AttemptEnd { outcome: Outcome::new(end.verdict, end.note), payload: (end, held) }
     }
 
     fn answer(&self, given: FinalAnswer<Self::Payload>) {
         let seq = self.call.seq;
         let (reply, held) = match given {
-            FinalAnswer::Done((end, held)) => {
+            FinalAnswer::Served((end, held)) => {
                 let fields: &[_] = if end.valid { &[("valid", "1")] } else { &[] };
                 (answer("call", seq, end.body, fields, true), held)
             }
-            FinalAnswer::TurnedBack(retry_after) => (rejected(seq, retry_after), None),
-            FinalAnswer::WrittenOff | FinalAnswer::Left => (aborted(seq, &[]), None),
+            FinalAnswer::Rejected(retry_after) => (rejected(seq, retry_after), None),
+            FinalAnswer::Failed | FinalAnswer::Abandoned => (aborted(seq, &[]), None),
         };
         self.client.answer(seq, self.mailbox, reply, held);
     }
@@ -87,12 +89,12 @@
     };
     // Hundreds may be withdrawn in the same breath in which they are sent: those never come to the routing engine.
     // And an id names one request at a time: caches tell requests apart by it.
-    if mailbox.has_orders() {
+    if !mailbox.is_empty() {
         // Owed still where it was not withdrawn, but its connection is being closed.
         client.answer(seq, &mailbox, aborted(seq, &[]), None);
         return router.engine.close_request(no);
     }
-    let Some(_id) = router.ids.take(wanted.id) else {
+    let Some(_id) = router.ids.reserve(wanted.id) else {
         client.answer(seq, &mailbox, aborted(seq, &[("reason", "trace")]), None);
         return router.engine.close_request(no);
     };
@@ -104,7 +106,8 @@
     let longest = Span::micros(router.limits.patience.as_micros() as u64);
     let left = (wanted.patience - gone).min(stop).min(longest);
     let hand = Served { router: &router, client: &client, mailbox: &mailbox, call: &call, wanted: &wanted };
-    run_request(&router.engine, no, &mailbox, (wanted.asked, left), &hand).await;
+    let request = IncomingRequest { slot: no, mailbox: &mailbox, meta: wanted.asked, time_remaining: left };
+    run_request(&router.engine, request, &hand).await;
     router.engine.close_request(no);
 }
 
@@ -118,7 +121,7 @@
 /// One attempt, within its own time.
 async fn exchange(served: &Served<'_>, attempt: Attempt) -> (End, Option<Held>) {
     let Served { router, client, call, wanted, .. } = *served;
-    let Attempt { cache, wait, directives, ordered, .. } = attempt;
+    let Attempt { endpoint: cache, timeout: wait, directives, issued_at: ordered, .. } = attempt;
     let source = directives.map(|directives| directives.source);
     let outlook = router.caches.outlook(cache, source);
     let source_id = source.filter(|source| *source != cache).map(|source| router.caches.id(source));
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -6,7 +6,7 @@
 
 use async_executor::LocalExecutor;
 use tindoor_discovery::Place;
-use tindoor_extproc::ask::RequestClass as Asked;
+use tindoor_extproc::request::RequestClass as Asked;
 use tindoor_request_runtime::{EngineHandle, InFlightIds};
 
 use crate::accept::Connections;
