--- /dev/null
+++ b/crates/request-runtime/src/clock.rs
@@ -0,0 +1,31 @@
+//! The clock of the routing engine.
+
+use std::time::{Duration, Instant, SystemTime};
+
+use tindoor::time::Moment;
+
+const MICROS_PER_MILLI: u64 = 1000;
+
+/// A monotonic clock, set to the Unix clock once at the start.
+#[derive(Clone, Copy)]
+pub struct Clock {
+    start: Instant,
+    unix_at_start: Duration,
+}
+
+impl Clock {
+    pub(crate) fn new() -> Self {
+        let unix_at_start = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        Self { start: Instant::now(), unix_at_start }
+    }
+
+    /// The time now.
+    pub fn now(&self) -> Moment {
+        Moment::at_micros((self.unix_at_start + self.start.elapsed()).as_micros() as u64)
+    }
+
+    /// A Unix time in milliseconds as a point on this clock.
+    pub fn at_unix_ms(ms: u64) -> Moment {
+        Moment::at_micros(ms.saturating_mul(MICROS_PER_MILLI))
+    }
+}
--- a/crates/request-runtime/src/lib.rs
+++ b/crates/request-runtime/src/lib.rs
@@ -1,11 +1,22 @@
-//! What every front shares and what knows no protocol: the requests in hand with their numbers and ids, the
-//! decision module with its clock and its orders, and the life of one request.
+//! What every front shares and what knows no protocol: the requests in flight with their slots and correlation ids,
+//! the routing engine with its clock and its actions, and the lifecycle of one request.
 
-mod desk;
-mod life;
+mod admission;
+mod attempt;
+mod clock;
+mod engine_handle;
+mod engine_host;
+mod in_flight_ids;
+mod lifecycle;
+mod mailbox;
+mod timer;
 
-pub use desk::{
-    Action, AdmissionGate, AdmittedRequest, Attempt, Clock, EngineHandle, EngineHost, FillCharge, InFlightId,
-    InFlightIds, Mailbox, WakeTimer,
-};
-pub use life::{AttemptEnd, FinalAnswer, IncomingRequest, RequestTransport, run_request};
+pub use admission::{AdmissionGate, AdmittedRequest, FillCharge};
+pub use attempt::{Action, Attempt};
+pub use clock::Clock;
+pub use engine_handle::EngineHandle;
+pub use engine_host::EngineHost;
+pub use in_flight_ids::{InFlightId, InFlightIds};
+pub use lifecycle::{AttemptEnd, FinalAnswer, IncomingRequest, RequestTransport, run_request};
+pub use mailbox::Mailbox;
+pub use timer::WakeTimer;
