--- a/crates/external-requests/benches/table.rs
+++ b/crates/external-requests/benches/table.rs
@@ -1,21 +1,21 @@
-//! What one call takes in the table, empty and with a million marks known, and the memory of those.
+//! What one call takes in the table, empty and with a million idempotency keys stored, and the memory of those.
 
 use std::hint::black_box;
 
-use criterion::{Criterion, criterion_group, criterion_main};
+use criterion::Criterion;
 use tindoor::host::{AttemptStatus, Authorization, EndpointId, Outcome, OutcomeDetail};
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::*;
 
-struct Nobody;
+struct DiscardingHost;
 
-impl TableHost for Nobody {
+impl TableHost for DiscardingHost {
     fn request_started(&mut self, _: RequestNumber, _: &ExternalRequest, _: Option<(Moment, EndpointId)>) {}
     fn attempt_ended(&mut self, _: RequestNumber, _: u16, _: Outcome, _: bool) {}
     fn request_abandoned(&mut self, _: RequestNumber) {}
     fn request_finished(&mut self, _: RequestNumber) {}
-    fn reply(&mut self, stream: CallId, say: CallReply) {
-        black_box((stream, say));
+    fn reply(&mut self, call: CallId, reply: CallReply) {
+        black_box((call, reply));
     }
     fn retry_after(&mut self) -> Option<Span> {
         None
@@ -37,68 +37,78 @@
     ExternalRequestTable::new(limits, EnabledChecks::default(), Moment::default())
 }
 
-/// Asked, chosen, sent and reported done.
-fn one(calls: &mut ExternalRequestTable, nth: u64, idempotency_key: Option<u128>) {
-    let now = Moment::at_micros(100_000_000 + nth * 20);
-    let (class, object, part, group, client_retry, attempt) = (0, nth % 5000, 0, 3, false, 1);
-    let left = Span::millis(3000);
-    let call = ExternalRequest {
-        correlation_id: nth,
-        attempt,
-        class,
-        object,
-        part,
-        group,
+/// Runs one request from its call to its report.
+fn run_request(table: &mut ExternalRequestTable, index: u64, idempotency_key: Option<u128>) {
+    let now = Moment::at_micros(100_000_000 + index * 20);
+    let time_remaining = Span::millis(3000);
+    let request = ExternalRequest {
+        correlation_id: index,
+        attempt: 1,
+        class: 0,
+        object: index % 5000,
+        part: 0,
+        group: 3,
         idempotency_key,
-        client_retry,
-        time_remaining: left,
+        client_retry: false,
+        time_remaining,
         authorization: Authorization::Granted,
     };
-    let stream = CallId(nth);
-    calls.timer_fired(now, &mut Nobody);
-    calls.call_received(now, &mut Nobody, stream, call);
-    let decision =
-        RoutingDecision { attempt_index: 0, endpoint: EndpointId(1), directives: None, timeout: left };
-    calls.decision_made(now, &mut Nobody, RequestNumber(nth), decision);
-    calls.confirm_send(stream, &CallReply::Decision { decision, use_within: left, time_remaining: left });
-    let known = StoredResult { status: 200, version: 0 };
+    let (host, call) = (&mut DiscardingHost, CallId(index));
+    table.timer_fired(now, host);
+    table.call_received(now, host, call, request);
+    let decision = RoutingDecision {
+        attempt_index: 0,
+        endpoint: EndpointId(1),
+        directives: None,
+        timeout: time_remaining,
+    };
+    table.decision_made(now, host, RequestNumber(index), decision);
+    table.confirm_send(call, &CallReply::Decision { decision, use_within: time_remaining, time_remaining });
     let report = Report {
         outcome: Outcome::new(AttemptStatus::Served, OutcomeDetail::Unknown),
-        stored_result: known,
+        stored_result: StoredResult { status: 200, version: 0 },
         used_after: None,
     };
-    calls.report_received(now, &mut Nobody, stream, None, report);
+    table.report_received(now, host, call, None, report);
 }
 
-fn resident() -> u64 {
+fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap_or_default();
     line.split_whitespace().nth(1).and_then(|size_kb| size_kb.parse().ok()).unwrap_or_default()
 }
 
-fn bench(criterion: &mut Criterion) {
-    let (mut calls, mut nth) = (table(), 0);
-    criterion.bench_function("a page, asked to reported", |bencher| {
+fn bench_empty(criterion: &mut Criterion) {
+    let (mut table, mut index) = (table(), 0);
+    criterion.bench_function("a read, from call to report", |bencher| {
         bencher.iter(|| {
-            nth += 1;
-            one(&mut calls, nth, None);
+            index += 1;
+            run_request(&mut table, index, None);
         });
     });
-    let (mut calls, before) = (table(), resident());
-    for nth in 1..=1_000_000u64 {
-        // All within a window, so that none has its end yet.
-        one(&mut calls, nth, Some(u128::from(nth).wrapping_mul(0x9E37_79B9_7F4A_7C15_F39C_C060_5CED_C834)));
+}
+
+fn bench_million_keys(criterion: &mut Criterion) {
+    let (mut table, before) = (table(), resident_kb());
+    for index in 1..=1_000_000u64 {
+        // All within a window, so that none expires yet.
+        let key = u128::from(index).wrapping_mul(0x9E37_79B9_7F4A_7C15_F39C_C060_5CED_C834);
+        run_request(&mut table, index, Some(key));
     }
-    let idempotency_keys = calls.idempotency_keys().len();
-    println!("{idempotency_keys} marks and as many tickets over: {} kB more resident", resident() - before);
-    let mut nth = 1_000_000;
-    criterion.bench_function("a save beside a million marks", |bencher| {
+    let keys = table.idempotency_keys().len();
+    println!("{keys} idempotency keys and as many finished requests: {} kB resident", resident_kb() - before);
+    let mut index = 1_000_000;
+    criterion.bench_function("a write beside a million idempotency keys", |bencher| {
         bencher.iter(|| {
-            nth += 1;
-            one(&mut calls, nth, Some(u128::from(nth) << 64));
+            index += 1;
+            run_request(&mut table, index, Some(u128::from(index) << 64));
         });
     });
 }
 
-criterion_group!(benches, bench);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    bench_empty(&mut criterion);
+    bench_million_keys(&mut criterion);
+    criterion.final_summary();
+}
--- a/crates/external-requests/src/idempotency_keys.rs
+++ b/crates/external-requests/src/idempotency_keys.rs
@@ -1,90 +1,85 @@
-//! What is known of the marks of writes: in hand, done, or one that may have run. Each has an end, and their
-//! number a bound; one that may have run is never forgotten early to make room for another.
+//! The idempotency keys of writes. Their number is bounded and each is kept for a stated time; a key whose write may
+//! have run is never evicted early to make room for another.
 
 use std::collections::BTreeMap;
 
 use tindoor::host::EndpointId;
 use tindoor::time::Moment;
 
-use crate::RequestNumber;
 use crate::timers::Timers;
+use crate::{RequestNumber, StoredResult};
 
-/// The answer that a done attempt brought, as far as the router sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct StoredResult {
-    pub status: u16,
-    /// The version of the object, 16 hex digits as a number; 0 where none was told.
-    pub version: u64,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum State {
-    InHand(RequestNumber),
+pub(crate) enum KeyState {
+    InFlight(RequestNumber),
     Done(StoredResult),
-    /// When and where it first may have run; it has no known end.
-    Ran(Moment, EndpointId),
+    /// When and where the write first may have run; whether it did is not known.
+    MayHaveRun(Moment, EndpointId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Entry {
-    state: State,
-    /// From when on it may be forgotten; none while it is in hand.
-    until: Option<Moment>,
+    state: KeyState,
+    /// None while its request is in flight.
+    expires_at: Option<Moment>,
 }
 
-/// The marks of writes that were lately seen.
+/// The idempotency keys of writes in flight and of those that ended lately.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct IdempotencyKeys {
     entries: BTreeMap<u128, Entry>,
-    ends: Timers<u128>,
+    expiry: Timers<u128>,
 }
 
 impl IdempotencyKeys {
+    /// How many keys are stored.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether no key is stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    pub(crate) fn state(&self, idempotency_key: u128) -> Option<State> {
-        self.entries.get(&idempotency_key).map(|entry| entry.state)
+    pub(crate) fn state(&self, key: u128) -> Option<KeyState> {
+        self.entries.get(&key).map(|entry| entry.state)
     }
 
-    /// Takes a mark in hand; false where there is no room for a new one.
-    pub(crate) fn take(&mut self, idempotency_key: u128, serial: RequestNumber, most: usize) -> bool {
-        if !self.entries.contains_key(&idempotency_key) && self.entries.len() >= most {
+    /// Reserves a key for a request; false where a new key finds no capacity.
+    pub(crate) fn reserve(&mut self, key: u128, number: RequestNumber, max_keys: usize) -> bool {
+        if !self.entries.contains_key(&key) && self.entries.len() >= max_keys {
             return false;
         }
-        let old = self.entries.insert(idempotency_key, Entry { state: State::InHand(serial), until: None });
-        if let Some(until) = old.and_then(|old| old.until) {
-            self.ends.unset(until, idempotency_key);
+        let entry = Entry { state: KeyState::InFlight(number), expires_at: None };
+        let previous = self.entries.insert(key, entry);
+        if let Some(expires_at) = previous.and_then(|previous| previous.expires_at) {
+            self.expiry.cancel(expires_at, key);
         }
         true
     }
 
-    /// Its request is over: what is known of it now, and until when; nothing where it never ran.
-    pub(crate) fn settle(&mut self, idempotency_key: u128, known: Option<(State, Moment)>) {
-        match known {
-            Some((state, until)) => {
-                self.entries.insert(idempotency_key, Entry { state, until: Some(until) });
-                self.ends.set(until, idempotency_key);
-            }
-            None => drop(self.entries.remove(&idempotency_key)),
-        }
+    /// Stores what is known of a write whose request ended, until `expires_at`.
+    pub(crate) fn store(&mut self, key: u128, state: KeyState, expires_at: Moment) {
+        self.entries.insert(key, Entry { state, expires_at: Some(expires_at) });
+        self.expiry.schedule(expires_at, key);
+    }
+
+    /// Releases the key of a write that never ran.
+    pub(crate) fn release(&mut self, key: u128) {
+        self.entries.remove(&key);
     }
 
-    /// Forgets those whose end has come.
-    pub(crate) fn sweep(&mut self, now: Moment) {
-        while let Some((at, idempotency_key)) = self.ends.take(now) {
-            if self.entries.get(&idempotency_key).is_some_and(|entry| entry.until == Some(at)) {
-                self.entries.remove(&idempotency_key);
+    /// Removes the keys that have expired.
+    pub(crate) fn remove_expired(&mut self, now: Moment) {
+        while let Some((at, key)) = self.expiry.pop_due(now) {
+            if self.entries.get(&key).is_some_and(|entry| entry.expires_at == Some(at)) {
+                self.entries.remove(&key);
             }
         }
     }
 
-    pub(crate) fn next(&self) -> Option<Moment> {
-        self.ends.next()
+    pub(crate) fn next_expiry(&self) -> Option<Moment> {
+        self.expiry.next()
     }
 }
--- /dev/null
+++ b/crates/external-requests/src/table/admission.rs
@@ -0,0 +1,151 @@
+//! A call arrives: it is a new request, a retry of one, or a duplicate of a write.
+
+use tindoor::host::EndpointId;
+use tindoor::time::Moment;
+
+use super::ExternalRequestTable;
+use super::request::{Progress, Request, Timer, Waiter, may_resume};
+use crate::idempotency_keys::KeyState;
+use crate::{CallId, CallReply, ExternalRequest, RefusalReason, RequestNumber, StoredResult, TableHost};
+
+/// Whether a new request may run, by its idempotency key.
+enum KeyCheck {
+    /// It may, and an earlier one first may have run then and there.
+    Reserved { first_ran: Option<(Moment, EndpointId)> },
+    /// A request with this key is in flight.
+    InFlight(RequestNumber),
+    /// The write is done.
+    Done(StoredResult),
+    /// There is no capacity for one more key.
+    NoCapacity,
+}
+
+impl ExternalRequestTable {
+    /// A proxy asks for a decision.
+    pub fn call_received(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        call: CallId,
+        request: ExternalRequest,
+    ) {
+        self.counters.calls += 1;
+        self.idempotency_keys.remove_expired(now);
+        if let Some(number) = self.number_in_flight(request.correlation_id) {
+            return self.retry_received(now, host, number, call, request);
+        }
+        if let Some(reply) = self.finished_reply(now, &request) {
+            self.counters.rejected += 1;
+            return host.reply(call, reply);
+        }
+        if self.is_full() {
+            return self.reject_call(host, call);
+        }
+        match self.check_key(now, &request) {
+            KeyCheck::Reserved { first_ran } => self.start_request(now, host, call, request, first_ran),
+            KeyCheck::InFlight(number) => self.wait_for(now, host, number, call, request),
+            KeyCheck::Done(result) => {
+                self.counters.replayed += 1;
+                host.reply(call, CallReply::Replayed(result));
+            }
+            KeyCheck::NoCapacity => self.reject_call(host, call),
+        }
+    }
+
+    fn is_full(&self) -> bool {
+        self.requests.len() >= self.limits.max_requests || self.finished.len() >= self.limits.max_finished
+    }
+
+    fn number_in_flight(&self, correlation_id: u64) -> Option<RequestNumber> {
+        self.correlation_ids.get(&correlation_id).copied().filter(|_| self.checks.correlation_ids)
+    }
+
+    /// The reply to a call for a request that finished lately.
+    fn finished_reply(&self, now: Moment, request: &ExternalRequest) -> Option<CallReply> {
+        let finished = self.finished.get(&request.correlation_id)?;
+        if !self.checks.correlation_ids || finished.until <= now {
+            return None;
+        }
+        // The result of a write is disclosed only to those whose signed URL is valid.
+        let in_use = CallReply::Failed(RefusalReason::CorrelationIdInUse);
+        Some(if may_resume(request) { finished.reply } else { in_use })
+    }
+
+    /// Reserves the idempotency key of a new request. A request that is not authorized learns nothing of another's
+    /// write, and reserves no key.
+    fn check_key(&mut self, now: Moment, request: &ExternalRequest) -> KeyCheck {
+        let Some(key) = self.reserved_key(request) else { return KeyCheck::Reserved { first_ran: None } };
+        let first_ran = match self.idempotency_keys.state(key) {
+            Some(KeyState::InFlight(number)) => return KeyCheck::InFlight(number),
+            Some(KeyState::Done(result)) => return KeyCheck::Done(result),
+            Some(KeyState::MayHaveRun(at, endpoint)) => Some((at, endpoint)),
+            None => self.assumed_first_run(now, request),
+        };
+        let number = RequestNumber(self.last_number + 1);
+        match self.idempotency_keys.reserve(key, number, self.limits.max_idempotency_keys) {
+            true => KeyCheck::Reserved { first_ran },
+            false => KeyCheck::NoCapacity,
+        }
+    }
+
+    /// A router that has just started knows no keys: a retry may have run before the start. The routing engine learns
+    /// of it as long past, and does not run it again.
+    fn assumed_first_run(&self, now: Moment, request: &ExternalRequest) -> Option<(Moment, EndpointId)> {
+        let is_retry = request.client_retry || request.attempt > 1;
+        let keys_known_from = self.started_at + self.limits.idempotency_window + self.limits.max_request_time;
+        (is_retry && now < keys_known_from).then(|| (Moment::default(), EndpointId(0)))
+    }
+
+    fn start_request(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        call: CallId,
+        request: ExternalRequest,
+        first_ran: Option<(Moment, EndpointId)>,
+    ) {
+        self.last_number += 1;
+        let number = RequestNumber(self.last_number);
+        let entry = Request {
+            call: request,
+            attempt: request.attempt,
+            deadline: now + request.time_remaining.min(self.limits.max_request_time),
+            progress: Progress::AwaitingDecision(call),
+            first_ran,
+            pending_reply: None,
+            waiters: Vec::new(),
+            timer: None,
+        };
+        self.requests.insert(number, entry);
+        self.correlation_ids.insert(request.correlation_id, number);
+        self.calls.insert(call, number);
+        host.request_started(number, &request, first_ran);
+    }
+
+    fn reject_call(&mut self, host: &mut impl TableHost, call: CallId) {
+        self.counters.rejected += 1;
+        let retry_after = host.retry_after();
+        host.reply(call, CallReply::Rejected(retry_after, RefusalReason::NoCapacity));
+    }
+
+    /// Has a call wait for the request in flight with its idempotency key: their result is the same.
+    fn wait_for(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        number: RequestNumber,
+        call: CallId,
+        request: ExternalRequest,
+    ) {
+        let max_waiters = self.limits.max_waiters;
+        let in_flight = self.requests.get_mut(&number);
+        let Some(in_flight) = in_flight.filter(|in_flight| in_flight.waiters.len() < max_waiters) else {
+            return self.reject_call(host, call);
+        };
+        self.counters.waited_for_key += 1;
+        in_flight.waiters.push(call);
+        let until = now + request.time_remaining.min(self.limits.max_request_time);
+        self.waiters.insert(call, Waiter { number, until });
+        self.timers.schedule(until, Timer::Waiter(call));
+    }
+}
--- /dev/null
+++ b/crates/external-requests/src/table/decisions.rs
@@ -0,0 +1,142 @@
+//! The routing engine decides, and decisions are sent, cancelled or withdrawn.
+
+use tindoor::host::AttemptStatus;
+use tindoor::time::Moment;
+
+use super::request::{DecisionLease, Progress};
+use super::{ExternalRequestTable, end_attempt};
+use crate::{CallId, CallReply, ExternalRequest, RequestNumber, RoutingDecision, TableHost};
+
+impl ExternalRequestTable {
+    /// The routing engine ordered an attempt.
+    pub fn decision_made(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        number: RequestNumber,
+        decision: RoutingDecision,
+    ) {
+        let Some(request) = self.requests.get(&number) else { return };
+        match request.progress {
+            Progress::AwaitingDecision(call) => self.issue(now, host, number, call, decision),
+            Progress::AwaitingRetryDecision(call) => {
+                self.calls.remove(&call);
+                self.keep_for_retry(number, decision, now + self.limits.retry_window);
+                host.reply(call, CallReply::AwaitRetry);
+            }
+            Progress::AwaitingNextCall { until } => self.keep_for_retry(number, decision, until),
+            // One attempt is in flight at a time.
+            Progress::DecisionIssued(_) | Progress::RetryReady { .. } | Progress::CallLost { .. } => {
+                end_attempt(host, number, decision.attempt_index, AttemptStatus::Superseded, false);
+            }
+        }
+    }
+
+    fn keep_for_retry(&mut self, number: RequestNumber, decision: RoutingDecision, until: Moment) {
+        let Some(request) = self.requests.get_mut(&number) else { return };
+        request.progress = Progress::RetryReady { decision, until };
+        self.set_timer(number, Some(until));
+    }
+
+    /// Issues a decision to a call, with a lease.
+    pub(super) fn issue(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        number: RequestNumber,
+        call: CallId,
+        decision: RoutingDecision,
+    ) {
+        let Some(request) = self.requests.get_mut(&number) else { return };
+        self.counters.decisions += 1;
+        let time_remaining = decision.timeout.min(request.deadline.since(now));
+        let use_within = self.limits.use_within.min(time_remaining);
+        let expires_at = now + use_within + time_remaining + self.limits.report_grace;
+        request.first_ran = request.first_ran.or(Some((now, decision.endpoint)));
+        let lease = DecisionLease { decision, issued_at: now, expires_at, call, is_sent: false };
+        request.progress = Progress::DecisionIssued(lease);
+        self.set_timer(number, Some(expires_at));
+        host.reply(call, CallReply::Decision { decision, use_within, time_remaining });
+    }
+
+    /// Marks a reply as sent right before it is; false where the decision was withdrawn meanwhile, and the call has to
+    /// wait for the next reply.
+    pub fn confirm_send(&mut self, call: CallId, reply: &CallReply) -> bool {
+        let CallReply::Decision { decision, .. } = reply else { return true };
+        let request = self.calls.get(&call).and_then(|number| self.requests.get_mut(number));
+        match request.map(|request| &mut request.progress) {
+            Some(Progress::DecisionIssued(lease)) if lease.call == call && lease.decision == *decision => {
+                lease.is_sent = true;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// The routing engine cancels an attempt. One whose decision was sent can't be cancelled: its end is reported by
+    /// the proxy, or it expires.
+    pub fn attempt_cancelled(
+        &mut self,
+        host: &mut impl TableHost,
+        number: RequestNumber,
+        attempt_index: u16,
+    ) {
+        let Some(request) = self.requests.get_mut(&number) else { return };
+        match request.progress {
+            Progress::DecisionIssued(lease)
+                if lease.decision.attempt_index == attempt_index && !lease.is_sent =>
+            {
+                self.withdraw(host, number, lease);
+            }
+            Progress::RetryReady { decision: RoutingDecision { attempt_index: current, .. }, until }
+            | Progress::CallLost {
+                lease: DecisionLease { decision: RoutingDecision { attempt_index: current, .. }, .. },
+                until,
+            } if current == attempt_index => {
+                request.progress = Progress::AwaitingNextCall { until };
+                end_attempt(host, number, attempt_index, AttemptStatus::Cancelled, false);
+            }
+            _ => {}
+        }
+    }
+
+    /// The endpoint list changed, or objects were purged: withdraws the decisions that `is_stale` says would now be
+    /// different, where they have not been sent.
+    pub fn withdraw_stale_decisions(
+        &mut self,
+        host: &mut impl TableHost,
+        is_stale: impl Fn(&ExternalRequest, &RoutingDecision) -> bool,
+    ) {
+        let numbers: Vec<RequestNumber> = self.requests.keys().copied().collect();
+        for number in numbers {
+            let Some(request) = self.requests.get_mut(&number) else { continue };
+            match request.progress {
+                Progress::DecisionIssued(lease) if is_stale(&request.call, &lease.decision) => {
+                    if lease.is_sent || !self.checks.withdrawal {
+                        self.counters.stale += 1;
+                    } else {
+                        self.withdraw(host, number, lease);
+                    }
+                }
+                Progress::RetryReady { decision, until }
+                    if self.checks.withdrawal && is_stale(&request.call, &decision) =>
+                {
+                    self.counters.withdrawn += 1;
+                    request.progress = Progress::AwaitingNextCall { until };
+                    end_attempt(host, number, decision.attempt_index, AttemptStatus::Superseded, false);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Withdraws a decision that was not sent: its call waits for the next.
+    fn withdraw(&mut self, host: &mut impl TableHost, number: RequestNumber, lease: DecisionLease) {
+        self.counters.withdrawn += 1;
+        self.set_timer(number, None);
+        let Some(request) = self.requests.get_mut(&number) else { return };
+        request.progress = Progress::AwaitingDecision(lease.call);
+        request.clear_first_run(&lease);
+        end_attempt(host, number, lease.decision.attempt_index, AttemptStatus::Superseded, false);
+    }
+}
--- /dev/null
+++ b/crates/external-requests/src/table/expiry.rs
@@ -0,0 +1,142 @@
+//! Calls that end early, timers, and the shutdown of the router.
+
+use tindoor::host::AttemptStatus;
+use tindoor::time::Moment;
+
+use super::finish::Ending;
+use super::request::{DecisionLease, Progress, Timer};
+use super::{ExternalRequestTable, end_attempt};
+use crate::{CallId, CallReply, RefusalReason, RequestNumber, TableHost};
+
+impl ExternalRequestTable {
+    /// A call ended, by its proxy or with its connection.
+    pub fn call_ended(&mut self, now: Moment, call: CallId) {
+        if let Some(waiter) = self.waiters.remove(&call) {
+            self.timers.cancel(waiter.until, Timer::Waiter(call));
+            return self.drop_waiter(waiter.number, call);
+        }
+        let Some(number) = self.calls.remove(&call) else { return };
+        let until = now + self.limits.retry_window;
+        let Some(request) = self.requests.get_mut(&number) else { return };
+        match request.progress {
+            Progress::AwaitingDecision(_) | Progress::AwaitingRetryDecision(_) => {
+                self.counters.abandoned_before_decision += 1;
+                request.progress = Progress::AwaitingNextCall { until };
+            }
+            Progress::DecisionIssued(lease) => {
+                self.counters.abandoned_after_decision += 1;
+                if !lease.is_sent {
+                    request.clear_first_run(&lease);
+                }
+                request.progress = Progress::CallLost { lease, until };
+            }
+            _ => return,
+        }
+        self.set_timer(number, Some(until));
+    }
+
+    fn drop_waiter(&mut self, number: RequestNumber, call: CallId) {
+        if let Some(request) = self.requests.get_mut(&number) {
+            request.waiters.retain(|waiter| *waiter != call);
+        }
+    }
+
+    /// The time of [`next_timer`](Self::next_timer) has come.
+    pub fn timer_fired(&mut self, now: Moment, host: &mut impl TableHost) {
+        self.idempotency_keys.remove_expired(now);
+        while let Some((at, timer)) = self.timers.pop_due(now) {
+            match timer {
+                Timer::FinishedRequest(correlation_id) => self.remove_finished(correlation_id, at),
+                Timer::Waiter(call) => self.waiter_timed_out(host, call),
+                Timer::Request(number) => self.request_timed_out(now, host, number, at),
+            }
+        }
+    }
+
+    fn remove_finished(&mut self, correlation_id: u64, at: Moment) {
+        if self.finished.get(&correlation_id).is_some_and(|finished| finished.until == at) {
+            self.finished.remove(&correlation_id);
+        }
+    }
+
+    fn waiter_timed_out(&mut self, host: &mut impl TableHost, call: CallId) {
+        let Some(waiter) = self.waiters.remove(&call) else { return };
+        self.drop_waiter(waiter.number, call);
+        let retry_after = host.retry_after();
+        host.reply(call, CallReply::Rejected(retry_after, RefusalReason::IdempotencyKeyInUse));
+    }
+
+    fn request_timed_out(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        number: RequestNumber,
+        at: Moment,
+    ) {
+        let request = self.requests.get_mut(&number).filter(|request| request.timer == Some(at));
+        let Some(request) = request else { return };
+        request.timer = None;
+        match request.progress {
+            Progress::DecisionIssued(lease) => return self.lease_expired(now, host, number, lease),
+            Progress::RetryReady { decision, .. } => {
+                end_attempt(host, number, decision.attempt_index, AttemptStatus::Superseded, true);
+            }
+            Progress::CallLost { lease, .. } => {
+                end_attempt(host, number, lease.decision.attempt_index, AttemptStatus::Cancelled, true);
+            }
+            Progress::AwaitingNextCall { .. } => {}
+            Progress::AwaitingDecision(_) | Progress::AwaitingRetryDecision(_) => return,
+        }
+        self.abandon(now, host, number, None, RefusalReason::CorrelationIdInUse);
+    }
+
+    /// Nothing was reported in time. Whether the attempt ran is unknown, and no endpoint is blamed for it.
+    fn lease_expired(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        number: RequestNumber,
+        lease: DecisionLease,
+    ) {
+        if !self.checks.leases {
+            return;
+        }
+        self.counters.unreported += 1;
+        end_attempt(host, number, lease.decision.attempt_index, AttemptStatus::Cancelled, true);
+        let pending_reply = self.requests.get(&number).and_then(|request| request.pending_reply);
+        let reply = pending_reply.unwrap_or(CallReply::Failed(RefusalReason::NotReported));
+        self.finish(now, host, number, Ending { call: Some(lease.call), reply, result: None });
+    }
+
+    /// Ends a request for which nobody waits any more.
+    fn abandon(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        number: RequestNumber,
+        call: Option<CallId>,
+        reason: RefusalReason,
+    ) {
+        host.request_abandoned(number);
+        self.finish(now, host, number, Ending { call, reply: CallReply::Failed(reason), result: None });
+    }
+
+    /// The router shuts down: every call gets its final reply now.
+    pub fn shut_down(&mut self, now: Moment, host: &mut impl TableHost) {
+        while let Some((&number, request)) = self.requests.first_key_value() {
+            let (call, decision) = match request.progress {
+                Progress::AwaitingDecision(call) | Progress::AwaitingRetryDecision(call) => {
+                    (Some(call), None)
+                }
+                Progress::DecisionIssued(lease) => (Some(lease.call), Some(lease.decision)),
+                Progress::CallLost { lease, .. } => (None, Some(lease.decision)),
+                Progress::RetryReady { decision, .. } => (None, Some(decision)),
+                Progress::AwaitingNextCall { .. } => (None, None),
+            };
+            if let Some(decision) = decision {
+                end_attempt(host, number, decision.attempt_index, AttemptStatus::Cancelled, true);
+            }
+            self.abandon(now, host, number, call, RefusalReason::ShuttingDown);
+        }
+    }
+}
--- /dev/null
+++ b/crates/external-requests/src/table/mod.rs
@@ -0,0 +1,121 @@
+//! The table of externally processed requests: one method for each event.
+
+mod admission;
+mod decisions;
+mod expiry;
+mod finish;
+mod reports;
+mod request;
+mod retries;
+
+use std::collections::BTreeMap;
+
+use tindoor::host::{AttemptStatus, Authorization, Outcome, OutcomeDetail};
+use tindoor::time::Moment;
+
+use crate::idempotency_keys::IdempotencyKeys;
+use crate::timers::Timers;
+use crate::{CallId, Counters, EnabledChecks, ExternalRequest, Limits, RequestNumber, TableHost};
+use request::{FinishedRequest, Progress, Request, Timer, Waiter};
+
+/// Requests in flight, requests that finished lately, and idempotency keys.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct ExternalRequestTable {
+    limits: Limits,
+    checks: EnabledChecks,
+    started_at: Moment,
+    last_number: u64,
+    requests: BTreeMap<RequestNumber, Request>,
+    /// Requests in flight by their correlation ids.
+    correlation_ids: BTreeMap<u64, RequestNumber>,
+    /// Requests that finished lately by their correlation ids.
+    finished: BTreeMap<u64, FinishedRequest>,
+    /// The calls of requests in flight.
+    calls: BTreeMap<CallId, RequestNumber>,
+    /// Calls that wait for the end of another request with their idempotency key.
+    waiters: BTreeMap<CallId, Waiter>,
+    idempotency_keys: IdempotencyKeys,
+    timers: Timers<Timer>,
+    /// What happened so far.
+    pub counters: Counters,
+}
+
+impl ExternalRequestTable {
+    /// An empty table.
+    pub fn new(limits: Limits, checks: EnabledChecks, now: Moment) -> Self {
+        Self {
+            limits,
+            checks,
+            started_at: now,
+            last_number: 0,
+            requests: BTreeMap::new(),
+            correlation_ids: BTreeMap::new(),
+            finished: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            waiters: BTreeMap::new(),
+            idempotency_keys: IdempotencyKeys::default(),
+            timers: Timers::default(),
+            counters: Counters::default(),
+        }
+    }
+
+    /// How many requests are in flight.
+    pub fn in_flight(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Whether a request of this correlation id is in flight.
+    pub fn contains(&self, correlation_id: u64) -> bool {
+        self.correlation_ids.contains_key(&correlation_id)
+    }
+
+    /// Whether the decision of that call is in flight for a request of this correlation id.
+    pub fn awaits_report(&self, call: CallId, correlation_id: u64) -> bool {
+        let request = self.calls.get(&call).and_then(|number| self.requests.get(number));
+        request.is_some_and(|request| {
+            let is_issued = matches!(request.progress, Progress::DecisionIssued(_));
+            request.call.correlation_id == correlation_id && is_issued
+        })
+    }
+
+    /// The idempotency keys that are stored.
+    pub fn idempotency_keys(&self) -> &IdempotencyKeys {
+        &self.idempotency_keys
+    }
+
+    /// When [`timer_fired`](Self::timer_fired) is to be called next.
+    pub fn next_timer(&self) -> Option<Moment> {
+        self.timers.next().into_iter().chain(self.idempotency_keys.next_expiry()).min()
+    }
+
+    /// Sets or clears the one timer of a request.
+    fn set_timer(&mut self, number: RequestNumber, at: Option<Moment>) {
+        let Some(request) = self.requests.get_mut(&number) else { return };
+        if let Some(previous) = std::mem::replace(&mut request.timer, at) {
+            self.timers.cancel(previous, Timer::Request(number));
+        }
+        if let Some(at) = at {
+            self.timers.schedule(at, Timer::Request(number));
+        }
+    }
+
+    /// The idempotency key that a request reserves: none for requests that are not authorized.
+    fn reserved_key(&self, request: &ExternalRequest) -> Option<u128> {
+        request.idempotency_key.filter(|_| self.checks.idempotency_keys && is_granted(request))
+    }
+}
+
+fn is_granted(request: &ExternalRequest) -> bool {
+    request.authorization == Authorization::Granted
+}
+
+/// Reports the end of an attempt of which the endpoint said nothing.
+fn end_attempt(
+    host: &mut impl TableHost,
+    number: RequestNumber,
+    attempt_index: u16,
+    status: AttemptStatus,
+    last: bool,
+) {
+    host.attempt_ended(number, attempt_index, Outcome::new(status, OutcomeDetail::Unknown), last);
+}
--- a/crates/external-requests/tests/model.rs
+++ b/crates/external-requests/tests/model.rs
@@ -1,5 +1,5 @@
-//! Every order of events for two proxies with one mark between them, by a model checker: calls, further
-//! tries, reports that are lost, late or given twice, streams that end, changes of the list, a module that
+//! Checks every order of events with a model checker, for two proxies and one idempotency key: calls and retries,
+//! reports that are lost, late or duplicate, calls that end, changes of the endpoint list, and a routing engine that
 //! decides freely.
 
 use std::collections::BTreeMap;
@@ -9,61 +9,61 @@
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::*;
 
-/// What the rest of the world knows: the routing engine's requests, and what each call was told.
+/// The routing engine and the fronts: requests in flight, and the replies to each call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Rest {
-    /// The routing engine's attempts that are not reported, by request; and how many there were.
-    out: BTreeMap<RequestNumber, Option<u16>>,
+struct Host {
+    /// The attempts that are not reported, by request; and how many there were.
+    in_flight: BTreeMap<RequestNumber, Option<u16>>,
     attempts: BTreeMap<RequestNumber, u16>,
     idempotency_keys: BTreeMap<RequestNumber, u128>,
-    /// Requests that wait for the routing engine's next word.
-    asked: BTreeMap<RequestNumber, bool>,
-    /// What lies for each call, unsent, and what each was sent.
+    /// Whether a request waits for the routing engine's decision.
+    awaits_engine: BTreeMap<RequestNumber, bool>,
+    /// The reply that waits for each call, and the replies that each was sent.
     unsent: BTreeMap<CallId, CallReply>,
-    sent: BTreeMap<CallId, Vec<Kind>>,
-    /// Attempts ended twice, or never ordered; and words out of turn.
-    wrong: bool,
+    sent: BTreeMap<CallId, Vec<ReplyKind>>,
+    /// An attempt ended twice or was never ordered, or a request finished twice.
+    has_fault: bool,
     done: u8,
-    known_before_done: bool,
+    replayed_before_done: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Kind {
-    RoutingDecision,
+enum ReplyKind {
+    Decision,
     Final,
-    Again,
+    AwaitRetry,
 }
 
-impl TableHost for Rest {
+impl TableHost for Host {
     fn request_started(
         &mut self,
-        serial: RequestNumber,
-        call: &ExternalRequest,
+        number: RequestNumber,
+        request: &ExternalRequest,
         _: Option<(Moment, EndpointId)>,
     ) {
-        self.out.insert(serial, None);
-        self.attempts.insert(serial, 0);
-        self.asked.insert(serial, true);
-        self.idempotency_keys.extend(call.idempotency_key.map(|idempotency_key| (serial, idempotency_key)));
+        self.in_flight.insert(number, None);
+        self.attempts.insert(number, 0);
+        self.awaits_engine.insert(number, true);
+        self.idempotency_keys.extend(request.idempotency_key.map(|key| (number, key)));
     }
-    fn attempt_ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
-        let open = self.out.get_mut(&serial).and_then(Option::take);
-        self.wrong |= open != Some(nth);
-        self.done += u8::from(end.status == AttemptStatus::Served);
-        self.asked.insert(serial, !last);
+    fn attempt_ended(&mut self, number: RequestNumber, attempt_index: u16, outcome: Outcome, last: bool) {
+        let in_flight = self.in_flight.get_mut(&number).and_then(Option::take);
+        self.has_fault |= in_flight != Some(attempt_index);
+        self.done += u8::from(outcome.status == AttemptStatus::Served);
+        self.awaits_engine.insert(number, !last);
     }
-    fn request_abandoned(&mut self, serial: RequestNumber) {
-        self.asked.insert(serial, false);
+    fn request_abandoned(&mut self, number: RequestNumber) {
+        self.awaits_engine.insert(number, false);
     }
-    fn request_finished(&mut self, serial: RequestNumber) {
-        // The router reports what was ordered and never given; the table must leave nothing else open.
-        self.wrong |= self.out.remove(&serial).is_none();
-        self.asked.remove(&serial);
-        self.idempotency_keys.remove(&serial);
+    fn request_finished(&mut self, number: RequestNumber) {
+        // The router reports the attempts that were ordered and never issued; the table must leave no others in flight.
+        self.has_fault |= self.in_flight.remove(&number).is_none();
+        self.awaits_engine.remove(&number);
+        self.idempotency_keys.remove(&number);
     }
-    fn reply(&mut self, stream: CallId, say: CallReply) {
-        self.known_before_done |= matches!(say, CallReply::Replayed(_)) && self.done == 0;
-        self.unsent.insert(stream, say);
+    fn reply(&mut self, call: CallId, reply: CallReply) {
+        self.replayed_before_done |= matches!(reply, CallReply::Replayed(_)) && self.done == 0;
+        self.unsent.insert(call, reply);
     }
     fn retry_after(&mut self) -> Option<Span> {
         None
@@ -72,36 +72,36 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    calls: ExternalRequestTable,
-    rest: Rest,
+    table: ExternalRequestTable,
+    host: Host,
     now: u64,
-    streams: u64,
-    /// By proxy, its try and its stream, if one is open.
+    calls: u64,
+    /// By proxy, its attempt and its call, if one is open.
     proxies: [(u32, Option<CallId>); 2],
     changes: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    ExternalRequest(usize),
+    Call(usize),
     Send(CallId),
-    Action(RequestNumber),
-    Refuse(RequestNumber),
+    Decide(RequestNumber),
+    Reject(RequestNumber),
     Report(usize, AttemptStatus),
-    End(usize),
+    EndCall(usize),
     Change,
-    Tick,
+    Timer,
 }
 
-/// Two proxies; `same` has both of them carry one request, else each its own with the same mark.
-struct Two {
-    same: bool,
+/// Two proxies, which carry one request, or each its own with the same idempotency key.
+struct TwoProxies {
+    is_one_request: bool,
     checks: EnabledChecks,
 }
 
-const MOST: u16 = 3;
+const MAX_ATTEMPTS: u16 = 3;
 
-impl Model for Two {
+impl Model for TwoProxies {
     type State = State;
     type Action = Event;
 
@@ -118,122 +118,55 @@
             idempotency_window: ms(20),
             max_request_time: ms(9),
         };
-        let calls = ExternalRequestTable::new(limits, self.checks, Moment::default());
+        let table = ExternalRequestTable::new(limits, self.checks, Moment::default());
         let proxies = [(0, None); 2];
-        vec![State { calls, rest: Rest::default(), now: 100_000, streams: 0, proxies, changes: 0 }]
+        vec![State { table, host: Host::default(), now: 100_000, calls: 0, proxies, changes: 0 }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Event>) {
-        for (nth, (attempt, stream)) in state.proxies.iter().enumerate() {
-            match stream {
-                None if *attempt < 2 => actions.push(Event::ExternalRequest(nth)),
+        for (proxy, (attempt, call)) in state.proxies.iter().enumerate() {
+            match call {
+                None if *attempt < 2 => actions.push(Event::Call(proxy)),
                 None => {}
-                Some(stream) => {
-                    let said = state.rest.sent.get(stream);
-                    if said.is_some_and(|said| said.last() == Some(&Kind::RoutingDecision)) {
+                Some(call) => {
+                    let sent = state.host.sent.get(call);
+                    if sent.is_some_and(|sent| sent.last() == Some(&ReplyKind::Decision)) {
                         let reports =
                             [AttemptStatus::Served, AttemptStatus::Overloaded, AttemptStatus::Incomplete];
-                        actions.extend(reports.map(|verdict| Event::Report(nth, verdict)));
+                        actions.extend(reports.map(|status| Event::Report(proxy, status)));
                     }
-                    actions.push(Event::End(nth));
+                    actions.push(Event::EndCall(proxy));
                 }
             }
         }
-        actions.extend(state.rest.unsent.keys().map(|stream| Event::Send(*stream)));
-        for (serial, asked) in &state.rest.asked {
-            if *asked && state.rest.out[serial].is_none() {
-                if state.rest.attempts[serial] < MOST {
-                    actions.push(Event::Action(*serial));
+        actions.extend(state.host.unsent.keys().map(|call| Event::Send(*call)));
+        for (number, waits) in &state.host.awaits_engine {
+            if *waits && state.host.in_flight[number].is_none() {
+                if state.host.attempts[number] < MAX_ATTEMPTS {
+                    actions.push(Event::Decide(*number));
                 }
-                actions.push(Event::Refuse(*serial));
+                actions.push(Event::Reject(*number));
             }
         }
         if state.changes < 1 {
             actions.push(Event::Change);
         }
-        if state.calls.next_timer().is_some() {
-            actions.push(Event::Tick);
+        if state.table.next_timer().is_some() {
+            actions.push(Event::Timer);
         }
     }
 
-    fn next_state(&self, last: &State, event: Event) -> Option<State> {
-        let mut state = last.clone();
-        let State { calls, rest, now, streams, proxies, changes } = &mut state;
-        let at = Moment::at_micros(*now * 1000);
+    fn next_state(&self, previous: &State, event: Event) -> Option<State> {
+        let mut state = previous.clone();
         match event {
-            Event::ExternalRequest(nth) => {
-                *streams += 1;
-                let stream = CallId(*streams);
-                let attempt = proxies[nth].0 + 1;
-                proxies[nth] = (attempt, Some(stream));
-                let (correlation_id, attempt) =
-                    if self.same { (1, attempt * 2 + nth as u32) } else { (nth as u64, attempt) };
-                let (class, object, part, group, client_retry) = (0, 1, 0, 0, false);
-                let (idempotency_key, left) = (Some(9), Span::millis(5));
-                let call = ExternalRequest {
-                    correlation_id,
-                    attempt,
-                    class,
-                    object,
-                    part,
-                    group,
-                    idempotency_key,
-                    client_retry,
-                    time_remaining: left,
-                    authorization: Authorization::Granted,
-                };
-                calls.call_received(at, rest, stream, call);
-            }
-            Event::Send(stream) => {
-                let say = rest.unsent.remove(&stream)?;
-                if calls.confirm_send(stream, &say) {
-                    let kind = match say {
-                        CallReply::Decision { .. } => Kind::RoutingDecision,
-                        CallReply::AwaitRetry => Kind::Again,
-                        _ => Kind::Final,
-                    };
-                    rest.sent.entry(stream).or_default().push(kind);
-                }
-            }
-            Event::Action(serial) => {
-                let nth = rest.attempts[&serial];
-                rest.attempts.insert(serial, nth + 1);
-                rest.out.insert(serial, Some(nth));
-                let decision = RoutingDecision {
-                    attempt_index: nth,
-                    endpoint: EndpointId(nth.into()),
-                    directives: None,
-                    timeout: Span::millis(3),
-                };
-                calls.decision_made(at, rest, serial, decision);
-            }
-            Event::Refuse(serial) => {
-                rest.asked.insert(serial, false);
-                calls.request_rejected(at, rest, serial, None);
-            }
-            Event::Report(nth, verdict) => {
-                let known = StoredResult { status: 200, version: 0 };
-                let report = Report {
-                    outcome: Outcome::new(verdict, OutcomeDetail::Unknown),
-                    stored_result: known,
-                    used_after: None,
-                };
-                calls.report_received(at, rest, proxies[nth].1?, None, report);
-            }
-            Event::End(nth) => {
-                let stream = proxies[nth].1.take()?;
-                rest.unsent.remove(&stream);
-                calls.call_ended(at, stream);
-            }
-            Event::Change => {
-                *changes += 1;
-                calls.withdraw_stale_decisions(rest, |_, decision| decision.endpoint == EndpointId(0));
-            }
-            Event::Tick => {
-                let next = calls.next_timer()?;
-                *now = (*now).max(next.since(Moment::default()).as_micros().div_ceil(1000));
-                calls.timer_fired(Moment::at_micros(*now * 1000), rest);
-            }
+            Event::Call(proxy) => state.call(proxy, self.is_one_request),
+            Event::Send(call) => state.send(call)?,
+            Event::Decide(number) => state.decide(number),
+            Event::Reject(number) => state.reject(number),
+            Event::Report(proxy, status) => state.report(proxy, status)?,
+            Event::EndCall(proxy) => state.end_call(proxy)?,
+            Event::Change => state.change_endpoints(),
+            Event::Timer => state.fire_timer()?,
         }
         Some(state)
     }
@@ -242,50 +175,146 @@
         vec![
             Property::<Self>::always("one final answer a call", |_, state| {
                 let finals =
-                    |said: &Vec<Kind>| said.iter().filter(|kind| **kind != Kind::RoutingDecision).count();
-                // One that reports twice is told so each time; there is one report for each choice here.
-                state.rest.sent.values().all(|said| finals(said) <= 2)
+                    |sent: &Vec<ReplyKind>| sent.iter().filter(|kind| **kind != ReplyKind::Decision).count();
+                // Each duplicate report is replied to; here there is one report for each decision.
+                state.host.sent.values().all(|sent| finals(sent) <= 2)
                     && state
-                        .rest
+                        .host
                         .sent
                         .values()
-                        .all(|said| said.iter().filter(|kind| **kind == Kind::RoutingDecision).count() <= 1)
+                        .all(|sent| sent.iter().filter(|kind| **kind == ReplyKind::Decision).count() <= 1)
+            }),
+            Property::<Self>::always("each attempt ends once", |_, state| !state.host.has_fault),
+            Property::<Self>::always("one request of an idempotency key at a time", |_, state| {
+                state.host.idempotency_keys.len() <= 1
             }),
-            Property::<Self>::always("each dispatch ends once", |_, state| !state.rest.wrong),
-            Property::<Self>::always("one view of a mark at a time", |_, state| {
-                state.rest.idempotency_keys.len() <= 1
+            Property::<Self>::always("replayed only once done", |_, state| !state.host.replayed_before_done),
+            Property::<Self>::always("done at most once by an idempotency key", |_, state| {
+                state.host.done <= 1
             }),
-            Property::<Self>::always("known only once done", |_, state| !state.rest.known_before_done),
-            Property::<Self>::always("done at most once by a mark", |_, state| state.rest.done <= 1),
-            Property::<Self>::always("nothing is left for ever", |_, state| {
-                // Whatever no proxy waits for has a time at which it ends.
+            Property::<Self>::always("every request has an end", |_, state| {
+                // A request that no proxy waits for ends by a timer.
                 let waits = state.proxies.iter().any(|proxy| proxy.1.is_some());
-                state.calls.in_flight() == 0 || waits || state.calls.next_timer().is_some()
+                state.table.in_flight() == 0 || waits || state.table.next_timer().is_some()
             }),
-            Property::<Self>::sometimes("a save is done", |_, state| state.rest.done == 1),
-            Property::<Self>::sometimes("a choice is taken back", |_, state| {
-                state.calls.counters.withdrawn > 0
+            Property::<Self>::sometimes("a write is done", |_, state| state.host.done == 1),
+            Property::<Self>::sometimes("a decision is withdrawn", |_, state| {
+                state.table.counters.withdrawn > 0
             }),
-            Property::<Self>::sometimes("a try overtakes another", |_, state| {
-                state.calls.counters.superseded > 0
+            Property::<Self>::sometimes("an attempt supersedes another", |_, state| {
+                state.table.counters.superseded > 0
             }),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        // A client tries again within its longest wait; after that and the window a mark is forgotten.
+        // A client retries within its longest wait; after that and the idempotency window its key is evicted.
         state.now < 100_000 + 29
-            && state.streams <= 3
-            && state.rest.attempts.values().all(|count| *count <= MOST)
+            && state.calls <= 3
+            && state.host.attempts.values().all(|count| *count <= MAX_ATTEMPTS)
+    }
+}
+
+/// One method for each event.
+impl State {
+    fn at(&self) -> Moment {
+        Moment::at_micros(self.now * 1000)
+    }
+
+    fn call(&mut self, proxy: usize, is_one_request: bool) {
+        let at = self.at();
+        self.calls += 1;
+        let call = CallId(self.calls);
+        let attempt = self.proxies[proxy].0 + 1;
+        self.proxies[proxy] = (attempt, Some(call));
+        let (correlation_id, attempt) =
+            if is_one_request { (1, attempt * 2 + proxy as u32) } else { (proxy as u64, attempt) };
+        let request = ExternalRequest {
+            correlation_id,
+            attempt,
+            class: 0,
+            object: 1,
+            part: 0,
+            group: 0,
+            idempotency_key: Some(9),
+            client_retry: false,
+            time_remaining: Span::millis(5),
+            authorization: Authorization::Granted,
+        };
+        self.table.call_received(at, &mut self.host, call, request);
+    }
+
+    fn send(&mut self, call: CallId) -> Option<()> {
+        let reply = self.host.unsent.remove(&call)?;
+        if self.table.confirm_send(call, &reply) {
+            let kind = match reply {
+                CallReply::Decision { .. } => ReplyKind::Decision,
+                CallReply::AwaitRetry => ReplyKind::AwaitRetry,
+                _ => ReplyKind::Final,
+            };
+            self.host.sent.entry(call).or_default().push(kind);
+        }
+        Some(())
+    }
+
+    fn decide(&mut self, number: RequestNumber) {
+        let attempt_index = self.host.attempts[&number];
+        self.host.attempts.insert(number, attempt_index + 1);
+        self.host.in_flight.insert(number, Some(attempt_index));
+        let decision = RoutingDecision {
+            attempt_index,
+            endpoint: EndpointId(attempt_index.into()),
+            directives: None,
+            timeout: Span::millis(3),
+        };
+        let at = self.at();
+        self.table.decision_made(at, &mut self.host, number, decision);
+    }
+
+    fn reject(&mut self, number: RequestNumber) {
+        self.host.awaits_engine.insert(number, false);
+        let at = self.at();
+        self.table.request_rejected(at, &mut self.host, number, None);
+    }
+
+    fn report(&mut self, proxy: usize, status: AttemptStatus) -> Option<()> {
+        let stored_result = StoredResult { status: 200, version: 0 };
+        let outcome = Outcome::new(status, OutcomeDetail::Unknown);
+        let report = Report { outcome, stored_result, used_after: None };
+        let (at, call) = (self.at(), self.proxies[proxy].1?);
+        self.table.report_received(at, &mut self.host, call, None, report);
+        Some(())
+    }
+
+    fn end_call(&mut self, proxy: usize) -> Option<()> {
+        let call = self.proxies[proxy].1.take()?;
+        self.host.unsent.remove(&call);
+        let at = self.at();
+        self.table.call_ended(at, call);
+        Some(())
+    }
+
+    fn change_endpoints(&mut self) {
+        self.changes += 1;
+        self.table.withdraw_stale_decisions(&mut self.host, |_, decision| decision.endpoint == EndpointId(0));
+    }
+
+    fn fire_timer(&mut self) -> Option<()> {
+        let next = self.table.next_timer()?;
+        self.now = self.now.max(next.since(Moment::default()).as_micros().div_ceil(1000));
+        let at = self.at();
+        self.table.timer_fired(at, &mut self.host);
+        Some(())
     }
 }
 
-fn check(same: bool, checks: EnabledChecks) -> Vec<&'static str> {
-    let checker = Two { same, checks }.checker().threads(4).target_max_depth(12).spawn_bfs().join();
+fn check(is_one_request: bool, checks: EnabledChecks) -> Vec<&'static str> {
+    let checker =
+        TwoProxies { is_one_request, checks }.checker().threads(4).target_max_depth(12).spawn_bfs().join();
     eprintln!("{} states", checker.unique_state_count());
     let mut found: Vec<_> = checker.discoveries().into_keys().collect();
     found.retain(|name| {
-        !["a save is done", "a choice is taken back", "a try overtakes another"].contains(name)
+        !["a write is done", "a decision is withdrawn", "an attempt supersedes another"].contains(name)
     });
     for (name, path) in checker.discoveries().into_iter().filter(|(name, _)| found.contains(name)) {
         eprintln!("{name}: {:?}", path.into_actions());
@@ -294,7 +323,7 @@
 }
 
 #[test]
-fn two_requests_of_one_mark_keep_the_rules_in_every_order() {
+fn two_requests_with_one_idempotency_key_keep_the_rules_in_every_order() {
     assert_eq!(check(false, EnabledChecks::default()), [""; 0]);
 }
 
@@ -304,7 +333,7 @@
 }
 
 #[test]
-fn without_the_guard_on_marks_the_checker_finds_a_save_run_twice() {
+fn with_the_idempotency_key_check_disabled_a_write_that_runs_twice_is_detected() {
     let found = check(false, EnabledChecks { idempotency_keys: false, ..EnabledChecks::default() });
-    assert!(found.contains(&"one view of a mark at a time"), "{found:?}");
+    assert!(found.contains(&"one request of an idempotency key at a time"), "{found:?}");
 }
--- a/crates/request-runtime/src/lifecycle.rs
+++ b/crates/request-runtime/src/lifecycle.rs
@@ -10,7 +10,7 @@
 
 /// How an attempt ended, with what it brought for the client.
 pub struct AttemptEnd<P> {
-    /// As the routing engine is told.
+    /// As reported to the routing engine.
     pub outcome: Outcome,
     /// For the client, if the attempt was served.
     pub payload: P,
