--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -11,12 +11,16 @@
 
 use super::RoutingEngine;
 use super::hashing::{mix, unit_interval};
-use super::load::LoadSample;
+use super::load::LoadSamples;
 use super::samples::Samples;
 use super::slow_start::SlowStartCharge;
 
 /// The pause after which a list that could not be fetched is asked for again, in seconds.
 const LIST_RETRY_SECS: Range<f64> = 0.5..1.5;
+/// How many outcomes an outcome window holds.
+const OUTCOME_WINDOW: usize = 16;
+/// How many gaps between responses are kept for each endpoint.
+const GAP_WINDOW: usize = 16;
 /// The least capacity that is counted, which keeps divisors above 0.
 const MIN_CAPACITY: f64 = 1e-3;
 
@@ -50,14 +54,14 @@
     pub(super) entry: EndpointUpdate,
     pub(super) tier: Tier,
     /// Outcome window: whether its last attempts succeeded.
-    pub(super) outcomes: Samples<bool, 16>,
-    pub(super) loads: Samples<LoadSample, 40>,
+    pub(super) outcomes: Samples<bool, OUTCOME_WINDOW>,
+    pub(super) loads: LoadSamples,
     /// Attempts of this router in flight there.
     pub(super) in_flight: u32,
     /// When it last answered, or last was sent an attempt with none in flight.
     pub(super) last_active: Moment,
     /// Times between its answers while attempts were in flight.
-    pub(super) response_gaps: Samples<Span, 16>,
+    pub(super) response_gaps: Samples<Span, GAP_WINDOW>,
     /// Set while it is ejected; trial requests are sent to it after that moment.
     pub(super) ejected_until: Option<Moment>,
     pub(super) ejection_count: i32,
@@ -182,7 +186,7 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// The endpoint list, or a part of it, changed, or could not be fetched.
+    /// The endpoint list changed, or could not be fetched.
     pub fn endpoints_changed(&mut self, kind: ListUpdateKind, updates: &[EndpointUpdate]) {
         match kind {
             ListUpdateKind::Failed => {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -7,6 +7,7 @@
 //! types are in [`crate::host`]. It does no I/O and reads no clock: the same calls give the same decisions.
 
 mod attempts;
+mod congestion;
 mod endpoints;
 mod hashing;
 mod load;
@@ -38,6 +39,9 @@
 use slow_start::Throughput;
 use timers::Timers;
 
+/// How many attempts of all requests tell the share of retries.
+const RECENT_ATTEMPTS: usize = 64;
+
 /// Makes the decisions of one router.
 pub struct RoutingEngine<H: Host> {
     host: H,
@@ -49,7 +53,7 @@
     load: LoadStatistics,
     throughput: Throughput,
     /// Of the last attempts of all requests, whether they were retries.
-    recent_attempts: Samples<bool, 64>,
+    recent_attempts: Samples<bool, RECENT_ATTEMPTS>,
     purges: Purges,
     timers: Timers,
 }
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -9,9 +9,9 @@
 use super::requests::{Attempt, FillMode, Request, UNEXPLAINED_ERROR};
 use super::slow_start::AttemptId;
 
-/// A hit is a sample of service time if at most this many attempts were in flight at its endpoint,
+/// The most attempts in flight at an endpoint with which a hit still shows the service time.
 const MAX_IN_FLIGHT_FOR_SERVICE_TIME: f64 = 3.0;
-/// and if the lateness of all caches is below this, as what slows all alike is no service time.
+/// The lateness of all hits up to which a hit shows the service time; above it something slows all endpoints.
 const MAX_LATENESS_FOR_SERVICE_TIME: f64 = 0.6;
 
 /// An attempt that has ended.
--- a/src/engine/outliers.rs
+++ b/src/engine/outliers.rs
@@ -4,14 +4,14 @@
 use crate::time::Span;
 
 use super::RoutingEngine;
+use super::congestion::CALM_LATENESS;
 use super::endpoints::{Endpoint, Tier};
-use super::load::CALM_LATENESS;
 
 /// Failures in the outcome window without which an endpoint is not ejected.
 const MIN_FAILURES: usize = 3;
-/// An endpoint is an outlier if its share of failures is above this share ...
+/// The share of failures above which an endpoint is an outlier if its peers have none.
 const FAILURE_SHARE: f64 = 0.3;
-/// ... and this many times the share of its peers on top.
+/// How many times its peers' share of failures that limit is raised by.
 const PEER_FAILURE_MULTIPLE: f64 = 1.5;
 /// Successes after which an ejected endpoint on trial is taken back.
 const TRIAL_SUCCESSES: usize = 3;
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -93,7 +93,7 @@
     /// The settings under which it was received.
     pub(super) settings: Arc<Settings>,
     pub(super) id: RequestId,
-    /// Random number that decides whether the request is among those admitted where only a part is.
+    /// Decides whether the request is admitted where only some are; drawn at random.
     pub(super) admission_draw: u64,
     pub(super) meta: RequestMeta,
     pub(super) deadline: Moment,
--- a/src/engine/retries.rs
+++ b/src/engine/retries.rs
@@ -11,7 +11,7 @@
 
 /// Retries after a failure are spread over this time for each attempt made.
 const RETRY_BACKOFF: Span = Span::millis(20);
-/// Of the last 64 attempts of all requests, at most this many may be retries for another retry to be made.
+/// Of the recent attempts of all requests, at most this many may be retries for another retry to be made.
 const MAX_RECENT_RETRIES: usize = 40;
 /// A request is given up once more than this many endpoints rejected it as overloaded.
 const MAX_FULL_ENDPOINTS: usize = 1;
--- a/src/engine/routing.rs
+++ b/src/engine/routing.rs
@@ -7,9 +7,10 @@
 
 use super::RoutingEngine;
 use super::attempts::AttemptPlan;
+use super::congestion::CALM_LATENESS;
 use super::endpoints::{Endpoint, Tier};
 use super::hashing::{mix, unit_interval};
-use super::load::{CALM_LATENESS, FillPath};
+use super::load::FillPath;
 use super::requests::{FillMode, Request};
 
 /// Attempts in flight at a cache that are never too many for its fair share.
@@ -187,7 +188,8 @@
         }
     }
 
-    /// Whether fills that are not told apart show by their median that just those of the origin are late.
+    /// Where sources' and origin's fills are not reported apart, whether half of all being quick shows that only those
+    /// by the origin are late.
     fn shows_only_origin_late(&self) -> bool {
         let fills = self.load.fills(FillPath::Source);
         let median = fills.quantile(0.5, |load| load.took.as_secs() / load.objective);
--- a/src/engine/slow_start.rs
+++ b/src/engine/slow_start.rs
@@ -23,6 +23,12 @@
 const MIN_RATE_SAMPLES: usize = 12;
 /// The shortest time over which a rate of work is computed, in seconds.
 const MIN_RATE_SECS: f64 = 0.5;
+/// How many arrivals are kept.
+const ARRIVAL_WINDOW: usize = 128;
+/// How many responses of warm caches are kept.
+const RESPONSE_WINDOW: usize = 256;
+/// How many fills by warm parents are kept.
+const FILL_WINDOW: usize = 128;
 /// The least capacity assumed of all parents, as a share of the work that arrives here.
 const PARENT_SHARE_OF_ARRIVALS: f64 = 0.05;
 /// The least capacity assumed of all caches, as a share of the work that arrives here.
@@ -65,11 +71,11 @@
 #[derive(Default)]
 pub(super) struct Throughput {
     /// First attempts of clients.
-    pub(super) arrivals: Samples<ClassSample, 128>,
+    pub(super) arrivals: Samples<ClassSample, ARRIVAL_WINDOW>,
     /// Requests served by warm caches of the location.
-    pub(super) cache_responses: Samples<ClassSample, 256>,
+    pub(super) cache_responses: Samples<ClassSample, RESPONSE_WINDOW>,
     /// Fills given by warm parents.
-    pub(super) parent_fills: Samples<ClassSample, 128>,
+    pub(super) parent_fills: Samples<ClassSample, FILL_WINDOW>,
 }
 
 impl Endpoint {
--- a/src/engine/timeouts.rs
+++ b/src/engine/timeouts.rs
@@ -10,17 +10,19 @@
 
 /// The response time on which the attempt timeout is based, as a quantile of the last responses.
 const TIMEOUT_QUANTILE: f64 = 0.95;
-/// An attempt may take this many times that response time,
+/// The attempt timeout is this many times that response time.
 const TIMEOUT_MULTIPLE: f64 = 3.0;
-/// at least this share of the request class's deadline,
+/// The attempt timeout is at least this share of the request class's deadline.
 const TIMEOUT_DEADLINE_SHARE: f64 = 0.75;
-/// and at least this many times the request's latency objective.
+/// The attempt timeout is at least this many times the request's latency objective.
 const TIMEOUT_OBJECTIVE_MULTIPLE: f64 = 1.5;
 /// An endpoint is silent for too long after this many times its longest recent gap between responses.
 const SILENCE_GAP_MULTIPLE: f64 = 2.0;
+/// The shortest silence timeout.
 const MIN_SILENCE_TIMEOUT: Span = Span::millis(400);
+/// The longest silence timeout.
 const MAX_SILENCE_TIMEOUT: Span = Span::millis(1500);
-/// The part of the silence timeout after which a silent endpoint is checked again.
+/// The share of the silence timeout after which a silent endpoint is checked again.
 const SILENCE_CHECK_SHARE: f64 = 0.5;
 /// Attempts in flight without which silence does not show that an endpoint hangs.
 const MIN_HUNG_ATTEMPTS: u32 = 3;
--- a/src/host.rs
+++ b/src/host.rs
@@ -36,7 +36,7 @@
 pub struct RequestMeta {
     /// The object requested.
     pub object: u64,
-    /// The part of the object.
+    /// The index of the object's part, for objects that are requested in parts.
     pub part: u32,
     /// The group that the object is purged with.
     pub group: u32,
@@ -65,7 +65,7 @@
     pub started_at: Option<Moment>,
     /// The location of the endpoint.
     pub location: u8,
-    /// How many transfers at full speed the endpoint carries at once, or its weight where that is not known.
+    /// The endpoint's capacity in transfers at full speed, or a relative weight where capacities are not known.
     pub capacity: f32,
     /// The deployment's number for caches, parents or origins.
     pub kind: u8,
@@ -102,19 +102,19 @@
     Served,
     /// The endpoint answered with an error.
     Error,
-    /// The endpoint rejected the request because it is overloaded.
+    /// The endpoint, or its source, rejected the request because it is overloaded; nothing ran.
     Overloaded,
     /// No response came within the attempt timeout.
     TimedOut,
-    /// The endpoint could not be reached; the request did not run.
+    /// No connection could be made in time; nothing ran.
     Unreachable,
-    /// The connection broke after the request was sent.
+    /// The connection broke while the attempt was in flight; it may have run.
     Incomplete,
     /// The router cancelled the attempt.
     Cancelled,
-    /// The endpoint dropped the attempt in favour of another one of the same request.
+    /// The attempt was dropped before it was sent, as its request was finished or a limit was reached; nothing ran.
     Superseded,
-    /// A cache-only read found no fresh copy, or a source held none.
+    /// Neither the endpoint nor a source that only gives what it holds had a suitable copy; nothing ran.
     Miss,
 }
 
@@ -129,19 +129,19 @@
     FilledFromSource,
     /// Filled by the origin.
     FilledFromOrigin,
-    /// Answered by a fill that another request had started.
+    /// Answered by a fill that was already in flight; with a miss, that there is one.
     JoinedFill,
     /// Answered from a copy past its fresh time.
     StaleHit,
     /// The fill failed: its source is overloaded.
     SourceOverloaded,
-    /// The fill failed: its source could not be reached, or did not answer.
+    /// The fill failed: its source could not be reached, broke the connection or was too slow.
     SourceUnreachable,
     /// The fill failed: its source holds no copy and may not fetch one.
     SourceMiss,
-    /// The cache has no fill slot left.
+    /// The cache has all its fills in flight.
     NoFillSlot,
-    /// The fill failed at the origin.
+    /// The fill failed: the origin failed its parent.
     OriginFailed,
 }
 
@@ -216,7 +216,7 @@
     /// Subscribes to the endpoint list and its changes.
     fn watch_endpoints(&mut self);
 
-    /// Whether the shared quotas have room for a fill by the origin now; always where nothing is shared.
+    /// Whether the shared quotas afford a fill by the origin now; always true where nothing is shared.
     fn can_afford_fill(&self, _class: u16) -> bool {
         true
     }
