--- a/crates/simulator-adapter/tests/recorder/mod.rs
+++ b/crates/simulator-adapter/tests/recorder/mod.rs
@@ -36,8 +36,8 @@
 /// What must occur at least once in all scenarios together.
 fn wanted() -> Vec<String> {
     let actions = [
-        "look",
-        "read",
+        "send cache-only",
+        "send with fill",
         "cancel",
         "reject with retry-after",
         "reject without retry-after",
@@ -45,14 +45,14 @@
         "timer",
         "watch",
     ];
-    let verdicts = (1..=9).map(|verdict| format!("verdict {:02}", verdict * 10));
-    let notes = (0..=10).map(|note| format!("note {note:02}"));
+    let statuses = (1..=9).map(|status| format!("status {:02}", status * 10));
+    let details = (0..=10).map(|detail| format!("detail {detail:02}"));
     let events = (1..=11).map(|code| format!("event {code:02}"));
     actions
         .map(|name| format!("action {name}"))
         .into_iter()
-        .chain(verdicts)
-        .chain(notes)
+        .chain(statuses)
+        .chain(details)
         .chain(events)
         .collect()
 }
--- a/crates/simulator-adapter/tests/recorder/scenarios.rs
+++ b/crates/simulator-adapter/tests/recorder/scenarios.rs
@@ -1,10 +1,10 @@
-//! The scenarios that are recorded: for each the settings, the fleet, and what befalls it.
+//! The scenarios that are recorded: for each the settings, the fleet, and what happens to it.
 
 use super::frames::{DRAINING, GONE, READY};
 use super::settings::{Class, PLAIN_CLASS, Settings};
 use super::world::Condition;
 
-/// Which servers something befalls.
+/// Which servers something happens to.
 #[derive(Clone, Copy)]
 pub enum Target {
     /// By zone, and place among those present there.
--- a/crates/simulator-adapter/tests/recorder/world.rs
+++ b/crates/simulator-adapter/tests/recorder/world.rs
@@ -74,14 +74,14 @@
 
 struct Instance {
     zone: u8,
-    life: u32,
+    incarnation: u32,
     subscribed: bool,
-    /// The entries that it was told last, by server.
-    told: Vec<Option<Entry>>,
+    /// The entries that it was sent last, by server.
+    last_sent: Vec<Option<Entry>>,
 }
 
 struct Attempt {
-    ticket: u64,
+    request_id: u64,
     number: u16,
     server: usize,
     sent: u64,
@@ -90,33 +90,33 @@
 }
 
 struct Request {
-    who: u32,
-    life: u32,
-    asked: RequestMeta,
+    instance_id: u32,
+    incarnation: u32,
+    meta: RequestMeta,
     deadline: u64,
-    tries: u32,
+    client_attempts: u32,
     finished: bool,
     attempts: Vec<usize>,
 }
 
 /// How an attempt is going to end.
 struct Ending {
-    verdict: u8,
-    note: u32,
+    status: u8,
+    detail: u32,
     took: u64,
     first_byte: u64,
 }
 
 enum Event {
     Arrival,
-    Retry { who: u32, asked: RequestMeta, tries: u32 },
-    Left { ticket: u64 },
-    Deadline { ticket: u64 },
+    Retry { instance_id: u32, meta: RequestMeta, client_attempts: u32 },
+    ClientGone { request_id: u64 },
+    Deadline { request_id: u64 },
     StreamStart { attempt: usize },
-    AttemptEnd { attempt: usize, verdict: u8, note: u32, first_byte: u64 },
-    Timer { who: u32, life: u32, cookie: u32 },
-    CatchUp { who: u32, life: u32 },
-    WatchAnswer { who: u32, life: u32 },
+    AttemptEnd { attempt: usize, status: u8, detail: u32, first_byte: u64 },
+    Timer { instance_id: u32, incarnation: u32, cookie: u32 },
+    CatchUp { instance_id: u32, incarnation: u32 },
+    WatchAnswer { instance_id: u32, incarnation: u32 },
     Incident(Incident),
 }
 
@@ -126,7 +126,7 @@
     now: u64,
     sequence: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    /// How many timers are due, by time, instance and its life.
+    /// How many timers are due, by time, instance and its incarnation.
     timers: BTreeMap<(u64, u32, u32), u32>,
     events: BTreeMap<u64, Event>,
     servers: Vec<Server>,
@@ -176,9 +176,9 @@
         let rate = scenario.requests_per_second;
         let instances = scenario.zones.iter().map(|zone| Instance {
             zone: *zone,
-            life: 0,
+            incarnation: 0,
             subscribed: scenario.settings.registry_mode == "pushed",
-            told: Vec::new(),
+            last_sent: Vec::new(),
         });
         let mut world = Self {
             instances: instances.collect(),
@@ -246,81 +246,81 @@
     fn exchange(&mut self, adapter: &mut Adapter) {
         let records = std::mem::take(&mut self.records);
         let reply = adapter.exchange(&frames::batch(self.now, &records));
-        for (who, action) in frames::actions(&reply) {
-            self.act(who, action);
+        for (instance_id, action) in frames::actions(&reply) {
+            self.act(instance_id, action);
         }
     }
 
     // Instances and discovery.
 
     fn start_instances(&mut self) {
-        (0..self.instances.len() as u32).for_each(|who| self.spawn(who));
+        (0..self.instances.len() as u32).for_each(|instance_id| self.spawn(instance_id));
     }
 
-    fn spawn(&mut self, who: u32) {
-        let instance = &mut self.instances[who as usize];
+    fn spawn(&mut self, instance_id: u32) {
+        let instance = &mut self.instances[instance_id as usize];
         instance.subscribed = self.scenario.settings.registry_mode == "pushed";
         let (seed, zone) = (self.random.next(), instance.zone);
         let settings = self.scenario.settings.json(zone);
-        self.record(frames::spawn(who, seed, &settings));
-        self.tell_list(who, frames::CACHED);
+        self.record(frames::spawn(instance_id, seed, &settings));
+        self.send_list(instance_id, frames::CACHED);
         let gone_everywhere = self.scenario.settings.gone_everywhere;
         for (at, object, group) in self.purges.clone() {
             if self.now - at < gone_everywhere {
-                self.record(frames::struck_out(who, object, group, self.now - at));
+                self.record(frames::struck_out(instance_id, object, group, self.now - at));
             }
         }
     }
 
-    fn respawn(&mut self, who: u32) {
-        self.record(frames::destroy(who));
-        self.instances[who as usize].life += 1;
-        self.spawn(who);
+    fn respawn(&mut self, instance_id: u32) {
+        self.record(frames::destroy(instance_id));
+        self.instances[instance_id as usize].incarnation += 1;
+        self.spawn(instance_id);
     }
 
-    fn is_alive(&self, who: u32, life: u32) -> bool {
-        self.instances[who as usize].life == life
+    fn is_alive(&self, instance_id: u32, incarnation: u32) -> bool {
+        self.instances[instance_id as usize].incarnation == incarnation
     }
 
     /// Sends the whole list.
-    fn tell_list(&mut self, who: u32, form: u8) {
+    fn send_list(&mut self, instance_id: u32, form: u8) {
         let entries: Vec<Entry> = self.servers.iter().map(|server| server.entry).collect();
-        self.instances[who as usize].told = entries.iter().copied().map(Some).collect();
+        self.instances[instance_id as usize].last_sent = entries.iter().copied().map(Some).collect();
         let present: Vec<Entry> = entries.into_iter().filter(|entry| entry.state != frames::GONE).collect();
-        self.record(frames::directory_update(who, form, self.version, &present));
+        self.record(frames::directory_update(instance_id, form, self.version, &present));
     }
 
-    /// Sends what changed since the instance was told last.
-    fn tell_changes(&mut self, who: u32) {
-        let told = &mut self.instances[who as usize].told;
-        told.resize(self.servers.len(), None);
+    /// Sends what changed since the instance was sent the list.
+    fn send_changes(&mut self, instance_id: u32) {
+        let last_sent = &mut self.instances[instance_id as usize].last_sent;
+        last_sent.resize(self.servers.len(), None);
         let mut changed = Vec::new();
-        for (server, told) in self.servers.iter().zip(told) {
-            if *told != Some(server.entry) {
-                *told = Some(server.entry);
+        for (server, last_sent) in self.servers.iter().zip(last_sent) {
+            if *last_sent != Some(server.entry) {
+                *last_sent = Some(server.entry);
                 changed.push(server.entry);
             }
         }
-        self.record(frames::directory_update(who, frames::CHANGES, self.version, &changed));
+        self.record(frames::directory_update(instance_id, frames::CHANGES, self.version, &changed));
     }
 
     fn list_changed(&mut self) {
         self.version += 1;
-        for who in 0..self.instances.len() as u32 {
+        for instance_id in 0..self.instances.len() as u32 {
             let delay = 10 * MILLISECOND + self.random.below(150 * MILLISECOND);
-            let life = self.instances[who as usize].life;
-            self.schedule(delay, Event::CatchUp { who, life });
+            let incarnation = self.instances[instance_id as usize].incarnation;
+            self.schedule(delay, Event::CatchUp { instance_id, incarnation });
         }
     }
 
-    fn answer_watch(&mut self, who: u32) {
+    fn answer_watch(&mut self, instance_id: u32) {
         if self.random.chance(self.scenario.watch_failures) {
-            return self.record(frames::directory_update(who, frames::FAILED, self.version, &[]));
+            return self.record(frames::directory_update(instance_id, frames::FAILED, self.version, &[]));
         }
-        self.instances[who as usize].subscribed = true;
+        self.instances[instance_id as usize].subscribed = true;
         match self.random.chance(0.3) {
-            true => self.tell_list(who, frames::WHOLE),
-            false => self.tell_changes(who),
+            true => self.send_list(instance_id, frames::WHOLE),
+            false => self.send_changes(instance_id),
         }
     }
 
@@ -329,21 +329,25 @@
     fn take(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrive(),
-            Event::Retry { who, asked, tries } => self.request(who, asked, tries),
-            Event::Left { ticket } | Event::Deadline { ticket } => self.abort(ticket),
+            Event::Retry { instance_id, meta, client_attempts } => {
+                self.request(instance_id, meta, client_attempts);
+            }
+            Event::ClientGone { request_id } | Event::Deadline { request_id } => self.abort(request_id),
             Event::StreamStart { attempt } => self.start_stream(attempt),
-            Event::AttemptEnd { attempt, verdict, note, first_byte } => {
-                self.end_attempt(attempt, verdict, note, first_byte);
+            Event::AttemptEnd { attempt, status, detail, first_byte } => {
+                self.end_attempt(attempt, status, detail, first_byte);
             }
-            Event::Timer { who, life, cookie } if self.is_alive(who, life) => {
-                self.record(frames::elapsed(who, cookie));
+            Event::Timer { instance_id, incarnation, cookie } if self.is_alive(instance_id, incarnation) => {
+                self.record(frames::elapsed(instance_id, cookie));
             }
-            Event::CatchUp { who, life } if self.is_alive(who, life) => {
-                if self.instances[who as usize].subscribed {
-                    self.tell_changes(who);
+            Event::CatchUp { instance_id, incarnation } if self.is_alive(instance_id, incarnation) => {
+                if self.instances[instance_id as usize].subscribed {
+                    self.send_changes(instance_id);
                 }
             }
-            Event::WatchAnswer { who, life } if self.is_alive(who, life) => self.answer_watch(who),
+            Event::WatchAnswer { instance_id, incarnation } if self.is_alive(instance_id, incarnation) => {
+                self.answer_watch(instance_id);
+            }
             Event::Timer { .. } | Event::CatchUp { .. } | Event::WatchAnswer { .. } => {}
             Event::Incident(incident) => self.happen(incident),
         }
@@ -374,26 +378,27 @@
             }
             Incident::WholeList => {
                 self.version += 1;
-                (0..self.instances.len() as u32).for_each(|who| self.tell_list(who, frames::WHOLE));
+                (0..self.instances.len() as u32)
+                    .for_each(|instance_id| self.send_list(instance_id, frames::WHOLE));
             }
-            Incident::SubscriptionLost(who) => {
-                self.instances[who as usize].subscribed = false;
-                self.record(frames::directory_update(who, frames::FAILED, self.version, &[]));
+            Incident::SubscriptionLost(instance_id) => {
+                self.instances[instance_id as usize].subscribed = false;
+                self.record(frames::directory_update(instance_id, frames::FAILED, self.version, &[]));
             }
             Incident::PurgeObject(object) => self.purge(object, 0),
             Incident::PurgeGroup(group) => self.purge(0, group),
             Incident::Rate(rate) => self.rate = rate,
-            Incident::RestartInstance(who) => self.respawn(who),
-            Incident::UnknownClass(who) => {
-                let mut asked = self.draw_request();
-                asked.class = self.scenario.settings.classes.len() as u16;
-                self.request(who, asked, 9);
+            Incident::RestartInstance(instance_id) => self.respawn(instance_id),
+            Incident::UnknownClass(instance_id) => {
+                let mut meta = self.draw_request();
+                meta.class = self.scenario.settings.classes.len() as u16;
+                self.request(instance_id, meta, 9);
             }
-            Incident::SideNews(who) => {
+            Incident::SideNews(instance_id) => {
                 let server = self.servers[0].entry.address;
-                self.record(frames::checked(who, server, 10, 700));
-                self.record(frames::checked(who, server, 50, 400_000));
-                self.record(frames::from_peer(who, 1, b"load 3"));
+                self.record(frames::checked(instance_id, server, 10, 700));
+                self.record(frames::checked(instance_id, server, 50, 400_000));
+                self.record(frames::from_peer(instance_id, 1, b"load 3"));
             }
         }
     }
@@ -441,9 +446,9 @@
             0 => group_of(copy.1) != group,
             object => copy.1 != object,
         });
-        for who in 0..self.instances.len() as u32 {
+        for instance_id in 0..self.instances.len() as u32 {
             let ago = self.random.below(20 * MILLISECOND);
-            self.record(frames::struck_out(who, object, group, ago));
+            self.record(frames::struck_out(instance_id, object, group, ago));
         }
     }
 
@@ -453,29 +458,22 @@
         if self.now >= START + self.scenario.duration * MILLISECOND {
             return;
         }
-        let asked = self.draw_request();
-        let who = self.random.below(self.instances.len() as u64) as u32;
-        self.request(who, asked, 0);
+        let meta = self.draw_request();
+        let instance_id = self.random.below(self.instances.len() as u64) as u32;
+        self.request(instance_id, meta, 0);
         let gap = -(1.0 - self.random.unit()).ln() / self.rate;
         self.schedule((gap * SECOND as f64) as u64, Event::Arrival);
     }
 
     fn draw_request(&mut self) -> RequestMeta {
-        // A few objects are asked for much more often than the others.
+        // A few objects are requested much more often than the others.
         let object = 1 + (self.random.unit().powi(3) * self.scenario.objects as f64) as u64;
         let part = self.random.below(2) as u32;
         let size_kb = match self.scenario.sizes_told {
             true => 10.0 + (mixed(object, part) % 190) as f32,
             false => 0.0,
         };
-        RequestMeta {
-            object,
-            part,
-            group: group_of(object),
-            class: self.draw_class(),
-            size_kb,
-            idempotency_keys: 0,
-        }
+        RequestMeta { object, part, group: group_of(object), class: self.draw_class(), size_kb, flags: 0 }
     }
 
     fn draw_class(&mut self) -> u16 {
@@ -490,46 +488,48 @@
         0
     }
 
-    fn request(&mut self, who: u32, asked: RequestMeta, tries: u32) {
+    fn request(&mut self, instance_id: u32, meta: RequestMeta, client_attempts: u32) {
         self.last_ticket += 1 + self.random.below(5);
-        let ticket = self.last_ticket;
+        let request_id = self.last_ticket;
         let classes = &self.scenario.settings.classes;
-        let longest = classes.get(usize::from(asked.class)).map_or(SECOND, |class| class.deadline);
+        let longest = classes.get(usize::from(meta.class)).map_or(SECOND, |class| class.deadline);
         let grace = match self.random.chance(0.02) {
             true => self.random.below(30 * MILLISECOND),
-            false => longest / (1 + u64::from(tries.min(2))),
+            false => longest / (1 + u64::from(client_attempts.min(2))),
         };
-        self.record(frames::ingress(who, ticket, &asked, grace));
-        let life = self.instances[who as usize].life;
+        self.record(frames::ingress(instance_id, request_id, &meta, grace));
+        let incarnation = self.instances[instance_id as usize].incarnation;
         let (deadline, attempts) = (self.now + grace, Vec::new());
-        self.requests
-            .insert(ticket, Request { who, life, asked, deadline, tries, finished: false, attempts });
-        self.schedule(grace + TICK, Event::Deadline { ticket });
+        self.requests.insert(
+            request_id,
+            Request { instance_id, incarnation, meta, deadline, client_attempts, finished: false, attempts },
+        );
+        self.schedule(grace + TICK, Event::Deadline { request_id });
         if self.random.chance(0.05) {
             let leaves_after = self.random.below(grace.clamp(1, 300 * MILLISECOND));
-            self.schedule(leaves_after, Event::Left { ticket });
+            self.schedule(leaves_after, Event::ClientGone { request_id });
         }
     }
 
     /// The client goes away.
-    fn abort(&mut self, ticket: u64) {
-        let request = self.requests.get_mut(&ticket).expect("request was sent");
-        let alive = self.instances[request.who as usize].life == request.life;
+    fn abort(&mut self, request_id: u64) {
+        let request = self.requests.get_mut(&request_id).expect("request was sent");
+        let alive = self.instances[request.instance_id as usize].incarnation == request.incarnation;
         if !alive || request.finished {
             return;
         }
         request.finished = true;
-        let who = request.who;
+        let instance_id = request.instance_id;
         self.counts.add("client left".to_string(), 1);
-        self.record(frames::aborted(who, ticket));
+        self.record(frames::aborted(instance_id, request_id));
     }
 
     // Actions.
 
-    fn act(&mut self, who: u32, action: Action) {
+    fn act(&mut self, instance_id: u32, action: Action) {
         let name = match &action {
-            Action::Look { .. } => "look",
-            Action::Read { .. } => "read",
+            Action::SendCacheOnly { .. } => "send cache-only",
+            Action::SendWithFill { .. } => "send with fill",
             Action::Cancel { .. } => "cancel",
             Action::Reject { retry_after: 0, .. } => "reject without retry-after",
             Action::Reject { .. } => "reject with retry-after",
@@ -538,50 +538,53 @@
             Action::Watch => "watch",
         };
         self.counts.add(format!("action {name}"), 1);
-        let life = self.instances[who as usize].life;
+        let incarnation = self.instances[instance_id as usize].incarnation;
         match action {
-            Action::Look { ticket, wait, server } => self.attempt(ticket, wait, server, None),
-            Action::Read { ticket, wait, server, source, only_if_cached, retention_rank } => {
-                self.attempt(ticket, wait, server, Some((source, only_if_cached, retention_rank)));
+            Action::SendCacheOnly { request_id, wait, server } => {
+                self.attempt(request_id, wait, server, None);
             }
-            Action::Cancel { ticket, attempt } => self.cancel(ticket, attempt),
-            Action::Reject { ticket, retry_after } => self.finish(ticket, Some(retry_after)),
-            Action::Fail { ticket } => self.finish(ticket, None),
-            Action::SetTimer { wait, cookie } => self.set_timer(who, life, wait, cookie),
+            Action::SendWithFill { request_id, wait, server, source, only_if_cached, retention_rank } => {
+                self.attempt(request_id, wait, server, Some((source, only_if_cached, retention_rank)));
+            }
+            Action::Cancel { request_id, attempt } => self.cancel(request_id, attempt),
+            Action::Reject { request_id, retry_after } => self.finish(request_id, Some(retry_after)),
+            Action::Fail { request_id } => self.finish(request_id, None),
+            Action::SetTimer { wait, cookie } => self.set_timer(instance_id, incarnation, wait, cookie),
             Action::Watch => {
                 let delay = 20 * MILLISECOND + self.random.below(60 * MILLISECOND);
-                self.schedule(delay, Event::WatchAnswer { who, life });
+                self.schedule(delay, Event::WatchAnswer { instance_id, incarnation });
             }
         }
     }
 
     /// Timers of an instance beyond a few in one tick are left out: every timer that goes off is followed
     /// by another, and the files would hold little else.
-    fn set_timer(&mut self, who: u32, life: u32, wait: u32, cookie: u32) {
+    fn set_timer(&mut self, instance_id: u32, incarnation: u32, wait: u32, cookie: u32) {
         let due = (self.now + u64::from(wait.max(1))).div_ceil(TICK) * TICK;
-        let timers = self.timers.entry((due, who, life)).or_default();
+        let timers = self.timers.entry((due, instance_id, incarnation)).or_default();
         *timers += 1;
         if *timers <= self.scenario.timers_per_tick {
-            self.schedule(wait.into(), Event::Timer { who, life, cookie });
+            self.schedule(wait.into(), Event::Timer { instance_id, incarnation, cookie });
         }
     }
 
     /// The instance gave its final answer; some clients come back.
-    fn finish(&mut self, ticket: u64, retry_after: Option<u32>) {
-        let request = self.requests.get_mut(&ticket).expect("request was sent");
+    fn finish(&mut self, request_id: u64, retry_after: Option<u32>) {
+        let request = self.requests.get_mut(&request_id).expect("request was sent");
         request.finished = true;
-        let (who, tries, mut asked) = (request.who, request.tries + 1, request.asked);
-        if tries <= 3 && self.random.chance(0.7) {
-            asked.idempotency_keys = 2;
+        let (instance_id, client_attempts, mut meta) =
+            (request.instance_id, request.client_attempts + 1, request.meta);
+        if client_attempts <= 3 && self.random.chance(0.7) {
+            meta.flags = 2;
             let pause = 50 * MILLISECOND + u64::from(retry_after.unwrap_or(100_000));
-            self.schedule(pause, Event::Retry { who, asked, tries });
+            self.schedule(pause, Event::Retry { instance_id, meta, client_attempts });
         }
     }
 
-    fn cancel(&mut self, ticket: u64, number: u16) {
-        let index = self.requests[&ticket].attempts[usize::from(number)];
+    fn cancel(&mut self, request_id: u64, number: u16) {
+        let index = self.requests[&request_id].attempts[usize::from(number)];
         if !self.attempts[index].streaming {
-            self.schedule(TICK, Event::AttemptEnd { attempt: index, verdict: 70, note: 0, first_byte: 0 });
+            self.schedule(TICK, Event::AttemptEnd { attempt: index, status: 70, detail: 0, first_byte: 0 });
         }
     }
 
@@ -592,51 +595,57 @@
         found.expect("server was listed")
     }
 
-    fn attempt(&mut self, ticket: u64, wait: u32, server: Address, directives: Option<(Address, bool, u8)>) {
+    fn attempt(
+        &mut self,
+        request_id: u64,
+        wait: u32,
+        server: Address,
+        directives: Option<(Address, bool, u8)>,
+    ) {
         let server = self.server(server);
         let source = directives.map(|(source, only_if_cached, _)| (self.server(source), only_if_cached));
         let keep = directives.is_some_and(|directives| directives.2 > 0);
         let attempt = self.attempts.len();
-        let request = self.requests.get_mut(&ticket).expect("request was sent");
+        let request = self.requests.get_mut(&request_id).expect("request was sent");
         let number = request.attempts.len() as u16;
         request.attempts.push(attempt);
-        let (asked, left) = (request.asked, request.deadline.saturating_sub(self.now));
+        let (meta, left) = (request.meta, request.deadline.saturating_sub(self.now));
         let over = request.finished;
         let sent = self.now;
-        self.attempts.push(Attempt { ticket, number, server, sent, ended: false, streaming: false });
+        self.attempts.push(Attempt { request_id, number, server, sent, ended: false, streaming: false });
         self.servers[server].in_hand += 1;
         let mut ending = match over {
-            true => Ending { verdict: 80, note: 0, took: 0, first_byte: 0 },
-            false => self.draw_ending(server, source, &asked, keep),
+            true => Ending { status: 80, detail: 0, took: 0, first_byte: 0 },
+            false => self.draw_ending(server, source, &meta, keep),
         };
         let limit = match wait {
             0 => left,
             wait => left.min(wait.into()),
         };
         if ending.took > limit {
-            ending = Ending { verdict: 40, note: 0, took: limit, first_byte: 0 };
+            ending = Ending { status: 40, detail: 0, took: limit, first_byte: 0 };
         }
-        self.counts.add(format!("verdict {:02}", ending.verdict), 1);
-        let stream = self.scenario.settings.classes[usize::from(asked.class)].stream;
-        if stream && ending.verdict == 10 {
+        self.counts.add(format!("status {:02}", ending.status), 1);
+        let stream = self.scenario.settings.classes[usize::from(meta.class)].stream;
+        if stream && ending.status == 10 {
             self.schedule(ending.took / 2, Event::StreamStart { attempt });
         }
-        let Ending { verdict, note, took, first_byte } = ending;
-        self.schedule(took, Event::AttemptEnd { attempt, verdict, note, first_byte });
+        let Ending { status, detail, took, first_byte } = ending;
+        self.schedule(took, Event::AttemptEnd { attempt, status, detail, first_byte });
     }
 
     fn draw_ending(
         &mut self,
         server: usize,
         source: Option<(usize, bool)>,
-        asked: &RequestMeta,
+        meta: &RequestMeta,
         keep: bool,
     ) -> Ending {
         if self.random.chance(self.scenario.noise) {
-            return self.draw_noise();
+            return self.random_ending();
         }
         let quick = 2 * MILLISECOND + self.random.below(8 * MILLISECOND);
-        let end = |verdict, note, took| Ending { verdict, note, took, first_byte: 0 };
+        let end = |status, detail, took| Ending { status, detail, took, first_byte: 0 };
         let mut slowness = 1.0;
         match self.servers[server].condition {
             Condition::Slow(factor) => slowness = factor,
@@ -647,23 +656,23 @@
             Condition::Resetting => return end(60, 0, quick),
             Condition::Down => return end(50, 0, quick),
         }
-        let sending = self.sending_time(server, asked) * slowness;
+        let sending = self.sending_time(server, meta) * slowness;
         let sending = quick + sending as u64;
         let runs_there = self.servers[server].entry.kind == ORIGIN_KIND;
         let held = self.random.chance(self.scenario.held_anyway);
-        if runs_there || held || self.copies.contains(&(server, asked.object, asked.part)) {
-            let note = if runs_there { 3 } else { self.random.pick(&[1, 1, 1, 1, 4, 5]) };
-            return end(10, note, sending);
+        if runs_there || held || self.copies.contains(&(server, meta.object, meta.part)) {
+            let detail = if runs_there { 3 } else { self.random.pick(&[1, 1, 1, 1, 4, 5]) };
+            return end(10, detail, sending);
         }
         match source.filter(|(source, _)| *source != server) {
             None => end(90, self.random.pick(&[0, 0, 4]), quick),
-            Some((source, only_if_cached)) => self.fill(server, source, only_if_cached, asked, keep, sending),
+            Some((source, only_if_cached)) => self.fill(server, source, only_if_cached, meta, keep, sending),
         }
     }
 
     /// How long the sending takes with what the server has in hand.
-    fn sending_time(&mut self, server: usize, asked: &RequestMeta) -> f64 {
-        let size_kb = 10.0 + (mixed(asked.object, asked.part) % 190) as f64;
+    fn sending_time(&mut self, server: usize, meta: &RequestMeta) -> f64 {
+        let size_kb = 10.0 + (mixed(meta.object, meta.part) % 190) as f64;
         let alone = size_kb / self.scenario.settings.client_kb_per_s;
         let Server { entry, in_hand, .. } = &self.servers[server];
         let crowding = f64::from(*in_hand) / (8.0 * f64::from(entry.size));
@@ -676,111 +685,111 @@
         server: usize,
         source: usize,
         only_if_cached: bool,
-        asked: &RequestMeta,
+        meta: &RequestMeta,
         keep: bool,
         sending: u64,
     ) -> Ending {
         let quick = 4 * MILLISECOND + self.random.below(10 * MILLISECOND);
-        let copy = (source, asked.object, asked.part);
+        let copy = (source, meta.object, meta.part);
         let at_origin = self.servers[source].entry.kind == ORIGIN_KIND;
         let far = at_origin || !self.copies.contains(&copy);
         if far && only_if_cached {
-            return Ending { verdict: 90, note: 8, took: quick, first_byte: quick };
+            return Ending { status: 90, detail: 8, took: quick, first_byte: quick };
         }
-        let (mut trouble, mut slowness) = (None, 1.0);
-        let mut way = vec![source];
+        let (mut failure, mut slowness) = (None, 1.0);
+        let mut path = vec![source];
         if far && !at_origin {
-            way.extend(self.targets(Target::Origin));
+            path.extend(self.targets(Target::Origin));
         }
-        for server in way {
+        for server in path {
             let parent = server == source && !at_origin;
-            let note = |of_parent: u32| if parent { of_parent } else { 10 };
+            let detail = |of_parent: u32| if parent { of_parent } else { 10 };
             match self.servers[server].condition {
                 Condition::Slow(factor) => slowness *= factor,
-                Condition::Failing(share) if self.random.chance(share) => trouble = Some((20, note(6))),
-                Condition::Full(share) if self.random.chance(share) => trouble = Some((30, note(6))),
+                Condition::Failing(share) if self.random.chance(share) => failure = Some((20, detail(6))),
+                Condition::Full(share) if self.random.chance(share) => failure = Some((30, detail(6))),
                 Condition::Healthy | Condition::Failing(_) | Condition::Full(_) => {}
                 Condition::Hung => slowness *= 1000.0,
-                Condition::Resetting => trouble = Some((20, note(7))),
-                Condition::Down => trouble = Some((30, note(7))),
+                Condition::Resetting => failure = Some((20, detail(7))),
+                Condition::Down => failure = Some((30, detail(7))),
             }
         }
-        if let Some((verdict, note)) = trouble {
-            return Ending { verdict, note, took: quick, first_byte: quick };
+        if let Some((status, detail)) = failure {
+            return Ending { status, detail, took: quick, first_byte: quick };
         }
         let (in_hand, room, least) = match far {
             true => (self.origin_fills, 12.0, 60.0),
             false => (self.fills, 24.0, 15.0),
         };
         if f64::from(in_hand) > 6.0 * room {
-            return Ending { verdict: 30, note: 9, took: quick, first_byte: quick };
+            return Ending { status: 30, detail: 9, took: quick, first_byte: quick };
         }
         let waited = least * slowness * (f64::from(in_hand) / room).max(1.0) * (0.7 + self.random.unit());
         let first_byte = (waited * MILLISECOND as f64) as u64;
         self.fills += u32::from(!far);
         self.origin_fills += u32::from(far);
         if keep {
-            self.copies.insert((server, asked.object, asked.part));
+            self.copies.insert((server, meta.object, meta.part));
             self.copies.insert(copy);
         }
-        Ending { verdict: 10, note: if far { 3 } else { 2 }, took: sending + first_byte, first_byte }
+        Ending { status: 10, detail: if far { 3 } else { 2 }, took: sending + first_byte, first_byte }
     }
 
     /// An ending that nothing here accounts for.
-    fn draw_noise(&mut self) -> Ending {
-        let verdict = self.random.pick(&[10, 20, 20, 30, 30, 40, 50, 60, 60, 70, 80, 90]);
-        let notes: &[u32] = match verdict {
+    fn random_ending(&mut self) -> Ending {
+        let status = self.random.pick(&[10, 20, 20, 30, 30, 40, 50, 60, 60, 70, 80, 90]);
+        let details: &[u32] = match status {
             10 => &[0, 1, 2, 3, 4, 5],
             90 => &[0, 4, 8],
             _ => &[0, 0, 6, 7, 8, 9, 10],
         };
-        let note = self.random.pick(notes);
+        let detail = self.random.pick(details);
         let took = 2 * MILLISECOND + self.random.below(200 * MILLISECOND);
-        Ending { verdict, note, took, first_byte: took / 2 }
+        Ending { status, detail, took, first_byte: took / 2 }
     }
 
     fn start_stream(&mut self, index: usize) {
-        let Attempt { ticket, number, server, sent, ended, .. } = self.attempts[index];
-        let request = &self.requests[&ticket];
-        let (who, open) = (request.who, !request.finished && !ended);
-        if !open || !self.is_alive(who, request.life) {
+        let Attempt { request_id, number, server, sent, ended, .. } = self.attempts[index];
+        let request = &self.requests[&request_id];
+        let (instance_id, open) = (request.instance_id, !request.finished && !ended);
+        if !open || !self.is_alive(instance_id, request.incarnation) {
             return;
         }
         self.attempts[index].streaming = true;
-        self.requests.get_mut(&ticket).expect("request was sent").finished = true;
+        self.requests.get_mut(&request_id).expect("request was sent").finished = true;
         let address = self.servers[server].entry.address;
-        self.record(frames::streaming(who, ticket, number, address, self.now - sent));
+        self.record(frames::streaming(instance_id, request_id, number, address, self.now - sent));
     }
 
-    fn end_attempt(&mut self, index: usize, verdict: u8, note: u32, first_byte: u64) {
-        let Attempt { ticket, number, server, sent, ended, .. } = self.attempts[index];
+    fn end_attempt(&mut self, index: usize, status: u8, detail: u32, first_byte: u64) {
+        let Attempt { request_id, number, server, sent, ended, .. } = self.attempts[index];
         if ended {
             return;
         }
         self.attempts[index].ended = true;
         self.servers[server].in_hand -= 1;
-        if verdict == 10 {
-            self.fills -= u32::from(note == 2 && self.fills > 0);
-            self.origin_fills -= u32::from(note == 3 && self.origin_fills > 0);
-        }
-        let request = self.requests.get_mut(&ticket).expect("request was sent");
-        request.finished |= verdict == 10;
-        let (who, life, last) = (request.who, request.life, request.finished);
-        if !self.is_alive(who, life) {
+        if status == 10 {
+            self.fills -= u32::from(detail == 2 && self.fills > 0);
+            self.origin_fills -= u32::from(detail == 3 && self.origin_fills > 0);
+        }
+        let request = self.requests.get_mut(&request_id).expect("request was sent");
+        request.finished |= status == 10;
+        let (instance_id, incarnation, last) = (request.instance_id, request.incarnation, request.finished);
+        if !self.is_alive(instance_id, incarnation) {
             return;
         }
-        let (note, first_byte) = match (self.scenario.settings.note_level, note) {
-            ("all", note) => (note, first_byte),
+        let (detail, first_byte) = match (self.scenario.settings.note_level, detail) {
+            ("all", detail) => (detail, first_byte),
             ("hit", 3) => (2, 0),
-            ("hit", note @ (1 | 2 | 4 | 5)) => (note, 0),
+            ("hit", detail @ (1 | 2 | 4 | 5)) => (detail, 0),
             _ => (0, 0),
         };
-        self.counts.add(format!("note {note:02}"), 1);
-        self.counts.add(format!("ended {verdict:02}"), 1);
+        self.counts.add(format!("detail {detail:02}"), 1);
+        self.counts.add(format!("ended {status:02}"), 1);
         let server = self.servers[server].entry.address;
         let took = self.now - sent;
-        let outcome = Outcome { attempt: number, server, verdict, note, last, took, first_byte };
-        self.record(frames::done(who, ticket, &outcome));
+        let outcome = Outcome { attempt: number, server, status, detail, last, took, first_byte };
+        self.record(frames::done(instance_id, request_id, &outcome));
     }
 }
 
