--- a/crates/consensus/src/lead.rs
+++ b/crates/consensus/src/lead.rs
@@ -62,7 +62,7 @@
         let term = self.voter.as_ref().map_or(0, |voter| voter.term());
         let mut lead =
             self.lead.take().filter(|lead| lead.term == term).unwrap_or_else(|| Leadership::new(now, term));
-        let again = self.terms.beat * 6.0;
+        let again = self.terms.heartbeat_interval * 6.0;
         lead.proposed.retain(|(_, at)| now.since(*at) < again);
         self.lead = Some(lead);
         // A router that was just elected does not know yet all that is committed.
@@ -92,20 +92,22 @@
         }
         match command {
             Command::Join { start, listed, after } => {
-                let same = self.agreed.members.named(&listed.name).is_some();
+                let same = self.agreed.members.find_by_name(&listed.name).is_some();
                 if self.agreed.members.get(start) != Some(&listed) && (same || self.has_place()) {
                     self.enter(now, LogEntry::Join { start, listed, after });
                 }
             }
             Command::Leave { start } => self.leaves(now, start, true),
             Command::Forget { name } => {
-                if let Some(start) = self.agreed.members.named(&name) {
+                if let Some(start) = self.agreed.members.find_by_name(&name) {
                     self.leaves(now, start, true);
                 }
             }
             Command::Answer { generation, start, objection } => {
                 let asked = self.agreed.staged.as_ref().is_some_and(|s| s.version.generation == generation);
-                if let Some(lead) = self.lead.as_mut().filter(|_| asked && self.agreed.members.has(start)) {
+                if let Some(lead) =
+                    self.lead.as_mut().filter(|_| asked && self.agreed.members.contains(start))
+                {
                     if lead.of != generation {
                         lead.of = generation;
                         lead.answers.clear();
@@ -127,16 +129,18 @@
     }
 
     fn leaves(&mut self, now: Moment, start: Incarnation, ended: bool) {
-        if self.agreed.members.has(start) {
+        if self.agreed.members.contains(start) {
             self.enter(now, LogEntry::Leave { start, ended });
         }
     }
 
     /// Lists that nobody can hold any more are retired, and those forgotten who were silent for very long.
     fn see_to_list(&mut self, now: Moment) {
-        let held = self.terms.hold_out + self.terms.lease * 2.0 + self.terms.drift(self.terms.hold_out);
+        let held = self.terms.quorum_loss_grace
+            + self.terms.lease * 2.0
+            + self.terms.drift(self.terms.quorum_loss_grace);
         let over = |at: Moment| now.since(at) > held;
-        let oldest = self.agreed.members.oldest_step();
+        let oldest = self.agreed.members.oldest_superseded();
         if let Some(before) = oldest.filter(|step| self.seen_at(*step).is_some_and(over)) {
             // All that are over by now, at once.
             let last = self.seen.range(before..).take_while(|(_, at)| over(**at)).last();
@@ -148,9 +152,10 @@
         }
         let since = self.lead.as_ref().map_or(now, |lead| lead.since);
         let own = self.own.start;
-        let gone =
-            |start: &&Incarnation| **start != own && self.failure_detector.lasts(**start, now, since) > held;
-        if let Some(start) = self.agreed.members.listed().keys().find(gone).copied() {
+        let gone = |start: &&Incarnation| {
+            **start != own && self.failure_detector.silence(**start, now, since) > held
+        };
+        if let Some(start) = self.agreed.members.members().keys().find(gone).copied() {
             self.leaves(now, start, false);
         }
     }
@@ -158,17 +163,18 @@
     /// Each keeper's clock is set against the fleet's time; the first one is the fleet's time.
     fn see_to_clocks(&mut self, now: Moment) {
         let decided = self.agreed.staged.as_ref().is_some_and(|staged| staged.at.is_some()) || self.decides();
-        if decided || !self.agreed.members.has(self.own.start) {
+        if decided || !self.agreed.members.contains(self.own.start) {
             return;
         }
         let (since, own) = (self.lead.as_ref().map_or(now, |lead| lead.since), self.own.start);
-        let there = |start| start == own || self.failure_detector.lasts(start, now, since) < self.terms.lease;
+        let there =
+            |start| start == own || self.failure_detector.silence(start, now, since) < self.terms.lease;
         let keepers = self.time_keepers(there);
         if self.agreed.clocks.is_empty() {
             return self.enter(now, LogEntry::Clock { of: self.own.start, ahead: Some(0) });
         }
-        let near = self.terms.bound * 0.25;
-        let Some(time) = self.time(now).filter(|time| time.bound() <= near) else {
+        let near = self.terms.clock_bound * 0.25;
+        let Some(time) = self.time(now).filter(|time| time.error_bound() <= near) else {
             // Most clocks of the fleet's time are gone, or two do not agree and nobody tells which is off: it begins
             // anew with the leader's, as nothing hangs on it now.
             let timeless = self.lead.as_ref().and_then(|lead| lead.timeless);
@@ -182,14 +188,14 @@
         };
         self.lead.iter_mut().for_each(|lead| lead.timeless = None);
         for of in keepers.iter().copied() {
-            let reads = self.clocks.offset(&self.terms, of, now);
-            let Some(reads) = reads.filter(|reads| reads.bound() <= near) else { continue };
+            let reads = self.clocks.offset_of(&self.terms, of, now);
+            let Some(reads) = reads.filter(|reads| reads.error_bound() <= near) else { continue };
             let ahead = match self.agreed.clocks.get(&of) {
                 None => {
-                    Some(reads.middle() + now.since(Moment::default()).as_micros() as i64 - time.middle())
+                    Some(reads.midpoint() + now.since(Moment::default()).as_micros() as i64 - time.midpoint())
                 }
                 Some(agreed) => {
-                    let strays = self.clocks.strays(&self.terms, &self.agreed.clocks, of, now);
+                    let strays = self.clocks.deviation_of(&self.terms, &self.agreed.clocks, of, now);
                     strays.map(|strays| agreed + strays)
                 }
             };
@@ -212,14 +218,15 @@
     }
 
     fn voters_listed(&self) -> Vec<Incarnation> {
-        self.agreed.members.listed().keys().copied().filter(|start| self.is_voter(*start)).collect()
+        self.agreed.members.members().keys().copied().filter(|start| self.is_voter(*start)).collect()
     }
 
     /// Keeps as many voters as are wanted, and replaces one that is gone.
     fn see_to_voters(&mut self, now: Moment) {
         let lead = self.lead.as_ref().expect("it leads");
         let (since, changed) = (lead.since, lead.changed);
-        let lasts = |beats: f64| changed.is_some_and(|at| now.since(at) < self.terms.beat * beats);
+        let lasts =
+            |beats: f64| changed.is_some_and(|at| now.since(at) < self.terms.heartbeat_interval * beats);
         if !self.agreed.leaving.is_empty() {
             // Both, those before and those to come, are needed until this is agreed as well. One that is to go can't
             // lead then.
@@ -228,7 +235,7 @@
             let heir = self
                 .voters_listed()
                 .into_iter()
-                .min_by_key(|start| self.failure_detector.lasts(*start, now, since));
+                .min_by_key(|start| self.failure_detector.silence(*start, now, since));
             let heir = heir.and_then(|start| self.agreed.members.get(start)?.replica_id);
             let done = match (&mut self.voter, heir) {
                 _ if lasts(2.0) => false,
@@ -245,15 +252,15 @@
             return;
         }
         let Some(own) =
-            self.own.replica_id.filter(|_| !lasts(8.0) && self.agreed.members.has(self.own.start))
+            self.own.replica_id.filter(|_| !lasts(8.0) && self.agreed.members.contains(self.own.start))
         else {
             return;
         };
         let patience = self.terms.lease * 4.0;
         let there = |start: Incarnation| {
-            start == self.own.start || self.failure_detector.lasts(start, now, since) < patience
+            start == self.own.start || self.failure_detector.silence(start, now, since) < patience
         };
-        let members = self.agreed.members.listed();
+        let members = self.agreed.members.members();
         let holder =
             |replica_id: &u64| members.iter().find(|(_, listed)| listed.replica_id == Some(*replica_id));
         let voters: Vec<Replica> = (self.agreed.voters.iter())
@@ -270,7 +277,7 @@
             .collect();
         // Just now: a new one that is not there is one less to lose.
         let heard = |start: Incarnation| {
-            self.failure_detector.lasts(start, now, Moment::default()) < self.terms.beat * 6.0
+            self.failure_detector.silence(start, now, Moment::default()) < self.terms.heartbeat_interval * 6.0
         };
         let free = |(start, listed): (&Incarnation, &Member)| {
             let replica_id = listed
@@ -294,10 +301,10 @@
             None => self.see_to_decision(now, &staged),
             Some(at) => {
                 let passed = match self.time(now) {
-                    Some(time) => time.low > at.plus(self.terms.bound).0,
+                    Some(time) => time.low > at.plus(self.terms.clock_bound).0,
                     // The fleet's time was lost: by the own clock it is surely over.
                     None => self.turned.is_some_and(|(seen, _)| {
-                        let most = self.terms.lease * 3.0 + self.terms.bound * 6.0;
+                        let most = self.terms.lease * 3.0 + self.terms.clock_bound * 6.0;
                         now.since(seen) > most + self.terms.drift(most)
                     }),
                 };
@@ -322,15 +329,19 @@
         }
         let seen = self.seen_at(index).unwrap_or(now);
         let waited = now.since(seen);
-        let (lease, hold_out) = (self.terms.lease, self.terms.hold_out);
+        let (lease, hold_out) = (self.terms.lease, self.terms.quorum_loss_grace);
         let too_long = (lease + hold_out) * 2.0 + self.terms.drift(hold_out);
         if waited > too_long {
             return self.enter(now, LogEntry::CallOff { generation, why: "no decision in time".into() });
         }
-        let all = self.agreed.members.listed().keys().all(|start| answers.contains_key(start));
+        let all = self.agreed.members.members().keys().all(|start| answers.contains_key(start));
         // The silent are waited for a little: they may have an objection. After that they go by it, or stay out.
         let patient = lease * 0.5;
-        let decided = match self.agreed.members.most_know(index, |start| answers.contains_key(&start)) {
+        let decided = match self
+            .agreed
+            .members
+            .rule_out_uninformed_majority(index, |start| answers.contains_key(&start))
+        {
             _ if !self.guards.staged => true,
             Ok(()) => all || waited >= patient,
             // More than half of some list is silent: they may live on each other's words until the hold-out.
@@ -384,7 +395,7 @@
                 let note = format!(
                     "in time at location {location}, offering {class}: {was:.3} before, {after:.3} after"
                 );
-                if let Ok(proposal) = self.undoing(generation, "probation", &note) {
+                if let Ok(proposal) = self.rollback_proposal(generation, "probation", &note) {
                     // The same token for as long as this leader leads: it is proposed once.
                     let token = generation.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
                     self.enter(now, LogEntry::Propose(Proposal { token, ..proposal }));
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tindoor::time::{Moment, Span};
 use tindoor_membership::{
-    Clocks, Confirmation, FailureDetector, FleetTime, Incarnation, Interval, Lease, Member, Timings,
+    ClockSync, Confirmation, FailureDetector, FleetTime, Incarnation, Interval, Lease, Member, Timings,
 };
 use tindoor_policy::{
     AgreedState, Count, LogEntry, OutcomeWindow, Policy, ProbationLimits, Proposal, Transition, Version,
@@ -139,7 +139,7 @@
         frame: Frame,
     },
     StorageWrite(StorageWrite),
-    /// Say with [`Node::answer`] whether this router could go by that.
+    /// Say with [`Node::policy_checked`] whether this router could go by that.
     Check(Version),
     /// For the log.
     Transition(Transition),
@@ -180,7 +180,7 @@
     replica_ids: BTreeMap<u64, (Incarnation, String)>,
     /// The last entries that were taken in, without a gap up to the index.
     ring: VecDeque<Vec<u8>>,
-    pub(crate) clocks: Clocks,
+    pub(crate) clocks: ClockSync,
     pub(crate) lease: Lease,
     pub(crate) failure_detector: FailureDetector,
     pub(crate) voter: Option<Voter>,
@@ -249,7 +249,7 @@
         };
         let mut node = Self {
             fleet: fleet.to_string(),
-            clocks: Clocks::of(own.start),
+            clocks: ClockSync::new(own.start),
             shares: Participant::new(own.start, terms, guards.shares, limits.weight),
             planned: None,
             confirmed: None,
@@ -292,7 +292,7 @@
     }
 
     /// Founds the fleet with this policy: once, by its operator. Says why it can't.
-    pub fn found(&mut self, now: Moment, policy: Policy) -> Result<u64, String> {
+    pub fn bootstrap(&mut self, now: Moment, policy: Policy) -> Result<u64, String> {
         let Some(replica_id) = self.own.replica_id else { return Err("this router may not vote".into()) };
         if self.agreed.fleet != 0 {
             return Err(format!("fleet {:016x} is founded already", self.agreed.fleet));
@@ -313,7 +313,7 @@
     }
 
     /// What is to be done since this was last asked.
-    pub fn take_out(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.out)
     }
 
@@ -328,8 +328,8 @@
     }
 
     /// How often [`tick`](Self::tick) is to be called.
-    pub fn tick_every(&self) -> Span {
-        self.terms.beat * (1.0 / f64::from(self.limits.ticks))
+    pub fn tick_interval(&self) -> Span {
+        self.terms.heartbeat_interval * (1.0 / f64::from(self.limits.ticks))
     }
 
     pub fn agreed(&self) -> &AgreedState {
@@ -340,16 +340,16 @@
         &self.own
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::leads)
     }
 
     /// Which policy decides a request that is taken now, with its generation; why none does.
-    pub fn version(&mut self, now: Moment) -> Result<&Version, UnavailableReason> {
-        if !self.agreed.members.has(self.own.start) {
+    pub fn active_policy(&mut self, now: Moment) -> Result<&Version, UnavailableReason> {
+        if !self.agreed.members.contains(self.own.start) {
             return Err(UnavailableReason::NotListed);
         }
-        if self.guards.lease && !self.lease.holds(now) {
+        if self.guards.lease && !self.lease.is_valid(now) {
             return Err(UnavailableReason::NoLease);
         }
         if self.is_upset(now) {
@@ -358,9 +358,13 @@
         let staged = self.agreed.staged.as_ref().and_then(|staged| Some((staged, staged.at?)));
         let next = match staged {
             Some((staged, _)) if staged.version.generation <= self.used => true,
-            Some((_, at)) => match self.clocks.time(&self.terms, &self.agreed.clocks, now) {
-                Some(time) if time.bound() <= self.terms.bound || time.low >= at.0 || time.high < at.0 => {
-                    time.middle() >= at.0
+            Some((_, at)) => match self.clocks.fleet_time(&self.terms, &self.agreed.clocks, now) {
+                Some(time)
+                    if time.error_bound() <= self.terms.clock_bound
+                        || time.low >= at.0
+                        || time.high < at.0 =>
+                {
+                    time.midpoint() >= at.0
                 }
                 _ => return Err(UnavailableReason::NoTime),
             },
@@ -386,7 +390,7 @@
     /// no other clock is agreed of, until all that was reckoned before that has lapsed.
     fn is_upset(&self, now: Moment) -> bool {
         let others = || self.agreed.clocks.keys().any(|clock| *clock != self.own.start);
-        self.clocks.upset().is_some_and(|since| now.since(since) < self.terms.lease || others())
+        self.clocks.untrusted_since().is_some_and(|since| now.since(since) < self.terms.lease || others())
     }
 
     fn going_by(&self, generation: u64) -> Option<&Version> {
@@ -413,8 +417,8 @@
     }
 
     /// How many processes may act as listed ones.
-    pub fn possible(&self) -> usize {
-        self.agreed.members.possible()
+    pub fn possible_members(&self) -> usize {
+        self.agreed.members.possible_members()
     }
 
     /// Whether one more process may come to be listed: each that may spend has its floor kept.
@@ -422,18 +426,18 @@
         let staged = self.agreed.staged.as_ref().map(|staged| &staged.version);
         let most = staged.into_iter().chain(&self.agreed.in_force);
         let most = most.filter_map(|version| budgets::routers_most(&version.policy)).min();
-        most.is_none_or(|most| (self.possible() as u64) < most)
+        most.is_none_or(|most| (self.possible_members() as u64) < most)
     }
 
     /// What this router may spend of the fleet's budgets.
-    pub fn shares(&mut self) -> &mut Participant {
+    pub fn quota(&mut self) -> &mut Participant {
         &mut self.shares
     }
 
     /// Asks for shares, and takes up those of a router that leads.
     fn see_to_shares(&mut self, now: Moment) {
         self.plan(now);
-        if !self.agreed.members.has(self.own.start) {
+        if !self.agreed.members.contains(self.own.start) {
             self.listed_since = None;
         } else if self.listed_since.is_none() {
             self.listed_since = Some(now);
@@ -446,7 +450,7 @@
             return;
         }
         let term = self.voter.as_ref().filter(|voter| voter.leads()).map(Voter::term);
-        match term.filter(|_| self.agreed.members.has(self.own.start)) {
+        match term.filter(|_| self.agreed.members.contains(self.own.start)) {
             Some(term) => {
                 let confirmed = self.confirmed.filter(|(of, _)| *of == term).map(|(_, at)| at);
                 self.shares.leads(now, term, confirmed);
@@ -461,13 +465,13 @@
             }
         }
         let members = &self.agreed.members;
-        self.shares.keep(now, |start| members.has(start));
+        self.shares.keep(now, |start| members.contains(start));
     }
 
     /// Whom to ask: the leader; in a large fleet the first of the own location that answers, which asks the leader.
     fn lender(&mut self, now: Moment) -> Option<String> {
-        let listed = self.agreed.members.listed();
-        if !self.agreed.members.has(self.own.start) {
+        let listed = self.agreed.members.members();
+        if !self.agreed.members.contains(self.own.start) {
             return None;
         }
         if listed.len() > self.limits.lent_to {
@@ -494,13 +498,13 @@
 
     /// The fleet's time now, with its bound.
     pub fn time(&self, now: Moment) -> Option<Interval> {
-        self.clocks.time(&self.terms, &self.agreed.clocks, now)
+        self.clocks.fleet_time(&self.terms, &self.agreed.clocks, now)
     }
 
     /// The own clock is seen to have jumped: nothing that was reckoned by it holds.
-    pub fn jumped(&mut self, now: Moment) {
-        self.clocks.jumped(now);
-        self.lease.lapse();
+    pub fn clock_jumped(&mut self, now: Moment) {
+        self.clocks.reset_after_jump(now);
+        self.lease.expire();
         self.shares.jumped(now);
         self.confirmed = None;
         self.asked.clear();
@@ -512,7 +516,7 @@
     }
 
     /// Whether this router could go by a change; why not. One that can't go by what is in force stays out.
-    pub fn answer(&mut self, now: Moment, generation: u64, objection: Option<Objection>) {
+    pub fn policy_checked(&mut self, now: Moment, generation: u64, objection: Option<Objection>) {
         self.opinions.insert(generation, objection);
         let (in_force, staged) = (self.agreed.generation(), self.agreed.staged.as_ref());
         let staged = staged.map(|staged| staged.version.generation);
@@ -522,12 +526,12 @@
     }
 
     /// Requests that ended, decided under that generation.
-    pub fn count(&mut self, generation: u64, class: u16, count: Count) {
+    pub fn record_outcomes(&mut self, generation: u64, class: u16, count: Count) {
         self.counts.entry((generation, class)).or_default().add(count);
     }
 
     /// Has the leader take this in: it is sent until its end is known.
-    pub fn command(&mut self, now: Moment, command: Command) -> Result<(), String> {
+    pub fn submit(&mut self, now: Moment, command: Command) -> Result<(), String> {
         if self.pending.len() >= self.limits.pending {
             return Err("too much is waiting for its end already".into());
         }
@@ -545,7 +549,7 @@
     }
 
     pub fn status(&mut self, now: Moment) -> Status {
-        let out = self.version(now).err();
+        let out = self.active_policy(now).err();
         let name = |replica_id: &u64| {
             let holder =
                 self.replica_ids.get(replica_id).and_then(|(start, _)| self.agreed.members.get(*start));
@@ -564,17 +568,17 @@
             generation: self.agreed.generation(),
             hash: self.agreed.in_force.as_ref().map(|version| version.hash.clone()).unwrap_or_default(),
             out,
-            lease_left_ms: self.lease.left(now).as_micros() / 1000,
-            routers: self.agreed.members.listed().len(),
+            lease_left_ms: self.lease.remaining(now).as_micros() / 1000,
+            routers: self.agreed.members.members().len(),
             voters: self.agreed.voters.iter().map(name).collect(),
             leader: self.leader_address(),
-            clock_bound_us: self.time(now).map(|time| time.bound().as_micros()),
+            clock_bound_us: self.time(now).map(|time| time.error_bound().as_micros()),
             under_way: staged,
             on_probation: self.agreed.probation.as_ref().map(|(generation, _)| *generation),
         }
     }
 
-    /// Time has passed: to be called [that often](Self::tick_every).
+    /// Time has passed: to be called [that often](Self::tick_interval).
     pub fn tick(&mut self, now: Moment) {
         if let Some(voter) = &mut self.voter {
             voter.tick();
@@ -589,7 +593,7 @@
     }
 
     /// Those writes last, up to that number.
-    pub fn wrote(&mut self, now: Moment, number: u64) {
+    pub fn write_completed(&mut self, now: Moment, number: u64) {
         if let Some(voter) = &mut self.voter {
             let progress = voter.wrote(number);
             self.heed(now, progress);
@@ -598,16 +602,16 @@
     }
 
     /// A message came, whole.
-    pub fn heard(&mut self, now: Moment, frame: Frame) {
+    pub fn receive(&mut self, now: Moment, frame: Frame) {
         let Frame { fleet, from, address, body } = frame;
         if fleet != self.fleet || from == self.own.start {
             return;
         }
-        let known = self.agreed.members.has(from)
-            || !self.agreed.members.has(self.own.start)
+        let known = self.agreed.members.contains(from)
+            || !self.agreed.members.contains(self.own.start)
             || self.seeds.contains(&address)
             || self.replica_ids.values().any(|(_, known)| *known == address)
-            || self.agreed.members.listed().values().any(|listed| listed.address == address);
+            || self.agreed.members.members().values().any(|listed| listed.address == address);
         match body {
             Body::StatusRequest { nonce, fleet, index, words } => {
                 // One that knows of no fleet asks whoever does: all whom it was told to ask first may know as little.
@@ -620,7 +624,7 @@
             _ if !known => {}
             Body::StatusResponse { .. } => self.told(now, from, body),
             // Room that was lent to one that is not listed would be nobody's until it lapsed.
-            Body::QuotaRequest(want) if self.agreed.members.has(from) => {
+            Body::QuotaRequest(want) if self.agreed.members.contains(from) => {
                 if let Some(lend) = self.shares.asked(now, from, want) {
                     self.send(&address, Body::QuotaGrant(lend));
                 }
@@ -644,7 +648,7 @@
 
     /// The list has changed: what is looked up in it is made anew.
     fn look_up(&mut self) {
-        let listed = self.agreed.members.listed();
+        let listed = self.agreed.members.members();
         self.routers = listed.keys().copied().collect();
         let replica_id = |(start, listed): (&Incarnation, &Member)| {
             Some((listed.replica_id?, (*start, listed.address.clone())))
@@ -661,7 +665,7 @@
     /// Whose clocks may come to be the fleet's: the voters', and where those are too few also of the first listed.
     fn may_keep_times(&self) -> impl Iterator<Item = Incarnation> {
         let few = self.agreed.voters.len() < CLOCKS;
-        let first = self.agreed.members.listed().keys().copied().take(if few { 2 * CLOCKS } else { 0 });
+        let first = self.agreed.members.members().keys().copied().take(if few { 2 * CLOCKS } else { 0 });
         self.voters().chain(first)
     }
 
@@ -672,7 +676,7 @@
     /// Those of them that are to be, as far as they are there: all voters', and others' up to so many.
     pub(crate) fn time_keepers(&self, there: impl Fn(Incarnation) -> bool) -> Vec<Incarnation> {
         let mut keepers: Vec<Incarnation> =
-            self.voters().filter(|start| self.agreed.members.has(*start)).collect();
+            self.voters().filter(|start| self.agreed.members.contains(*start)).collect();
         let others: Vec<Incarnation> =
             self.may_keep_times().filter(|start| !keepers.contains(start)).collect();
         keepers.extend(
@@ -726,7 +730,7 @@
                 if let Some(voter) = self.voter.as_ref().filter(|v| v.leads() && index <= self.agreed.index) {
                     self.confirmed = Some((voter.term(), at)).max(self.confirmed);
                 }
-                self.lease.voters(&self.terms, self.agreed.index, Confirmation { index, at });
+                self.lease.confirm_by_quorum(&self.terms, self.agreed.index, Confirmation { index, at });
             }
         }
         for (replica_id, bytes) in messages {
@@ -758,7 +762,7 @@
         // Who joins has just been heard by somebody. Without this one that comes after long is as silent to the leader
         // as one that was never heard since it leads, and is taken off the list within a beat.
         if let LogEntry::Join { start, .. } = &entry {
-            self.failure_detector.heard(*start, now);
+            self.failure_detector.record_heartbeat(*start, now);
         }
         for step in self.agreed.apply(index, entry) {
             match &step {
@@ -796,12 +800,12 @@
     /// All that is agreed, from somebody who knows more.
     fn whole(&mut self, now: Moment, bytes: &[u8]) {
         if let Ok(agreed) = postcard::from_bytes::<AgreedState>(bytes) {
-            self.learn(now, agreed);
+            self.install_state(now, agreed);
         }
     }
 
     /// Takes over what is agreed, where it is further than what is known here.
-    pub fn learn(&mut self, now: Moment, mut agreed: AgreedState) {
+    pub fn install_state(&mut self, now: Moment, mut agreed: AgreedState) {
         let same = self.agreed.fleet == 0 || self.agreed.fleet == agreed.fleet;
         if !same || agreed.fleet == 0 || agreed.index <= self.agreed.index {
             return;
@@ -826,7 +830,7 @@
     /// What came with a whole state was seen no earlier than now.
     fn saw_all(&mut self, now: Moment) {
         self.seen.clear();
-        self.seen.extend(self.agreed.members.oldest_step().map(|index| (index, now)));
+        self.seen.extend(self.agreed.members.oldest_superseded().map(|index| (index, now)));
         self.seen.insert(self.agreed.index, now);
         if let Some(staged) = &self.agreed.staged {
             self.seen.insert(staged.index, now);
@@ -874,23 +878,24 @@
         let mut offsets = Vec::new();
         // One whose clock has jumped lets what others read of it before that stand for a lease. But where all have, as on
         // machines that slept together, nobody would have anything to agree with, ever.
-        if self.clocks.upset().is_none_or(|since| now.since(since) >= self.terms.lease) {
+        if self.clocks.untrusted_since().is_none_or(|since| now.since(since) >= self.terms.lease) {
             if self.may_keep_time(self.own.start) {
                 offsets.push((self.own.start, Interval { low: 0, high: 0 }));
             }
             let others = agreed.clocks.keys().filter(|clock| **clock != self.own.start);
             offsets.extend(
-                others.filter_map(|clock| Some((*clock, self.clocks.offset(&self.terms, *clock, now)?))),
+                others.filter_map(|clock| Some((*clock, self.clocks.offset_of(&self.terms, *clock, now)?))),
             );
         }
-        let others = if words { self.lease.words(agreed.index, self.limits.words) } else { Vec::new() };
+        let others =
+            if words { self.lease.peer_confirmations(agreed.index, self.limits.words) } else { Vec::new() };
         let body = Body::StatusResponse {
             nonce,
             clock: now.since(Moment::default()).as_micros() as i64,
             offsets,
             index: agreed.index,
             open: agreed.is_open(),
-            voters: self.lease.newest().map(|word| (word.index, age(word.at))),
+            voters: self.lease.latest_quorum_confirmation().map(|word| (word.index, age(word.at))),
             words: others.into_iter().map(|(start, at)| (start, age(at))).collect(),
             news,
             leader: self.leader_address(),
@@ -917,21 +922,21 @@
                 }
             }
         }
-        self.failure_detector.heard(from, now);
-        self.clocks.told(&self.terms, from, [asked, now], clock, &offsets);
+        self.failure_detector.record_heartbeat(from, now);
+        self.clocks.record_exchange(&self.terms, from, [asked, now], clock, &offsets);
         if self.is_upset(now) {
-            self.lease.lapse();
+            self.lease.expire();
         }
         let at = |age: u64| {
             asked - Span::micros(age.saturating_add(self.terms.drift(Span::micros(age)).as_micros()))
         };
         if let Some((index, age)) = voters {
-            self.lease.voters(&self.terms, self.agreed.index, Confirmation { index, at: at(age) });
+            self.lease.confirm_by_quorum(&self.terms, self.agreed.index, Confirmation { index, at: at(age) });
         }
         if open {
-            self.lease.peer(from, Confirmation { index, at: asked });
+            self.lease.confirm_by_peer(from, Confirmation { index, at: asked });
             for (peer, age) in words {
-                self.lease.peer(peer, Confirmation { index, at: at(age) });
+                self.lease.confirm_by_peer(peer, Confirmation { index, at: at(age) });
             }
         }
         if leader.as_deref() != Some(&self.own.address) {
@@ -942,13 +947,13 @@
 
     fn reckon(&mut self, now: Moment) {
         // Peers' words are for when the voters' word is old: it costs a look at each.
-        if self.lease.left(now) > self.terms.lease * 0.6 && self.agreed.members.listed().len() > 64 {
+        if self.lease.remaining(now) > self.terms.lease * 0.6 && self.agreed.members.members().len() > 64 {
             return;
         }
         let word = Confirmation { index: self.agreed.index, at: now };
-        let open = self.agreed.is_open() && self.agreed.members.has(self.own.start);
-        let listed = self.agreed.members.listed().keys();
-        self.lease.reckon(&self.terms, word, open, listed, self.own.start);
+        let open = self.agreed.is_open() && self.agreed.members.contains(self.own.start);
+        let listed = self.agreed.members.members().keys();
+        self.lease.renew(&self.terms, word, open, listed, self.own.start);
     }
 
     /// A router of the list by lot, rarely one that has been silent for long.
@@ -963,8 +968,10 @@
             let Some(listed) = self.agreed.members.get(start).filter(|_| start != self.own.start) else {
                 continue;
             };
-            let silent =
-                self.failure_detector.of(start, now, self.terms.beat * 4.0).is_some_and(|usual| usual > 4.0);
+            let silent = self
+                .failure_detector
+                .suspicion(start, now, self.terms.heartbeat_interval * 4.0)
+                .is_some_and(|usual| usual > 4.0);
             if !silent || self.chance.random_bool(0.25) {
                 return Some(listed.address.clone());
             }
@@ -980,13 +987,13 @@
         // start is no answer to this one.
         self.nonce = if self.nonce == 0 { self.chance.random::<u64>() >> 1 } else { self.nonce + 1 };
         self.asked.insert(self.nonce, now);
-        let words = self.lease.left(now) < self.terms.lease * 0.7;
+        let words = self.lease.remaining(now) < self.terms.lease * 0.7;
         let (fleet, index) = (self.agreed.fleet, self.agreed.index);
         self.send(to, Body::StatusRequest { nonce: self.nonce, fleet, index, words });
     }
 
     fn beat(&mut self, now: Moment) {
-        let listed = self.agreed.members.has(self.own.start);
+        let listed = self.agreed.members.contains(self.own.start);
         let mut whom: Vec<String> =
             (0..self.limits.asks).filter_map(|_| self.some_peer(now, false)).collect();
         let votes = self.own.replica_id.is_some_and(|replica_id| self.agreed.voters.contains(&replica_id));
@@ -1015,7 +1022,7 @@
         if self.beats.is_multiple_of(self.limits.report) && listed {
             self.report(now);
         }
-        if self.leads() {
+        if self.is_leader() {
             // The voters' word: a majority confirms that nobody else leads. None is asked for while a decision is on
             // its way: a word from before it was agreed, asked for after its moment was set, would give a lease
             // beyond that moment.
@@ -1040,11 +1047,15 @@
     fn forget(&mut self) {
         let times: Vec<Incarnation> = self.may_keep_times().collect();
         let agreed = &self.agreed;
-        self.clocks.keep(|clock| agreed.clocks.contains_key(&clock) || times.contains(&clock));
-        self.lease.keep(|start| agreed.members.has(start));
-        self.failure_detector.keep(|start| agreed.members.has(start));
-        let oldest =
-            agreed.members.oldest_step().into_iter().chain(agreed.staged.as_ref().map(|s| s.index)).min();
+        self.clocks.retain(|clock| agreed.clocks.contains_key(&clock) || times.contains(&clock));
+        self.lease.retain_peers(|start| agreed.members.contains(start));
+        self.failure_detector.retain(|start| agreed.members.contains(start));
+        let oldest = agreed
+            .members
+            .oldest_superseded()
+            .into_iter()
+            .chain(agreed.staged.as_ref().map(|s| s.index))
+            .min();
         // The last few are kept in any case.
         while self.seen.len() > 8
             && self.seen.keys().next().is_some_and(|first| oldest.is_none_or(|o| *first < o))
@@ -1059,8 +1070,8 @@
         let Some(objection) = self.opinions.get(&generation) else { return };
         let objection = objection.as_ref().map(|objection| objection.why.clone());
         // One whose time is not sure enough can't confirm.
-        let sure = self.time(now).is_some_and(|time| time.bound() <= self.terms.bound * 0.5);
-        if objection.is_none() && !sure || !self.agreed.members.has(self.own.start) {
+        let sure = self.time(now).is_some_and(|time| time.error_bound() <= self.terms.clock_bound * 0.5);
+        if objection.is_none() && !sure || !self.agreed.members.contains(self.own.start) {
             return;
         }
         self.bring(now, 0, Command::Answer { generation, start: self.own.start, objection });
@@ -1079,7 +1090,7 @@
                 };
                 agreed.staged.as_ref().is_some_and(at)
             }
-            Command::Forget { name } => agreed.members.named(name).is_some(),
+            Command::Forget { name } => agreed.members.find_by_name(name).is_some(),
             _ => false,
         });
         for command in self.pending.clone() {
@@ -1104,10 +1115,10 @@
 
     fn reported(&mut self, now: Moment, report: &Command) {
         let Command::Report { start, location, counts } = report else { return };
-        if !self.agreed.members.has(*start) {
+        if !self.agreed.members.contains(*start) {
             return;
         }
-        self.failure_detector.heard(*start, now);
+        self.failure_detector.record_heartbeat(*start, now);
         let kept = self.limits.probation.before + self.limits.probation.lasts + Span::secs(5.0);
         for (generation, class, count) in counts {
             self.tally.add(now, kept, *generation, (*location, *class), *count);
@@ -1119,7 +1130,7 @@
         if matches!(command, Command::Report { .. }) {
             return self.reported(now, &command);
         }
-        if self.leads() {
+        if self.is_leader() {
             return self.take(now, command);
         }
         if hops >= self.limits.hops {
@@ -1136,12 +1147,12 @@
     }
 
     /// A number for a proposal.
-    pub fn token(&mut self) -> u64 {
+    pub fn new_token(&mut self) -> u64 {
         self.chance.random()
     }
 
     /// A proposal to undo a generation: the policy before it, as a change of its own.
-    pub fn undoing(&mut self, generation: u64, by: &str, note: &str) -> Result<Proposal, String> {
+    pub fn rollback_proposal(&mut self, generation: u64, by: &str, note: &str) -> Result<Proposal, String> {
         match &self.agreed.probation {
             Some((on, before)) if *on == generation => {
                 let (policy, token) = ((*before.policy).clone(), self.chance.random());
@@ -1156,12 +1167,12 @@
     pub(crate) fn ahead(&self, now: Moment) -> Option<FleetTime> {
         let time = self.time(now)?;
         if !self.guards.staged {
-            return Some(FleetTime(time.middle()));
+            return Some(FleetTime(time.midpoint()));
         }
-        if time.bound() > self.terms.bound * 0.5 || !self.agreed.has_clocks() {
+        if time.error_bound() > self.terms.clock_bound * 0.5 || !self.agreed.has_clocks() {
             return None;
         }
         let lease = self.terms.lease + self.terms.drift(self.terms.lease);
-        Some(FleetTime(time.high).plus(lease + self.terms.bound * 2.0))
+        Some(FleetTime(time.high).plus(lease + self.terms.clock_bound * 2.0))
     }
 }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -302,7 +302,10 @@
     let named = |name: &str| snapshots().into_iter().find(|sample| sample.0 == name).unwrap().1;
     let members = named("snapshot-members");
     assert_eq!((members.voters.len(), members.leaving.len(), members.replica_ids.len()), (2, 1, 2));
-    assert_eq!((members.members.listed().len(), members.members.possible(), members.clocks.len()), (3, 3, 3));
+    assert_eq!(
+        (members.members.members().len(), members.members.possible_members(), members.clocks.len()),
+        (3, 3, 3)
+    );
     assert!(named("snapshot-proposed-change").staged.unwrap().at.is_none());
     assert!(named("snapshot-committed-change").staged.unwrap().at.is_some());
     let on_probation = named("snapshot-change-on-probation");
@@ -317,9 +320,9 @@
 fn terms() -> Timings {
     Timings {
         lease: Span::millis(1000),
-        hold_out: Span::secs(6.0),
-        bound: Span::millis(40),
-        beat: Span::millis(100),
+        quorum_loss_grace: Span::secs(6.0),
+        clock_bound: Span::millis(40),
+        heartbeat_interval: Span::millis(100),
         drift_ppm: 200,
     }
 }
@@ -347,7 +350,7 @@
 impl Replica {
     fn bootstrapped() -> Self {
         let mut node = start_replica(None, 0);
-        node.found(at(0), sample_policy()).unwrap();
+        node.bootstrap(at(0), sample_policy()).unwrap();
         let mut replica = Self { node, ms: 0, stored: StoredState::default(), compacted: false };
         replica.run_for(3000);
         replica
@@ -363,20 +366,20 @@
     }
 
     fn command(&mut self, command: Command) {
-        self.node.command(at(self.ms), command).unwrap();
+        self.node.submit(at(self.ms), command).unwrap();
         self.handle_output();
     }
 
     fn handle_output(&mut self) {
         while !self.node.is_quiet() {
-            for out in self.node.take_out() {
+            for out in self.node.take_actions() {
                 match out {
                     Action::StorageWrite(write) => {
                         let number = write.number;
                         self.store(write);
-                        self.node.wrote(at(self.ms), number);
+                        self.node.write_completed(at(self.ms), number);
                     }
-                    Action::Check(version) => self.node.answer(at(self.ms), version.generation, None),
+                    Action::Check(version) => self.node.policy_checked(at(self.ms), version.generation, None),
                     Action::Send { .. } | Action::Transition(_) | Action::Leads(_) => {}
                 }
             }
@@ -501,10 +504,10 @@
 fn replicas_start_from_recorded_storage_with_the_same_state() {
     for (name, replica) in replicas() {
         let mut restarted = start_replica(Some(recorded_storage(name)), replica.ms);
-        let mut writes = restarted.take_out().into_iter();
+        let mut writes = restarted.take_actions().into_iter();
         assert!(writes.all(|out| !matches!(out, Action::Send { .. })), "{name}");
         assert_eq!(restarted.agreed().generation(), 2, "{name}: the change took effect");
-        assert!(restarted.agreed().members.has(Incarnation(0x1111)), "{name}: the member is listed");
+        assert!(restarted.agreed().members.contains(Incarnation(0x1111)), "{name}: the member is listed");
         assert_eq!(restarted.agreed(), replica.node.agreed(), "{name}");
     }
 }
--- a/crates/consensus/tests/stories.rs
+++ b/crates/consensus/tests/stories.rs
@@ -13,9 +13,9 @@
 fn terms() -> Timings {
     Timings {
         lease: Span::millis(1000),
-        hold_out: Span::secs(6.0),
-        bound: Span::millis(40),
-        beat: Span::millis(100),
+        quorum_loss_grace: Span::secs(6.0),
+        clock_bound: Span::millis(40),
+        heartbeat_interval: Span::millis(100),
         drift_ppm: 200,
     }
 }
@@ -51,7 +51,7 @@
             ("budget.origin_fills.burst", 40.0),
         ];
         let policy = Policy::default().with(keys.map(|(key, number)| (key.to_string(), number)));
-        alone.node.found(at(0), policy).unwrap();
+        alone.node.bootstrap(at(0), policy).unwrap();
         alone
     }
 
@@ -59,7 +59,7 @@
     fn settled(routers_most: f64) -> Self {
         let mut alone = Self::new(routers_most);
         alone.pass(3000);
-        assert!(alone.node.leads() && alone.node.version(at(3000)).is_ok());
+        assert!(alone.node.is_leader() && alone.node.active_policy(at(3000)).is_ok());
         alone
     }
 
@@ -75,10 +75,12 @@
 
     fn see(&mut self) {
         while !self.node.is_quiet() {
-            for out in self.node.take_out() {
+            for out in self.node.take_actions() {
                 match out {
-                    Action::StorageWrite(write) => self.node.wrote(at(self.now), write.number),
-                    Action::Check(version) => self.node.answer(at(self.now), version.generation, None),
+                    Action::StorageWrite(write) => self.node.write_completed(at(self.now), write.number),
+                    Action::Check(version) => {
+                        self.node.policy_checked(at(self.now), version.generation, None)
+                    }
                     Action::Send { to, frame } => self.said.push((to, frame.body)),
                     Action::Transition(_) | Action::Leads(_) => {}
                 }
@@ -88,7 +90,7 @@
 
     fn hears(&mut self, from: u64, address: &str, body: Body) {
         let (fleet, address) = ("f".to_string(), address.to_string());
-        self.node.heard(at(self.now), Frame { fleet, from: Incarnation(from), address, body });
+        self.node.receive(at(self.now), Frame { fleet, from: Incarnation(from), address, body });
         self.see();
     }
 
@@ -134,7 +136,7 @@
     alone.join(2, "n1");
     alone.join(3, "n2");
     let names = |alone: &Alone| {
-        let listed = alone.node.agreed().members.listed();
+        let listed = alone.node.agreed().members.members();
         listed.iter().map(|(start, listed)| (start.0, listed.name.clone())).collect::<Vec<_>>()
     };
     assert_eq!(names(&alone), [(1, "n0".into()), (2, "n1".into())]);
@@ -150,9 +152,9 @@
     loop {
         alone.pass(20);
         let now = at(alone.now);
-        let listed = alone.node.version(now).is_ok();
-        alone.node.shares().refused(now, &[line]);
-        let might = alone.node.shares().might_spend(now);
+        let listed = alone.node.active_policy(now).is_ok();
+        alone.node.quota().refused(now, &[line]);
+        let might = alone.node.quota().might_spend(now);
         let might = might.iter().find(|known| known.0 == line).map_or(Quota::NONE, |known| known.1);
         if might != Quota::NONE {
             break;
@@ -170,10 +172,10 @@
     let mut alone = Alone::settled(4.0);
     let now = at(alone.now);
     let objection = |lasts| Some(Objection { why: "two are in hand".into(), lasts });
-    alone.node.answer(now, 1, objection(false));
-    assert!(alone.node.version(now).is_ok());
-    alone.node.answer(now, 1, objection(true));
-    assert_eq!(alone.node.version(now).err(), Some(UnavailableReason::Unfit));
+    alone.node.policy_checked(now, 1, objection(false));
+    assert!(alone.node.active_policy(now).is_ok());
+    alone.node.policy_checked(now, 1, objection(true));
+    assert_eq!(alone.node.active_policy(now).err(), Some(UnavailableReason::Unfit));
 }
 
 /// Met in a simulated day: all routers that were told as seeds had started anew at once, and asked none but each other
@@ -193,8 +195,8 @@
     let mut node = Node::start("f", own, terms(), limits, guards, seeds, None, 7, at(0)).unwrap();
     let asks = |node: &mut Node, fleet| {
         let body = Body::StatusRequest { nonce: 1, fleet, index: 9, words: false };
-        node.heard(at(1), Frame { fleet: "f".into(), from: Incarnation(3), address: "a3".into(), body });
-        let out = node.take_out().into_iter();
+        node.receive(at(1), Frame { fleet: "f".into(), from: Incarnation(3), address: "a3".into(), body });
+        let out = node.take_actions().into_iter();
         out.filter(|out| matches!(out, Action::Send { to, frame } if to == "a3" && matches!(frame.body, Body::StatusRequest { .. })))
             .count()
     };
--- a/crates/membership/src/clocks.rs
+++ b/crates/membership/src/clocks.rs
@@ -26,12 +26,12 @@
 }
 
 impl Interval {
-    pub fn middle(self) -> i64 {
+    pub fn midpoint(self) -> i64 {
         self.low + (self.high - self.low) / 2
     }
 
     /// Half of its width.
-    pub fn bound(self) -> Span {
+    pub fn error_bound(self) -> Span {
         Span::micros(((self.high - self.low).max(0) as u64).div_ceil(2))
     }
 
@@ -152,7 +152,7 @@
 
 /// The clocks of other processes, as read from here.
 #[derive(Debug, Default)]
-pub struct Clocks {
+pub struct ClockSync {
     own: Incarnation,
     known: BTreeMap<Incarnation, Readings>,
     /// Who gave the last answers of which nothing agreed with what was known.
@@ -161,14 +161,14 @@
     upset: Option<Moment>,
 }
 
-impl Clocks {
-    pub fn of(own: Incarnation) -> Self {
+impl ClockSync {
+    pub fn new(own: Incarnation) -> Self {
         Self { own, ..Self::default() }
     }
 
     /// What an answer tells: its giver's clock at the answer, and other clocks less the giver's. `asked` and
     /// `answered` are ours. The giver's own is told as 0 to 0.
-    pub fn told(
+    pub fn record_exchange(
         &mut self,
         terms: &Timings,
         by: Incarnation,
@@ -195,7 +195,7 @@
             if self.doubts.len() < DOUBTS && self.doubts.iter().all(|giver| *giver == by) {
                 return;
             }
-            self.jumped(answered);
+            self.reset_after_jump(answered);
         } else if agreed > 0 {
             self.doubts.clear();
             self.upset = None;
@@ -206,19 +206,19 @@
     }
 
     /// Forgets all readings: the own clock is known to have jumped.
-    pub fn jumped(&mut self, now: Moment) {
+    pub fn reset_after_jump(&mut self, now: Moment) {
         self.known.clear();
         self.doubts.clear();
         self.upset = Some(now);
     }
 
     /// Keeps only these: memory stays bounded.
-    pub fn keep(&mut self, which: impl Fn(Incarnation) -> bool) {
+    pub fn retain(&mut self, which: impl Fn(Incarnation) -> bool) {
         self.known.retain(|clock, _| which(*clock));
     }
 
     /// What to tell others: that clock less ours, now.
-    pub fn offset(&self, terms: &Timings, clock: Incarnation, now: Moment) -> Option<Interval> {
+    pub fn offset_of(&self, terms: &Timings, clock: Incarnation, now: Moment) -> Option<Interval> {
         if clock == self.own {
             return Some(Interval { low: 0, high: 0 });
         }
@@ -228,14 +228,14 @@
     /// The fleet's time now, from the agreed clocks: `agreed` says of each how far it is ahead of the fleet's
     /// time. It is surely within as long as no more than one of them is wrong, or of five no more than two; a lone clock
     /// is believed. None unless more than half of them can be read and all but as many meet.
-    pub fn time(
+    pub fn fleet_time(
         &self,
         terms: &Timings,
         agreed: &BTreeMap<Incarnation, i64>,
         now: Moment,
     ) -> Option<Interval> {
         let ahead =
-            |(clock, ahead): (&Incarnation, &i64)| Some(self.offset(terms, *clock, now)?.moved(-ahead));
+            |(clock, ahead): (&Incarnation, &i64)| Some(self.offset_of(terms, *clock, now)?.moved(-ahead));
         let offsets: Vec<Interval> = agreed.iter().filter_map(ahead).collect();
         if 2 * offsets.len() <= agreed.len() {
             return None;
@@ -245,22 +245,22 @@
     }
 
     /// How far that clock is off what is agreed of it, where that is surely more than the bound.
-    pub fn strays(
+    pub fn deviation_of(
         &self,
         terms: &Timings,
         agreed: &BTreeMap<Incarnation, i64>,
         clock: Incarnation,
         now: Moment,
     ) -> Option<i64> {
-        let time = self.time(terms, agreed, now)?;
-        let reads = self.offset(terms, clock, now)?.moved(micros(now));
-        let off = reads.middle() - time.middle() - agreed.get(&clock)?;
-        let sure = time.bound() + reads.bound();
-        (off.unsigned_abs() > sure.as_micros().max(terms.bound.as_micros() / 8)).then_some(off)
+        let time = self.fleet_time(terms, agreed, now)?;
+        let reads = self.offset_of(terms, clock, now)?.moved(micros(now));
+        let off = reads.midpoint() - time.midpoint() - agreed.get(&clock)?;
+        let sure = time.error_bound() + reads.error_bound();
+        (off.unsigned_abs() > sure.as_micros().max(terms.clock_bound.as_micros() / 8)).then_some(off)
     }
 
     /// Since when the own clock is not to be trusted, by that clock; none where it is.
-    pub fn upset(&self) -> Option<Moment> {
+    pub fn untrusted_since(&self) -> Option<Moment> {
         self.upset
     }
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -23,7 +23,7 @@
 }
 
 impl FailureDetector {
-    pub fn heard(&mut self, peer: Incarnation, now: Moment) {
+    pub fn record_heartbeat(&mut self, peer: Incarnation, now: Moment) {
         let heard = self.heard.entry(peer).or_insert(Heard { last: now, gaps: VecDeque::new() });
         if now > heard.last {
             if heard.gaps.len() == GAPS {
@@ -36,7 +36,7 @@
 
     /// How many usual silences this one is: the mean of its last gaps, but no less than `usual`. None where it
     /// was never heard.
-    pub fn of(&self, peer: Incarnation, now: Moment, usual: Span) -> Option<f64> {
+    pub fn suspicion(&self, peer: Incarnation, now: Moment, usual: Span) -> Option<f64> {
         let heard = self.heard.get(&peer)?;
         let sum: u64 = heard.gaps.iter().map(|gap| gap.as_micros()).sum();
         let mean = (sum / heard.gaps.len().max(1) as u64).max(usual.as_micros()).max(1);
@@ -44,11 +44,11 @@
     }
 
     /// How long it has been silent; since `from` where it was never heard.
-    pub fn lasts(&self, peer: Incarnation, now: Moment, from: Moment) -> Span {
+    pub fn silence(&self, peer: Incarnation, now: Moment, from: Moment) -> Span {
         now.since(self.heard.get(&peer).map_or(from, |heard| heard.last.max(from)))
     }
 
-    pub fn keep(&mut self, which: impl Fn(Incarnation) -> bool) {
+    pub fn retain(&mut self, which: impl Fn(Incarnation) -> bool) {
         self.heard.retain(|peer, _| which(*peer));
     }
 }
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -27,7 +27,7 @@
 
 impl Lease {
     /// The voters' word: that index was all that was agreed, no earlier than then.
-    pub fn voters(&mut self, terms: &Timings, own: u64, word: Confirmation) {
+    pub fn confirm_by_quorum(&mut self, terms: &Timings, own: u64, word: Confirmation) {
         if self.newest.is_none_or(|known| known.at <= word.at) {
             self.newest = Some(word);
         }
@@ -39,7 +39,7 @@
     }
 
     /// A peer's word, direct or passed on.
-    pub fn peer(&mut self, peer: Incarnation, word: Confirmation) {
+    pub fn confirm_by_peer(&mut self, peer: Incarnation, word: Confirmation) {
         let known = self.peers.entry(peer).or_insert(word);
         if (known.index, known.at) < (word.index, word.at) {
             *known = word;
@@ -48,7 +48,7 @@
 
     /// Reckons the lease from what was said: `own` is the own word now, `listed` are all routers listed at its
     /// index, `open` says that no change waits for its decision there.
-    pub fn reckon<'a>(
+    pub fn renew<'a>(
         &mut self,
         terms: &Timings,
         own: Confirmation,
@@ -57,7 +57,7 @@
         me: Incarnation,
     ) {
         if let Some(word) = self.newest {
-            self.voters(terms, own.index, word);
+            self.confirm_by_quorum(terms, own.index, word);
         }
         let Some(voters) = self.voters.filter(|_| open) else { return };
         let more_than_half = listed.len() / 2 + 1;
@@ -71,7 +71,7 @@
         // The moment since when more than half have said so: the latest but so many.
         let nth = moments.len() - more_than_half;
         let since = *moments.select_nth_unstable(nth).1;
-        self.reach(terms, (since + terms.lease).min(voters + terms.hold_out));
+        self.reach(terms, (since + terms.lease).min(voters + terms.quorum_loss_grace));
     }
 
     fn reach(&mut self, terms: &Timings, until: Moment) {
@@ -80,22 +80,22 @@
     }
 
     /// Whether new requests may be taken now.
-    pub fn holds(&self, now: Moment) -> bool {
+    pub fn is_valid(&self, now: Moment) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
     /// How much of it is left.
-    pub fn left(&self, now: Moment) -> Span {
+    pub fn remaining(&self, now: Moment) -> Span {
         self.until.map_or(Span::ZERO, |until| until.since(now))
     }
 
     /// The voters' last word, for telling others.
-    pub fn newest(&self) -> Option<Confirmation> {
+    pub fn latest_quorum_confirmation(&self) -> Option<Confirmation> {
         self.newest
     }
 
     /// Words of peers at that index, the freshest first; at most so many.
-    pub fn words(&self, index: u64, most: usize) -> Vec<(Incarnation, Moment)> {
+    pub fn peer_confirmations(&self, index: u64, most: usize) -> Vec<(Incarnation, Moment)> {
         let at_index = self.peers.iter().filter(|(_, word)| word.index == index);
         let mut words: Vec<(Incarnation, Moment)> = at_index.map(|(start, word)| (*start, word.at)).collect();
         words.sort_unstable_by_key(|(start, at)| (std::cmp::Reverse(*at), *start));
@@ -104,12 +104,12 @@
     }
 
     /// Nothing that was heard may be reckoned with any more: the own clock has jumped.
-    pub fn lapse(&mut self) {
+    pub fn expire(&mut self) {
         *self = Self::default();
     }
 
     /// Keeps only the words of these: memory stays bounded.
-    pub fn keep(&mut self, which: impl Fn(Incarnation) -> bool) {
+    pub fn retain_peers(&mut self, which: impl Fn(Incarnation) -> bool) {
         self.peers.retain(|start, _| which(*start));
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,5 +1,5 @@
 //! Routers of one fleet, as one of them knows them: who is listed ([`MemberList`]), how long what it knows surely
-//! still holds ([`Lease`]), what time it is for all ([`Clocks`]), and who has been silent for longer than is
+//! still holds ([`Lease`]), what time it is for all ([`ClockSync`]), and who has been silent for longer than is
 //! usual ([`FailureDetector`]). Nothing here does I/O, reads a clock or draws lots.
 //!
 //! What is promised with them, and on which assumptions, is in `docs/design/policy.md`.
@@ -9,7 +9,7 @@
 mod lease;
 mod member_list;
 
-pub use clocks::{Clocks, FleetTime, Interval};
+pub use clocks::{ClockSync, FleetTime, Interval};
 pub use failure_detector::FailureDetector;
 pub use lease::{Confirmation, Lease};
 pub use member_list::{Member, MemberList};
@@ -33,11 +33,11 @@
     /// How long a router may go by what it surely knew.
     pub lease: Span,
     /// How long a fleet goes on without its voters.
-    pub hold_out: Span,
+    pub quorum_loss_grace: Span,
     /// How far any two routers may be apart in the fleet's time, and each from it.
-    pub bound: Span,
+    pub clock_bound: Span,
     /// How often a router asks others how things stand.
-    pub beat: Span,
+    pub heartbeat_interval: Span,
     /// How far a clock may be off its true rate, in millionths.
     pub drift_ppm: u64,
 }
@@ -45,7 +45,13 @@
 impl Timings {
     /// Says which term can't stand beside which.
     pub fn check(&self) -> Result<(), String> {
-        let Self { lease, hold_out, bound, beat, drift_ppm } = *self;
+        let Self {
+            lease,
+            quorum_loss_grace: hold_out,
+            clock_bound: bound,
+            heartbeat_interval: beat,
+            drift_ppm,
+        } = *self;
         let ms = |span: Span| span.as_micros() / 1000;
         if ms(beat) == 0 {
             return Err("beat_ms: 0".into());
--- a/crates/membership/src/member_list.rs
+++ b/crates/membership/src/member_list.rs
@@ -39,11 +39,11 @@
 
 impl MemberList {
     /// A first list, which supersedes none.
-    pub fn of(listed: BTreeMap<Incarnation, Member>) -> Self {
+    pub fn new(listed: BTreeMap<Incarnation, Member>) -> Self {
         Self { listed: Arc::new(listed), ..Self::default() }
     }
 
-    pub fn listed(&self) -> &BTreeMap<Incarnation, Member> {
+    pub fn members(&self) -> &BTreeMap<Incarnation, Member> {
         &self.listed
     }
 
@@ -51,25 +51,25 @@
         self.listed.get(&start)
     }
 
-    pub fn has(&self, start: Incarnation) -> bool {
+    pub fn contains(&self, start: Incarnation) -> bool {
         self.listed.contains_key(&start)
     }
 
     /// The start that is listed under that name.
-    pub fn named(&self, name: &str) -> Option<Incarnation> {
+    pub fn find_by_name(&self, name: &str) -> Option<Incarnation> {
         self.listed.iter().find(|(_, listed)| listed.name == name).map(|(start, _)| *start)
     }
 
     /// How many processes may still act as listed ones: the listed, and those of lists that some may still hold.
-    pub fn possible(&self) -> usize {
+    pub fn possible_members(&self) -> usize {
         let went: BTreeSet<Incarnation> =
             self.steps.iter().flat_map(|step| step.went.iter().copied()).collect();
-        let gone = went.iter().filter(|start| !self.has(**start) && !self.ended.contains(start));
+        let gone = went.iter().filter(|start| !self.contains(**start) && !self.ended.contains(start));
         self.listed.len() + gone.count()
     }
 
     /// A router joins; whoever had its name, or its seat, goes. With `after`, that one is proved to have ended.
-    pub fn join(&mut self, index: u64, start: Incarnation, listed: Member, after: Option<Incarnation>) {
+    pub fn add(&mut self, index: u64, start: Incarnation, listed: Member, after: Option<Incarnation>) {
         let same = |known: &Member| {
             known.name == listed.name || known.replica_id.is_some() && known.replica_id == listed.replica_id
         };
@@ -92,8 +92,8 @@
     }
 
     /// A router leaves, or is forgotten; `ended` says that it is proved to take no more requests.
-    pub fn leave(&mut self, index: u64, start: Incarnation, ended: bool) {
-        if self.has(start) {
+    pub fn remove(&mut self, index: u64, start: Incarnation, ended: bool) {
+        if self.contains(start) {
             Arc::make_mut(&mut self.listed).remove(&start);
             self.steps.push_back(Step { index, came: None, went: vec![start] });
         }
@@ -103,7 +103,7 @@
     }
 
     /// The lists that were superseded at or before that index are held by nobody any more.
-    pub fn retire(&mut self, before: u64) {
+    pub fn discard_superseded(&mut self, before: u64) {
         while self.steps.front().is_some_and(|step| step.index <= before) {
             let step = self.steps.pop_front().expect("there is one");
             self.ended.retain(|ended| !step.went.contains(ended));
@@ -111,14 +111,18 @@
     }
 
     /// When the oldest list that may still be held was superseded.
-    pub fn oldest_step(&self) -> Option<u64> {
+    pub fn oldest_superseded(&self) -> Option<u64> {
         self.steps.front().map(|step| step.index)
     }
 
     /// Of every list that some router may hold that is not yet at `index`, whether half `know`: those that do not are
     /// no more than half then, and it takes more to go on by each other's words. Says at which index the newest list
     /// was superseded that fails; all older ones end earlier.
-    pub fn most_know(&self, index: u64, know: impl Fn(Incarnation) -> bool) -> Result<(), u64> {
+    pub fn rule_out_uninformed_majority(
+        &self,
+        index: u64,
+        know: impl Fn(Incarnation) -> bool,
+    ) -> Result<(), u64> {
         let knows = |start: Incarnation| know(start) || self.ended.contains(&start);
         let mut members: BTreeSet<Incarnation> = self.listed.keys().copied().collect();
         let mut knowing = members.iter().filter(|start| knows(**start)).count();
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -11,9 +11,9 @@
 /// One tick of the model is a second.
 const TERMS: Timings = Timings {
     lease: Span::millis(2000),
-    hold_out: Span::millis(4000),
-    bound: Span::millis(1),
-    beat: Span::millis(500),
+    quorum_loss_grace: Span::millis(4000),
+    clock_bound: Span::millis(1),
+    heartbeat_interval: Span::millis(500),
     drift_ppm: 0,
 };
 
@@ -92,11 +92,12 @@
     fn may_decide(&self, fleet: &Fleet) -> bool {
         let listed =
             |no| Member { name: format!("{no}"), address: String::new(), replica_id: None, location: 0 };
-        let member_list = MemberList::of(
+        let member_list = MemberList::new(
             (0..self.routers).map(|no| (Incarnation(no), listed(no))).collect::<BTreeMap<_, _>>(),
         );
-        let most = member_list.most_know(10, |start| fleet.answered.contains(&start.0)).is_ok();
-        !self.waits || most || at(fleet.now).since(at(fleet.proposed)) > TERMS.hold_out
+        let most =
+            member_list.rule_out_uninformed_majority(10, |start| fleet.answered.contains(&start.0)).is_ok();
+        !self.waits || most || at(fleet.now).since(at(fleet.proposed)) > TERMS.quorum_loss_grace
     }
 }
 
@@ -107,9 +108,9 @@
     fn init_states(&self) -> Vec<Fleet> {
         let mut routers = vec![Router::default(); self.routers as usize];
         // All have just heard the voters.
-        routers
-            .iter_mut()
-            .for_each(|router| router.lease.voters(&TERMS, 0, Confirmation { index: 0, at: at(0) }));
+        routers.iter_mut().for_each(|router| {
+            router.lease.confirm_by_quorum(&TERMS, 0, Confirmation { index: 0, at: at(0) })
+        });
         let (log, answered) = (Vec::new(), BTreeSet::new());
         vec![Fleet { now: 0, log, on_its_way: None, proposed: 0, answered, routers }]
     }
@@ -150,7 +151,7 @@
                 let router = &mut fleet.routers[no];
                 router.index = index;
                 if !quiet {
-                    router.lease.voters(
+                    router.lease.confirm_by_quorum(
                         &TERMS,
                         index as u64,
                         Confirmation { index: index as u64, at: at(now) },
@@ -163,20 +164,22 @@
                 let known = fleet.log[..index.max(fleet.routers[no].index)].to_vec();
                 let router = &mut fleet.routers[no];
                 router.index = known.len();
-                if let Some(word) = lease.newest() {
-                    router.lease.voters(&TERMS, router.index as u64, word);
+                if let Some(word) = lease.latest_quorum_confirmation() {
+                    router.lease.confirm_by_quorum(&TERMS, router.index as u64, word);
                 }
                 if vouches {
                     let index = index as u64;
-                    router.lease.peer(Incarnation(other as u64), Confirmation { index, at: at(now) });
-                    for (peer, at) in lease.words(index, 8) {
-                        router.lease.peer(peer, Confirmation { index, at });
+                    router
+                        .lease
+                        .confirm_by_peer(Incarnation(other as u64), Confirmation { index, at: at(now) });
+                    for (peer, at) in lease.peer_confirmations(index, 8) {
+                        router.lease.confirm_by_peer(peer, Confirmation { index, at });
                     }
                 }
                 let own = Confirmation { index: router.index as u64, at: at(now) };
                 let all: Vec<Incarnation> = (0..self.routers).map(Incarnation).collect();
                 let open = !self.open || open(&known);
-                router.lease.reckon(&TERMS, own, open, all.iter(), Incarnation(no as u64));
+                router.lease.renew(&TERMS, own, open, all.iter(), Incarnation(no as u64));
             }
             Act::Answer(no) => drop(fleet.answered.insert(no as u64)),
             Act::Propose => {
@@ -206,7 +209,7 @@
                 let must = generation(&fleet.log, fleet.on_its_way, fleet.now);
                 fleet.routers.iter().all(|router| {
                     let goes_by = generation(&fleet.log[..router.index], None, fleet.now);
-                    !router.lease.holds(at(fleet.now)) || goes_by >= must
+                    !router.lease.is_valid(at(fleet.now)) || goes_by >= must
                 })
             },
         )]
@@ -246,14 +249,14 @@
         [&[Propose][..], &ask, &[Answer(0), Answer(1), Decide, Agree], &ask, &[Tick, Tick], &ask].concat();
     let fleet = after(&acts);
     let holds = |router: &Router| {
-        router.lease.holds(at(fleet.now)) && generation(&fleet.log[..router.index], None, fleet.now) == 1
+        router.lease.is_valid(at(fleet.now)) && generation(&fleet.log[..router.index], None, fleet.now) == 1
     };
     assert!(fleet.routers.iter().all(holds), "{fleet:?}");
     let peers = [Tick, AskPeer(0, 1), AskPeer(1, 0), AskPeer(2, 0)];
     let fleet = after(&[&peers[..], &peers, &peers].concat());
-    assert!(fleet.routers.iter().all(|router| router.lease.holds(at(fleet.now))), "{fleet:?}");
+    assert!(fleet.routers.iter().all(|router| router.lease.is_valid(at(fleet.now))), "{fleet:?}");
     let fleet = after(&[&peers[..], &peers, &peers, &peers].concat());
-    assert!(!fleet.routers.iter().any(|router| router.lease.holds(at(fleet.now))), "the hold-out is over");
+    assert!(!fleet.routers.iter().any(|router| router.lease.is_valid(at(fleet.now))), "the hold-out is over");
 }
 
 fn walks(play: Play, seed: u64, states: usize) -> impl Checker<Play> {
--- a/crates/policy/src/agreed.rs
+++ b/crates/policy/src/agreed.rs
@@ -187,7 +187,7 @@
 
     /// Whether there are clocks enough for a change to be decided by.
     pub fn has_clocks(&self) -> bool {
-        self.clocks.len() >= self.members.listed().len().min(CLOCKS)
+        self.clocks.len() >= self.members.members().len().min(CLOCKS)
     }
 
     /// Whether no change waits for its decision: then peers may vouch for each other.
@@ -224,17 +224,17 @@
                 if let Some(replica_id) = listed.replica_id.filter(|replica_id| self.votes(*replica_id)) {
                     self.replica_ids.insert(replica_id, (start, listed.address.clone()));
                 }
-                self.members.join(index, start, listed, after);
+                self.members.add(index, start, listed, after);
                 self.forget_clocks();
                 vec![Transition::Joined(start)]
             }
             LogEntry::Leave { start, ended } => {
-                self.members.leave(index, start, ended);
+                self.members.remove(index, start, ended);
                 self.forget_clocks();
                 vec![Transition::Removed(start)]
             }
             LogEntry::Retire { before } => {
-                self.members.retire(before);
+                self.members.discard_superseded(before);
                 Vec::new()
             }
             LogEntry::Nothing => Vec::new(),
@@ -245,7 +245,7 @@
                     Some((votes(listed)?, (*start, listed.address.clone())))
                 };
                 let replica_ids: Vec<(u64, (Incarnation, String))> =
-                    self.members.listed().iter().filter_map(holds).collect();
+                    self.members.members().iter().filter_map(holds).collect();
                 self.replica_ids.extend(replica_ids);
                 let (voters, leaving) = (&self.voters, &self.leaving);
                 self.replica_ids
@@ -254,7 +254,7 @@
             }
             LogEntry::Clock { of, ahead } => {
                 // Never once a change is decided: its moment is told in the time that this moves.
-                match ahead.filter(|_| self.members.has(of)) {
+                match ahead.filter(|_| self.members.contains(of)) {
                     _ if self.staged.as_ref().is_some_and(|staged| staged.at.is_some()) => {}
                     Some(ahead) => drop(self.clocks.insert(of, ahead)),
                     None => drop(self.clocks.remove(&of)),
@@ -303,7 +303,7 @@
     fn forget_clocks(&mut self) {
         if self.staged.as_ref().is_none_or(|staged| staged.at.is_none()) {
             let members = &self.members;
-            self.clocks.retain(|clock, _| members.has(*clock));
+            self.clocks.retain(|clock, _| members.contains(*clock));
         }
     }
 
--- a/crates/quota/benches/shares.rs
+++ b/crates/quota/benches/shares.rs
@@ -10,9 +10,9 @@
 fn participant() -> Participant {
     let terms = Timings {
         lease: Span::secs(1.0),
-        hold_out: Span::secs(6.0),
-        bound: Span::millis(40),
-        beat: Span::millis(100),
+        quorum_loss_grace: Span::secs(6.0),
+        clock_bound: Span::millis(40),
+        heartbeat_interval: Span::millis(100),
         drift_ppm: 200,
     };
     let floor = Quota { rate: 0, burst: UNIT };
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -97,9 +97,9 @@
         let router = |no: u64| {
             let terms = Timings {
                 lease: Span::millis(1000),
-                hold_out: Span::secs(6.0),
-                bound: Span::millis(1),
-                beat: Span::millis(250),
+                quorum_loss_grace: Span::secs(6.0),
+                clock_bound: Span::millis(1),
+                heartbeat_interval: Span::millis(250),
                 drift_ppm: 0,
             };
             let mut participant = Participant::new(Incarnation(no), terms, self.0, 1);
--- a/crates/quota/tests/stories.rs
+++ b/crates/quota/tests/stories.rs
@@ -13,9 +13,9 @@
 fn terms() -> Timings {
     Timings {
         lease: Span::millis(1000),
-        hold_out: Span::secs(6.0),
-        bound: Span::millis(40),
-        beat: Span::millis(100),
+        quorum_loss_grace: Span::secs(6.0),
+        clock_bound: Span::millis(40),
+        heartbeat_interval: Span::millis(100),
         drift_ppm: 200,
     }
 }
--- a/crates/router/src/council.rs
+++ b/crates/router/src/council.rs
@@ -113,7 +113,7 @@
 fn answer(fleet: &Fleet, ask: Ask) -> std::result::Result<Value, String> {
     let propose = |proposal: Proposal| {
         let token = proposal.token;
-        fleet.tell(|node, now| node.command(now, Command::Propose(proposal)))?;
+        fleet.tell(|node, now| node.submit(now, Command::Propose(proposal)))?;
         Ok(json!({"token": token}))
     };
     match ask {
@@ -141,11 +141,11 @@
             let policy = own.changed(like);
             keys::check_change(&own, &policy, fleet.classes())?;
             fleet
-                .tell(|node, now| node.found(now, policy))
+                .tell(|node, now| node.bootstrap(now, policy))
                 .map(|number| json!({"fleet": format!("{number:016x}")}))
         }
         Ask::Propose { changes, from, by, note } => {
-            let (token, in_force) = fleet.tell(|node, _| (node.token(), node.in_force().cloned()));
+            let (token, in_force) = fleet.tell(|node, _| (node.new_token(), node.in_force().cloned()));
             let in_force = in_force.ok_or("no fleet is founded yet")?;
             let policy = in_force.policy.changed(changes);
             // What can't be right anywhere is said at once; the rest is for all routers to say.
@@ -156,16 +156,16 @@
         Ask::Undo { generation, by } => {
             let proposal = fleet.tell(|node, _| {
                 let generation = generation.unwrap_or(node.agreed().generation());
-                node.undoing(generation, &by, "undone by its operator")
+                node.rollback_proposal(generation, &by, "undone by its operator")
             })?;
             propose(proposal)
         }
         Ask::Withdraw { generation } => {
-            fleet.tell(|node, now| node.command(now, Command::Withdraw { generation }))?;
+            fleet.tell(|node, now| node.submit(now, Command::Withdraw { generation }))?;
             Ok(json!({}))
         }
         Ask::Forget { name } => {
-            fleet.tell(|node, now| node.command(now, Command::Forget { name }))?;
+            fleet.tell(|node, now| node.submit(now, Command::Forget { name }))?;
             Ok(json!({}))
         }
         Ask::Outcome { token } => Ok(fleet.tell(|node, _| match node.agreed().end_of(token) {
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -83,9 +83,9 @@
     pub fn terms(&self) -> Result<Timings> {
         let terms = Timings {
             lease: Span::millis(self.lease_ms),
-            hold_out: Span::millis(self.hold_out_ms),
-            bound: Span::millis(self.clock_bound_ms),
-            beat: Span::millis(self.beat_ms),
+            quorum_loss_grace: Span::millis(self.hold_out_ms),
+            clock_bound: Span::millis(self.clock_bound_ms),
+            heartbeat_interval: Span::millis(self.beat_ms),
             drift_ppm: self.drift_ppm,
         };
         ensure!(
@@ -237,7 +237,7 @@
         let now = clock.now().0;
         let node = Node::start(&told.name, own, terms, limits, guards, seeds, kept, seed, now);
         let node = node.map_err(|what| anyhow!("fleet: {what}"))?;
-        let every = Duration::from_micros(node.tick_every().as_micros());
+        let every = Duration::from_micros(node.tick_interval().as_micros());
         let peers = Peers::new(Rc::clone(executor), place.limits, &told.name, &place.name);
         let (writes, waiting) = async_channel::unbounded();
         let fleet = Rc::new(Self {
@@ -263,7 +263,7 @@
         });
         fleet.tell(|_, _| ());
         let heard = Rc::clone(&fleet);
-        let accept = peers.accept(listener, move |frame| heard.tell(|node, now| node.heard(now, frame)));
+        let accept = peers.accept(listener, move |frame| heard.tell(|node, now| node.receive(now, frame)));
         executor.spawn(accept).detach();
         let ticked = Rc::clone(&fleet);
         let tick = async move {
@@ -287,10 +287,10 @@
             let (now, jumped) = self.clock.now();
             if jumped {
                 tracing::warn!("the clock has jumped: all that was reckoned by it is found out anew");
-                node.jumped(now);
+                node.clock_jumped(now);
             }
             let told = what(&mut node, now);
-            (told, node.take_out())
+            (told, node.take_actions())
         };
         while !wants.is_empty() {
             for out in std::mem::take(&mut wants) {
@@ -317,8 +317,8 @@
                             None => {}
                         }
                         let mut node = self.node.borrow_mut();
-                        node.answer(self.clock.now().0, version.generation, objection);
-                        wants.extend(node.take_out());
+                        node.policy_checked(self.clock.now().0, version.generation, objection);
+                        wants.extend(node.take_actions());
                     }
                     Action::Transition(step) => log(&step),
                     Action::Leads(Some(term)) => tracing::info!(term, "fleet: leads the voters"),
@@ -338,7 +338,7 @@
         let too_few = {
             let node = self.node.borrow();
             let old = node.in_force().map(|old| &*old.policy);
-            budgets::too_few(old, &version.policy, node.possible() as u64)
+            budgets::too_few(old, &version.policy, node.possible_members() as u64)
         };
         let in_hand = (self.in_hand)();
         let most = version.policy.0.get("limit.open_views").copied();
@@ -362,7 +362,7 @@
 
     /// Whether requests are taken now.
     pub fn is_good(&self) -> bool {
-        self.tell(|node, now| node.version(now).is_ok())
+        self.tell(|node, now| node.active_policy(now).is_ok())
     }
 
     /// Writes what the voter wants written, one after the other, on a thread that may wait for the disk.
@@ -382,7 +382,7 @@
                     return;
                 }
             }
-            self.tell(|node, now| node.wrote(now, number));
+            self.tell(|node, now| node.write_completed(now, number));
         }
     }
 
@@ -418,9 +418,9 @@
         let mut node = self.node.borrow_mut();
         let (now, jumped) = self.clock.now();
         if jumped {
-            node.jumped(now);
+            node.clock_jumped(now);
         }
-        what(node.shares(), now)
+        what(node.quota(), now)
     }
 
     /// Whether a new connection to that cache may be made.
@@ -440,9 +440,9 @@
         let mut node = self.node.borrow_mut();
         let (now, jumped) = self.clock.now();
         if jumped {
-            node.jumped(now);
+            node.clock_jumped(now);
         }
-        match node.version(now) {
+        match node.active_policy(now) {
             Ok(version) if version.generation == self.adopted.get() => Ok(None),
             Ok(version) => Ok(self.adopt(version)),
             Err(_) => Err(self.pause),
@@ -469,7 +469,7 @@
         let goal = goals.iter().find(|(of, _)| *of == generation);
         let Some(goal) = goal.and_then(|(_, goals)| goals.get(class as usize)) else { return };
         let count = Count { requests: 1, good: u64::from(done && took <= *goal) };
-        self.node.borrow_mut().count(generation, class, count);
+        self.node.borrow_mut().record_outcomes(generation, class, count);
     }
 
     fn can_afford_fill(&self, class: u16) -> bool {
--- a/crates/testbed/src/plots.rs
+++ b/crates/testbed/src/plots.rs
@@ -36,8 +36,8 @@
 fn day(seed: u64, routers: usize, lease_ms: u64, loss: f64) -> Day {
     let mut day = Day::new(seed, routers);
     day.terms.lease = Span::millis(lease_ms);
-    day.terms.beat = Span::millis(lease_ms.min(1500) / 8);
-    day.terms.hold_out = Span::millis(4 * lease_ms);
+    day.terms.heartbeat_interval = Span::millis(lease_ms.min(1500) / 8);
+    day.terms.quorum_loss_grace = Span::millis(4 * lease_ms);
     day.lasts = Span::secs(16.0);
     day.proposals = Span::millis(2500 + 2 * lease_ms);
     day.loss = loss;
--- a/crates/testbed/src/simulated.rs
+++ b/crates/testbed/src/simulated.rs
@@ -166,7 +166,7 @@
 fn rate(came: &[(u64, Came)], plan: &Plan, what: fn(&Came) -> u64) -> f64 {
     let sum: u64 = came.iter().map(|(_, came)| what(came)).sum();
     let terms = Day::new(0, plan.routers).terms;
-    let calm = (terms.lease + terms.hold_out) * 2.0 + terms.lease * 6.0;
+    let calm = (terms.lease + terms.quorum_loss_grace) * 2.0 + terms.lease * 6.0;
     let seconds = plan.seconds as f64 + 2.0 + calm.as_secs();
     sum as f64 / (came.len().max(1) as f64 * plan.routers as f64 * seconds)
 }
--- a/crates/testbed/src/ways.rs
+++ b/crates/testbed/src/ways.rs
@@ -267,7 +267,7 @@
     }
 
     fn judge(&mut self) {
-        let bound = 2 * self.day.terms.bound.as_micros();
+        let bound = 2 * self.day.terms.clock_bound.as_micros();
         let uses: Vec<&Vec<u64>> = self.uses.values().collect();
         for (at, new) in uses.iter().enumerate() {
             let first = new.iter().min().copied().unwrap_or(u64::MAX);
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -58,9 +58,9 @@
     pub fn new(seed: u64, routers: usize) -> Self {
         let terms = Timings {
             lease: Span::millis(1500),
-            hold_out: Span::secs(6.0),
-            bound: Span::millis(40),
-            beat: Span::millis(200),
+            quorum_loss_grace: Span::secs(6.0),
+            clock_bound: Span::millis(40),
+            heartbeat_interval: Span::millis(200),
             drift_ppm: 200,
         };
         Self {
@@ -323,7 +323,7 @@
         if world.day.routers <= 64 {
             let now = world.local(0);
             let founded =
-                world.machines[0].node.as_mut().expect("just started").found(now, world.day.first());
+                world.machines[0].node.as_mut().expect("just started").bootstrap(now, world.day.first());
             founded.expect("the first can found it");
         } else {
             world.preload();
@@ -362,11 +362,11 @@
             };
             (start_of(no, machine.starts), listed)
         };
-        let roll = MemberList::of(self.machines.iter().enumerate().map(|(no, m)| listed(no, m)).collect());
+        let roll = MemberList::new(self.machines.iter().enumerate().map(|(no, m)| listed(no, m)).collect());
         let now = self.local(0);
         let first = self.day.first();
         let node = self.machines[0].node.as_mut().expect("just started");
-        node.found(now, first).expect("the first can found it");
+        node.bootstrap(now, first).expect("the first can found it");
         let mut agreed = node.agreed().clone();
         agreed.members = roll;
         agreed.index = 2;
@@ -374,7 +374,7 @@
         for no in 0..self.machines.len() {
             let now = self.local(no);
             let node = self.machines[no].node.as_mut().expect("just started");
-            node.learn(now, agreed.clone());
+            node.install_state(now, agreed.clone());
         }
     }
 
@@ -437,7 +437,7 @@
     /// Carries out what a router wants.
     fn gather(&mut self, no: usize) {
         let Some(node) = self.machines[no].node.as_mut() else { return };
-        for out in node.take_out() {
+        for out in node.take_actions() {
             match out {
                 Action::Send { to, frame } => self.post(no, &to, frame),
                 Action::StorageWrite(write) => {
@@ -455,7 +455,7 @@
                     });
                     let now = self.local(no);
                     let node = self.machines[no].node.as_mut().expect("it wanted this");
-                    node.answer(now, version.generation, objection);
+                    node.policy_checked(now, version.generation, objection);
                 }
                 Action::Leads(term) => self.show(no, &("leads", term)),
                 Action::Transition(step) => {
@@ -501,7 +501,7 @@
 
     fn run(&mut self) {
         let faults_end = self.now + 2_000_000 + self.day.lasts.as_micros();
-        let Timings { lease, hold_out, .. } = self.day.terms;
+        let Timings { lease, quorum_loss_grace: hold_out, .. } = self.day.terms;
         let calm = (lease + hold_out) * 2.0 + lease * 6.0;
         let end = faults_end + calm.as_micros();
         while let Some(Reverse((at, _, slot))) = self.queue.pop() {
@@ -538,7 +538,7 @@
                 if machine.life != life {
                     return;
                 }
-                let every = self.day.terms.beat.as_micros() / 5;
+                let every = self.day.terms.heartbeat_interval.as_micros() / 5;
                 self.at(self.now + every, Event::Tick { machine: no, life });
                 if !self.machines[no].paused {
                     self.with(no, |node, now| node.tick(now));
@@ -558,7 +558,7 @@
                         self.machines[to].held_back.push(*frame);
                     }
                 } else {
-                    self.with(to, |node, now| node.heard(now, *frame));
+                    self.with(to, |node, now| node.receive(now, *frame));
                 }
             }
             Event::Wrote { machine: no, life, write } => {
@@ -569,7 +569,7 @@
                 if let Some(folder) = &mut self.machines[no].folder {
                     keep(folder, *write);
                 }
-                self.with(no, |node, now| node.wrote(now, number));
+                self.with(no, |node, now| node.write_completed(now, number));
             }
             Event::Resume { machine: no } => {
                 if self.machines[no].paused {
@@ -588,7 +588,7 @@
                 if self.machines[no].life == life {
                     match self.machines[no].paused {
                         true => self.unheard.push((no, spent)),
-                        false => self.with(no, |node, _| node.shares().ended(spent, &[fills_in_hand()])),
+                        false => self.with(no, |node, _| node.quota().ended(spent, &[fills_in_hand()])),
                     }
                 }
             }
@@ -611,7 +611,7 @@
         let now = self.local(no);
         let Some(node) = self.machines[no].node.as_mut() else { return };
         self.came.requests += 1;
-        match node.version(now).map(|version| version.generation) {
+        match node.active_policy(now).map(|version| version.generation) {
             Ok(generation) => {
                 if self.uses.keys().next_back().is_some_and(|newest| generation < *newest) {
                     self.show(no, &("a view by the old", generation));
@@ -633,7 +633,7 @@
         let now = self.local(no);
         let lines = [fills(), fills_in_hand()];
         let machine = &mut self.machines[no];
-        let had = machine.node.as_mut().is_some_and(|node| node.shares().spend(now, &lines));
+        let had = machine.node.as_mut().is_some_and(|node| node.quota().spend(now, &lines));
         machine.calm[0] += 1;
         machine.calm[1] += u64::from(had);
         if !had {
@@ -658,7 +658,7 @@
         for no in 0..self.machines.len() {
             let now = self.local(no);
             let Some(node) = self.machines[no].node.as_mut() else { continue };
-            for (line, share) in node.shares().might_spend(now) {
+            for (line, share) in node.quota().might_spend(now) {
                 sum[0] += if line == fills() { share.rate } else { 0 };
                 sum[1] += if line == fills() { share.burst } else { 0 };
             }
@@ -697,12 +697,12 @@
         self.machines[no].paused = false;
         while let Some(at) = self.unheard.iter().position(|of| of.0 == no) {
             let (_, spent) = self.unheard.swap_remove(at);
-            self.with(no, |node, _| node.shares().ended(spent, &[fills_in_hand()]));
+            self.with(no, |node, _| node.quota().ended(spent, &[fills_in_hand()]));
         }
         // A request may be the first thing that it sees.
         self.request(no);
         for frame in std::mem::take(&mut self.machines[no].held_back) {
-            self.with(no, |node, now| node.heard(now, frame));
+            self.with(no, |node, now| node.receive(now, frame));
         }
     }
 
@@ -731,7 +731,7 @@
             if node.agreed().fleet == 0 {
                 continue;
             }
-            let (token, made_from) = (node.token(), node.agreed().generation());
+            let (token, made_from) = (node.new_token(), node.agreed().generation());
             let named = if bad { "bad" } else { "number" };
             let mut policy = self.day.first().with([(named.to_string(), number)]);
             if let Some(rate) = self.day.budget.filter(|_| self.day.has("lower")) {
@@ -743,7 +743,7 @@
             }
             let (by, note) = (format!("n{no}"), String::new());
             let proposal = Proposal { token, made_from, policy, undoes: None, by, note };
-            if node.command(now, Command::Propose(proposal)).is_ok() {
+            if node.submit(now, Command::Propose(proposal)).is_ok() {
                 self.came.changes += 1;
                 self.proposed.insert(token, (at, made_from));
             }
@@ -818,9 +818,9 @@
                     && self.machines.iter().all(|m| m.node.is_some() && !m.paused)
                     && self.cut.is_empty() =>
             {
-                let Timings { lease, hold_out, .. } = self.day.terms;
+                let Timings { lease, quorum_loss_grace: hold_out, .. } = self.day.terms;
                 let gone = (hold_out + lease * 4.0).as_micros() + back;
-                if self.machines[no].node.as_ref().is_some_and(Node::leads) {
+                if self.machines[no].node.as_ref().is_some_and(Node::is_leader) {
                     return;
                 }
                 if self.chance.random_bool(0.5) {
@@ -836,7 +836,7 @@
                 self.at(self.now + back, Event::Resume { machine: no });
             }
             "leader" => {
-                let leads = |m: &Machine| m.node.as_ref().is_some_and(Node::leads);
+                let leads = |m: &Machine| m.node.as_ref().is_some_and(Node::is_leader);
                 if let Some(leader) = self.machines.iter().position(leads) {
                     self.kill(leader);
                     self.at(self.now + back, Event::Restart { machine: leader });
@@ -849,13 +849,13 @@
                     self.machines[no].offset += back as i64;
                     let now = self.local(no);
                     if let Some(node) = self.machines[no].node.as_mut() {
-                        node.jumped(now);
+                        node.clock_jumped(now);
                     }
                 }
             }
             // What the leader says does not reach half of the others, though it hears them.
             "deaf" => {
-                let leads = |m: &Machine| m.node.as_ref().is_some_and(Node::leads);
+                let leads = |m: &Machine| m.node.as_ref().is_some_and(Node::is_leader);
                 if let Some(leader) = self.machines.iter().position(leads) {
                     let half = (0..count).filter(|other| *other != leader && (other + no).is_multiple_of(2));
                     self.cut.extend(half.map(|other| (leader, other)));
@@ -872,7 +872,7 @@
                 self.machines[no].offset += by;
                 let now = self.local(no);
                 if let Some(node) = self.machines[no].node.as_mut() {
-                    node.jumped(now);
+                    node.clock_jumped(now);
                 }
             }
             _ => {}
@@ -902,7 +902,7 @@
         let Some(agreed) = best.map(|node| node.agreed().clone()) else { return };
         self.came.stuck = u64::from(!agreed.is_open());
         self.came.unlisted = self.machines.iter().map(|machine| machine.unlisted).max().unwrap_or_default();
-        let bound = 2 * self.day.terms.bound.as_micros();
+        let bound = 2 * self.day.terms.clock_bound.as_micros();
         let mut held = BTreeSet::from([1]);
         for past in &agreed.past {
             match (&past.end, past.generation) {
@@ -946,7 +946,7 @@
         }
         for no in 0..self.machines.len() {
             let now = self.local(no);
-            let out = self.machines[no].node.as_mut().map(|node| node.version(now).err());
+            let out = self.machines[no].node.as_mut().map(|node| node.active_policy(now).err());
             if out != Some(None) {
                 let status = self.machines[no].node.as_mut().map(|node| node.status(now));
                 self.show(no, &("out at the end", out, status));
@@ -962,7 +962,7 @@
     /// windows at once. A lowered whole holds once the first request was decided by it, and the bound after that.
     fn judge_fills(&mut self, rate: f64) {
         let burst = self.whole("origin_fills.burst");
-        let bound = 2 * self.day.terms.bound.as_micros();
+        let bound = 2 * self.day.terms.clock_bound.as_micros();
         let mut wholes: Vec<(u64, f64)> = vec![(0, rate)];
         for node in self.machines.iter().filter_map(|machine| machine.node.as_ref()).take(1) {
             let past = node.agreed().past.iter().filter(|past| past.end == ProposalOutcome::TookHold);
