--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,17 +1,29 @@
-//! One router's part in its fleet, without I/O: a [`Node`] is told what came and what time it is, and hands out
-//! what is to be sent, written and checked. Agreement among voters is by the `raft` library; what is agreed is
-//! [`tindoor_policy::AgreedState`]; what it lets a router do is reckoned by `tindoor_membership`.
+//! One router's part in its fleet, without I/O.
+//!
+//! A [`Node`] is told which messages arrived and what time it is, and returns [`Action`]s: what is to be sent, written
+//! and checked. Agreement among the voters is by the `raft` library; the replicated state is
+//! [`tindoor_policy::AgreedState`]; leases, clocks and failure detection are in `tindoor_membership`.
 //!
 //! What is promised, and why it holds, is in `docs/design/policy.md`.
 
-mod frames;
-mod lead;
-mod log;
+mod actions;
+mod config;
+mod errors;
+mod leadership;
+mod membership_change;
+mod messages;
 mod node;
-mod voter;
-mod voters;
+mod replica;
+mod status;
+mod storage;
 
-pub use frames::{Body, CatchUp, Command, Frame, Unreadable};
-pub use log::{StorageWrite, StoredState};
-pub use node::{Action, Guards, Limits, LocalIdentity, Node, Objection, Status, UnavailableReason};
-pub use voters::{MembershipChange, Replica, plan_membership_change};
+pub use actions::{Action, Objection};
+pub use config::{Limits, LocalIdentity, NodeConfig, SafetyChecks};
+pub use errors::{BootstrapError, RollbackError, StartError, SubmitError};
+pub use membership_change::{MembershipChange, ReplicaInfo, plan_membership_change};
+pub use messages::{
+    AgedConfirmation, CatchUp, ClassOutcomes, Command, Envelope, Message, PeerConfirmation, UnreadableMessage,
+};
+pub use node::Node;
+pub use status::{Status, UnavailableReason};
+pub use storage::{StorageWrite, StoredState};
--- /dev/null
+++ b/crates/consensus/src/node/activation.rs
@@ -0,0 +1,120 @@
+//! Which policy decides requests, and when a staged one is activated.
+
+use tindoor::time::Moment;
+use tindoor_membership::FleetTime;
+use tindoor_policy::{Proposal, StagedChange, Version};
+
+use super::Node;
+use crate::actions::Objection;
+use crate::errors::RollbackError;
+use crate::status::UnavailableReason;
+
+/// A decision of a change, as observed here.
+#[derive(Clone, Copy)]
+pub(super) struct ObservedDecision {
+    pub at: Moment,
+    /// The generation that it replaces.
+    pub from_generation: u64,
+    /// The generation that was decided.
+    pub to_generation: u64,
+}
+
+impl Node {
+    /// The policy that decides a request accepted now; why none does.
+    pub fn active_policy(&mut self, now: Moment) -> Result<&Version, UnavailableReason> {
+        if !self.is_member() {
+            return Err(UnavailableReason::NotAMember);
+        }
+        if self.checks.lease && !self.lease.is_valid(now) {
+            return Err(UnavailableReason::LeaseExpired);
+        }
+        if self.is_clock_untrusted(now) {
+            return Err(UnavailableReason::ClockUncertain);
+        }
+        let version = match self.activated_change(now)? {
+            Some(staged) => &staged.version,
+            None => self.agreed.in_force.as_ref().ok_or(UnavailableReason::NotAMember)?,
+        };
+        let objection = self.policy_checks.get(&version.generation).and_then(Option::as_ref);
+        if objection.is_some_and(|objection| objection.permanent) {
+            return Err(UnavailableReason::PolicyNotApplicable);
+        }
+        let generation = version.generation;
+        if self.newest_used_generation < generation {
+            self.newest_used_generation = generation;
+            self.plan_quota(now);
+        }
+        self.version_of(generation).ok_or(UnavailableReason::NotAMember)
+    }
+
+    /// The staged change, if its activation time has passed.
+    fn activated_change(&self, now: Moment) -> Result<Option<&StagedChange>, UnavailableReason> {
+        let Some((staged, at)) = self.agreed.staged.as_ref().and_then(|staged| Some((staged, staged.at?)))
+        else {
+            return Ok(None);
+        };
+        if staged.version.generation <= self.newest_used_generation {
+            return Ok(Some(staged));
+        }
+        let time = self.fleet_time(now).ok_or(UnavailableReason::ClockUncertain)?;
+        let is_precise = time.error_bound() <= self.timings.clock_bound;
+        if is_precise || time.low >= at.0 || time.high < at.0 {
+            Ok(Some(staged).filter(|_| time.midpoint() >= at.0))
+        } else {
+            Err(UnavailableReason::ClockUncertain)
+        }
+    }
+
+    fn version_of(&self, generation: u64) -> Option<&Version> {
+        let staged = self.agreed.staged.as_ref().map(|staged| &staged.version);
+        staged.into_iter().chain(&self.agreed.in_force).find(|version| version.generation == generation)
+    }
+
+    /// The policy in force, whether or not this router may decide requests by it.
+    pub fn in_force(&self) -> Option<&Version> {
+        self.agreed.in_force.as_ref()
+    }
+
+    /// Whether this router can apply a policy, in response to
+    /// [`Action::CheckPolicy`](crate::Action::CheckPolicy).
+    pub fn policy_checked(&mut self, now: Moment, generation: u64, objection: Option<Objection>) {
+        self.policy_checks.insert(generation, objection);
+        let (in_force, staged) = (self.agreed.generation(), self.agreed.staged.as_ref());
+        let staged = staged.map(|staged| staged.version.generation);
+        self.policy_checks
+            .retain(|checked, _| *checked == in_force || Some(*checked) == staged || *checked == generation);
+        self.send_policy_check(now);
+        self.advance_replica(now);
+    }
+
+    /// A proposal to roll a generation back: the policy before it, as a change of its own.
+    pub fn rollback_proposal(
+        &mut self,
+        generation: u64,
+        by: &str,
+        note: &str,
+    ) -> Result<Proposal, RollbackError> {
+        let on_probation =
+            self.agreed.probation.as_ref().filter(|(on_probation, _)| *on_probation == generation);
+        let Some((_, before)) = on_probation else {
+            return Err(RollbackError::NotOnProbation { generation });
+        };
+        let policy = (*before.policy).clone();
+        let token = self.new_token();
+        let (by, note) = (by.to_string(), note.to_string());
+        Ok(Proposal { token, made_from: generation, policy, undoes: Some(generation), by, note })
+    }
+
+    /// When a decision made now is to be activated; none while no time can be given.
+    pub(super) fn activation_time(&self, now: Moment) -> Option<FleetTime> {
+        let time = self.fleet_time(now)?;
+        if !self.checks.staged_activation {
+            return Some(FleetTime(time.midpoint()));
+        }
+        if time.error_bound() > self.timings.clock_bound * 0.5 || !self.agreed.has_clocks() {
+            return None;
+        }
+        let lease = self.timings.lease + self.timings.drift(self.timings.lease);
+        Some(FleetTime(time.high).plus(lease + self.timings.clock_bound * 2.0))
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/node/leader/probation.rs
@@ -0,0 +1,58 @@
+//! The leader's part in the change on probation: it is judged by the outcomes of requests, and kept or rolled back.
+
+use tindoor::time::Moment;
+use tindoor_policy::{Assessment, LogEntry, Probation, Proposal};
+
+use super::super::Node;
+
+/// Derives the token of a rollback from its generation.
+const ROLLBACK_TOKEN_FACTOR: u64 = 0x9E37_79B9_7F4A_7C15;
+
+impl Node {
+    /// Judges the change on probation, and has it kept or rolled back.
+    pub(super) fn reconcile_probation(&mut self, now: Moment) {
+        let Some((generation, assessment)) = self.assess_probation(now) else { return };
+        let finding = match assessment {
+            Assessment::Open => return,
+            Assessment::Harm { location, class, before, after } => {
+                let note = format!(
+                    "in time at location {location}, offering {class}: {before:.3} before, {after:.3} after"
+                );
+                return self.propose_rollback(now, generation, &note);
+            }
+            Assessment::Trouble { began_before: true } => "kept: trouble that had begun before",
+            Assessment::Trouble { .. } => "kept: trouble everywhere alike",
+            Assessment::NoHarm => "kept: no harm",
+            Assessment::TooLittle => "kept: too little traffic to tell",
+        };
+        self.propose(now, LogEntry::Kept { generation, finding: finding.into() });
+    }
+
+    /// The generation on probation, and what its outcomes show.
+    fn assess_probation(&mut self, now: Moment) -> Option<(u64, Assessment)> {
+        let leadership = self.leadership.as_mut()?;
+        let Some((generation, before)) = &self.agreed.probation else {
+            leadership.probation = None;
+            return None;
+        };
+        let (generation, before) = (*generation, before.generation);
+        let current = leadership.probation.take().filter(|known| known.generation() == generation);
+        let probation = current.unwrap_or_else(|| {
+            // A leader that was elected since: what it knows of the time before ends now.
+            let decided = self.observed_decision.filter(|decision| decision.to_generation == generation);
+            let began = decided.map_or(now, |decision| decision.at);
+            Probation::begin(self.limits.probation, &self.outcome_window, [before, generation], began)
+        });
+        let assessment = probation.judge(&self.outcome_window, now);
+        leadership.probation = Some(probation);
+        Some((generation, assessment))
+    }
+
+    /// Proposes the rollback with the same token for as long as this leader leads, so that it is proposed once.
+    fn propose_rollback(&mut self, now: Moment, generation: u64, note: &str) {
+        if let Ok(proposal) = self.rollback_proposal(generation, "probation", note) {
+            let token = generation.wrapping_mul(ROLLBACK_TOKEN_FACTOR) | 1;
+            self.propose(now, LogEntry::Propose(Proposal { token, ..proposal }));
+        }
+    }
+}
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -15,9 +15,10 @@
 
 use tindoor::time::{Moment, Span};
 use tindoor_consensus::{
-    Action, Body, CatchUp, Command, Frame, Guards, Limits, LocalIdentity, Node, StorageWrite, StoredState,
+    Action, AgedConfirmation, CatchUp, ClassOutcomes, Command, Envelope, Limits, LocalIdentity, Message,
+    Node, NodeConfig, PeerConfirmation, SafetyChecks, StorageWrite, StoredState,
 };
-use tindoor_membership::{FleetTime, Incarnation, Interval, Member, Timings};
+use tindoor_membership::{ClockOffset, FleetTime, Incarnation, Interval, Member, Timings};
 use tindoor_policy::{AgreedState, Count, LogEntry, Policy, Proposal};
 use tindoor_quota::{BudgetKey, Granted, KeyDemand, Quota, QuotaGrant, QuotaRequest};
 
@@ -57,22 +58,31 @@
 
 // Messages between replicas.
 
-fn status_request(words: bool) -> Body {
-    Body::StatusRequest { nonce: 0x1234_5678_9abc_def0, fleet: 0xfeed_f00d, index: 1000, words }
+fn status_request(wants_peer_confirmations: bool) -> Message {
+    Message::StatusRequest {
+        nonce: 0x1234_5678_9abc_def0,
+        fleet: 0xfeed_f00d,
+        index: 1000,
+        wants_peer_confirmations,
+    }
 }
 
-fn status_response(news: CatchUp, complete: bool) -> Body {
-    let offset = |start: u64, low: i64, high: i64| (Incarnation(start), Interval { low, high });
-    Body::StatusResponse {
+fn status_response(catch_up: CatchUp, complete: bool) -> Message {
+    let offset = |clock: u64, low: i64, high: i64| ClockOffset {
+        clock: Incarnation(clock),
+        offset: Interval { low, high },
+    };
+    let by_peer = |peer: u64, age_micros: u64| PeerConfirmation { peer: Incarnation(peer), age_micros };
+    Message::StatusResponse {
         nonce: 77,
-        clock: if complete { 1_700_000_000_123_456 } else { -1 },
-        offsets: if complete { vec![offset(2, -1500, 250), offset(3, 0, 70_000)] } else { Vec::new() },
+        clock_micros: if complete { 1_700_000_000_123_456 } else { -1 },
+        clock_offsets: if complete { vec![offset(2, -1500, 250), offset(3, 0, 70_000)] } else { Vec::new() },
         index: 1000,
-        open: complete,
-        voters: complete.then_some((1000, 15_000)),
-        words: if complete { vec![(Incarnation(2), 12_000), (Incarnation(3), 300)] } else { Vec::new() },
-        news,
-        leader: complete.then(|| "192.0.2.2:7000".to_string()),
+        confirms_index: complete,
+        quorum_confirmation: complete.then_some(AgedConfirmation { index: 1000, age_micros: 15_000 }),
+        peer_confirmations: if complete { vec![by_peer(2, 12_000), by_peer(3, 300)] } else { Vec::new() },
+        catch_up,
+        leader_address: complete.then(|| "192.0.2.2:7000".to_string()),
     }
 }
 
@@ -88,8 +98,8 @@
     CatchUp::Snapshot(postcard::to_stdvec(&bootstrapped_state()).unwrap())
 }
 
-fn quota_request(lines: Vec<KeyDemand>) -> Body {
-    Body::QuotaRequest(QuotaRequest { nonce: 900, keys: lines })
+fn quota_request(lines: Vec<KeyDemand>) -> Message {
+    Message::QuotaRequest(QuotaRequest { nonce: 900, keys: lines })
 }
 
 fn quota_request_lines() -> Vec<KeyDemand> {
@@ -110,8 +120,8 @@
     vec![fleet_wide, of_one_account]
 }
 
-fn quota_grant(term: u64, shares: Vec<Granted>) -> Body {
-    Body::QuotaGrant(QuotaGrant { nonce: 900, term, shares })
+fn quota_grant(term: u64, shares: Vec<Granted>) -> Message {
+    Message::QuotaGrant(QuotaGrant { nonce: 900, term, shares })
 }
 
 fn granted_shares() -> Vec<Granted> {
@@ -121,60 +131,65 @@
     vec![rate, level]
 }
 
-fn join_request(replica_id: Option<u64>, after: Option<Incarnation>) -> Command {
-    Command::Join { start: Incarnation(0x0123_4567_89ab_cdef), listed: sample_member(replica_id), after }
+fn join_request(replica_id: Option<u64>, predecessor: Option<Incarnation>) -> Command {
+    let incarnation = Incarnation(0x0123_4567_89ab_cdef);
+    Command::Join { incarnation, member: sample_member(replica_id), predecessor }
 }
 
-fn vote_on_proposal(objection: Option<&str>) -> Command {
-    Command::Answer { generation: 300, start: Incarnation(2), objection: objection.map(str::to_string) }
+fn policy_check(objection: Option<&str>) -> Command {
+    let objection = objection.map(str::to_string);
+    Command::PolicyCheck { generation: 300, incarnation: Incarnation(2), objection }
 }
 
-fn request_report(counts: Vec<(u64, u16, Count)>) -> Command {
-    Command::Report { start: Incarnation(2), location: 300, counts }
+fn outcome_report(outcomes: Vec<ClassOutcomes>) -> Command {
+    Command::ReportOutcomes { incarnation: Incarnation(2), location: 300, outcomes }
 }
 
-fn request_counts() -> Vec<(u64, u16, Count)> {
-    vec![(299, 0, Count { requests: 1000, good: 990 }), (300, 400, Count { requests: 1, good: 0 })]
+fn sample_outcomes() -> Vec<ClassOutcomes> {
+    vec![
+        ClassOutcomes { generation: 299, class: 0, count: Count { requests: 1000, good: 990 } },
+        ClassOutcomes { generation: 300, class: 400, count: Count { requests: 1, good: 0 } },
+    ]
 }
 
 fn commands() -> Vec<(&'static str, Command)> {
     vec![
         ("command-join", join_request(Some(7), Some(Incarnation(9)))),
         ("command-join-without-seat", join_request(None, None)),
-        ("command-leave", Command::Leave { start: Incarnation(9) }),
-        ("command-vote-accept", vote_on_proposal(None)),
-        ("command-vote-reject", vote_on_proposal(Some("over its limit"))),
+        ("command-leave", Command::Leave { incarnation: Incarnation(9) }),
+        ("command-vote-accept", policy_check(None)),
+        ("command-vote-reject", policy_check(Some("over its limit"))),
         ("command-propose", Command::Propose(sample_proposal(0xdead_beef, 299, None))),
         ("command-propose-rollback", Command::Propose(sample_proposal(0xdead_beef, 300, Some(300)))),
         ("command-withdraw", Command::Withdraw { generation: 300 }),
-        ("command-remove-member", Command::Forget { name: "router-1".into() }),
-        ("command-report", request_report(request_counts())),
-        ("command-report-empty", request_report(Vec::new())),
+        ("command-remove-member", Command::RemoveMember { name: "router-1".into() }),
+        ("command-report", outcome_report(sample_outcomes())),
+        ("command-report-empty", outcome_report(Vec::new())),
     ]
 }
 
 /// Every kind of message, each with its header.
-fn messages() -> Vec<(&'static str, Frame)> {
-    let mut bodies = vec![
+fn messages() -> Vec<(&'static str, Envelope)> {
+    let mut messages = vec![
         ("status-request", status_request(false)),
         ("status-request-with-samples", status_request(true)),
         ("status-response-unchanged", status_response(CatchUp::None, false)),
         ("status-response-entries", status_response(sample_log_tail(), true)),
         ("status-response-snapshot", status_response(sample_snapshot(), true)),
-        ("raft", Body::Raft(vec![8, 4, 16, 1, 24, 2, 255, 0])),
+        ("raft", Message::Raft(vec![8, 4, 16, 1, 24, 2, 255, 0])),
         ("quota-request", quota_request(quota_request_lines())),
         ("quota-request-empty", quota_request(Vec::new())),
         ("quota-grant", quota_grant(12, granted_shares())),
         ("quota-grant-empty", quota_grant(0, Vec::new())),
     ];
-    let forwarded = |hops: u8| move |(name, command)| (name, Body::Command(hops, command));
-    bodies.extend(commands().into_iter().map(forwarded(3)));
-    bodies.into_iter().map(|(name, body)| (name, message(body))).collect()
+    let forwarded = |hops: u8| move |(name, command)| (name, Message::Command { hops, command });
+    messages.extend(commands().into_iter().map(forwarded(3)));
+    messages.into_iter().map(|(name, message)| (name, with_header(message))).collect()
 }
 
-fn message(body: Body) -> Frame {
-    let (fleet, address) = ("video-edge".to_string(), "192.0.2.1:7000".to_string());
-    Frame { fleet, from: Incarnation(0x0123_4567_89ab_cdef), address, body }
+fn with_header(message: Message) -> Envelope {
+    let (fleet, sender_address) = ("video-edge".to_string(), "192.0.2.1:7000".to_string());
+    Envelope { fleet, sender: Incarnation(0x0123_4567_89ab_cdef), sender_address, message }
 }
 
 // Entries of the replicated log.
@@ -317,7 +332,7 @@
 
 // What a replica stores: its hard state, snapshot and log entries, as its writes leave them.
 
-fn terms() -> Timings {
+fn timings() -> Timings {
     Timings {
         lease: Span::millis(1000),
         quorum_loss_grace: Span::secs(6.0),
@@ -332,11 +347,25 @@
 }
 
 fn start_replica(stored: Option<StoredState>, ms: u64) -> Node {
-    let (name, address) = ("router-1".to_string(), "192.0.2.1:7000".to_string());
-    let own =
-        LocalIdentity { start: Incarnation(1), name, address, location: 0, replica_id: Some(7), after: None };
-    let (limits, guards) = (Limits::default(), Guards::default());
-    Node::start("video-edge", own, terms(), limits, guards, Vec::new(), stored, 7, at(ms)).unwrap()
+    let identity = LocalIdentity {
+        incarnation: Incarnation(1),
+        name: "router-1".into(),
+        address: "192.0.2.1:7000".into(),
+        location: 0,
+        replica_id: Some(7),
+        predecessor: None,
+    };
+    let config = NodeConfig {
+        fleet: "video-edge".into(),
+        identity,
+        timings: timings(),
+        limits: Limits::default(),
+        checks: SafetyChecks::default(),
+        seeds: Vec::new(),
+        stored,
+        random_seed: 7,
+    };
+    Node::start(config, at(ms)).unwrap()
 }
 
 /// The only replica of its fleet, with its storage.
@@ -361,26 +390,28 @@
         while self.ms < end {
             self.ms += 20;
             self.node.tick(at(self.ms));
-            self.handle_output();
+            self.handle_actions();
         }
     }
 
     fn command(&mut self, command: Command) {
         self.node.submit(at(self.ms), command).unwrap();
-        self.handle_output();
+        self.handle_actions();
     }
 
-    fn handle_output(&mut self) {
+    fn handle_actions(&mut self) {
         while !self.node.is_quiet() {
-            for out in self.node.take_actions() {
-                match out {
-                    Action::StorageWrite(write) => {
+            for action in self.node.take_actions() {
+                match action {
+                    Action::Write(write) => {
                         let number = write.number;
                         self.store(write);
                         self.node.write_completed(at(self.ms), number);
                     }
-                    Action::Check(version) => self.node.policy_checked(at(self.ms), version.generation, None),
-                    Action::Send { .. } | Action::Transition(_) | Action::Leads(_) => {}
+                    Action::CheckPolicy(version) => {
+                        self.node.policy_checked(at(self.ms), version.generation, None);
+                    }
+                    Action::Send { .. } | Action::Transition(_) | Action::LeadershipChanged(_) => {}
                 }
             }
         }
@@ -388,16 +419,16 @@
 
     fn store(&mut self, write: StorageWrite) {
         let entries = &mut self.stored.entries;
-        if let Some(hard) = write.hard {
-            self.stored.hard = hard;
+        if let Some(hard) = write.hard_state {
+            self.stored.hard_state = hard;
         }
         if let Some(snapshot) = write.snapshot {
             self.stored.snapshot = snapshot;
-            if write.cut_before.is_none() {
+            if write.discard_before.is_none() {
                 entries.clear();
             }
         }
-        if let Some(before) = write.cut_before {
+        if let Some(before) = write.discard_before {
             entries.retain(|(index, _)| *index >= before);
             self.compacted = true;
         }
@@ -410,8 +441,8 @@
 
 /// The request of another member to join, from that location.
 fn join(location: u16) -> Command {
-    let listed = Member { name: "router-2".into(), location, ..sample_member(None) };
-    Command::Join { start: Incarnation(0x1111), listed, after: None }
+    let member = Member { name: "router-2".into(), location, ..sample_member(None) };
+    Command::Join { incarnation: Incarnation(0x1111), member, predecessor: None }
 }
 
 /// A replica whose log holds a member that joined and a change that took effect.
@@ -443,7 +474,7 @@
 
 fn stored_files(name: &str, stored: &StoredState) -> Vec<(String, Vec<u8>)> {
     vec![
-        (format!("{name}-hard-state"), stored.hard.clone()),
+        (format!("{name}-hard-state"), stored.hard_state.clone()),
         (format!("{name}-snapshot"), stored.snapshot.clone()),
         (format!("{name}-entries"), postcard::to_stdvec(&stored.entries).unwrap()),
     ]
@@ -452,7 +483,7 @@
 fn recorded_storage(name: &str) -> StoredState {
     let entries = recorded(&format!("{name}-entries"));
     StoredState {
-        hard: recorded(&format!("{name}-hard-state")),
+        hard_state: recorded(&format!("{name}-hard-state")),
         snapshot: recorded(&format!("{name}-snapshot")),
         entries: postcard::from_bytes(&entries).unwrap(),
     }
@@ -481,7 +512,7 @@
 #[test]
 fn recorded_messages_are_decoded() {
     for (name, message) in messages() {
-        assert_eq!(Frame::read(&recorded(name)), Ok(message), "{name}");
+        assert_eq!(Envelope::from_bytes(&recorded(name)), Ok(message), "{name}");
     }
 }
 
@@ -505,7 +536,7 @@
     for (name, replica) in replicas() {
         let mut restarted = start_replica(Some(recorded_storage(name)), replica.ms);
         let mut writes = restarted.take_actions().into_iter();
-        assert!(writes.all(|out| !matches!(out, Action::Send { .. })), "{name}");
+        assert!(writes.all(|action| !matches!(action, Action::Send { .. })), "{name}");
         assert_eq!(restarted.agreed().generation(), 2, "{name}: the change took effect");
         assert!(restarted.agreed().members.contains(Incarnation(0x1111)), "{name}: the member is listed");
         assert_eq!(restarted.agreed(), replica.node.agreed(), "{name}");
--- /dev/null
+++ b/crates/consensus/tests/node.rs
@@ -0,0 +1,207 @@
+//! Tests of single nodes: who may join, who is granted quota, and which objections make a router unavailable.
+
+use tindoor::time::{Moment, Span};
+use tindoor_consensus::{
+    Action, Command, Envelope, Limits, LocalIdentity, Message, Node, NodeConfig, Objection, SafetyChecks,
+    UnavailableReason,
+};
+use tindoor_membership::{Incarnation, Member, Timings};
+use tindoor_policy::Policy;
+use tindoor_policy::budgets::Budget;
+use tindoor_quota::{KeyDemand, Quota, QuotaGrant, QuotaRequest};
+
+fn timings() -> Timings {
+    Timings {
+        lease: Span::millis(1000),
+        quorum_loss_grace: Span::secs(6.0),
+        clock_bound: Span::millis(40),
+        heartbeat_interval: Span::millis(100),
+        drift_ppm: 200,
+    }
+}
+
+fn at(ms: u64) -> Moment {
+    Moment::at_micros(10_000_000 + ms * 1000)
+}
+
+fn start_node(number: u64, replica_id: Option<u64>, seeds: &[&str]) -> Node {
+    let identity = LocalIdentity {
+        incarnation: Incarnation(number),
+        name: format!("n{}", number - 1),
+        address: format!("a{}", number - 1),
+        location: 0,
+        replica_id,
+        predecessor: None,
+    };
+    let config = NodeConfig {
+        fleet: "f".into(),
+        identity,
+        timings: timings(),
+        limits: Limits::default(),
+        checks: SafetyChecks::default(),
+        seeds: seeds.iter().map(ToString::to_string).collect(),
+        stored: None,
+        random_seed: 7,
+    };
+    Node::start(config, at(0)).unwrap()
+}
+
+/// The only member of a fleet whose policy allows so many members.
+struct SingleMember {
+    node: Node,
+    now: u64,
+    sent: Vec<(String, Message)>,
+}
+
+impl SingleMember {
+    fn bootstrap(max_members: f64) -> Self {
+        let mut single = Self { node: start_node(1, Some(1), &[]), now: 0, sent: Vec::new() };
+        let keys = [
+            ("budget.routers_most", max_members),
+            ("budget.origin_fills.per_s", 100.0),
+            ("budget.origin_fills.burst", 40.0),
+        ];
+        let policy = Policy::default().with(keys.map(|(key, number)| (key.to_string(), number)));
+        single.node.bootstrap(at(0), policy).unwrap();
+        single
+    }
+
+    /// One that has led for long.
+    fn settled(max_members: f64) -> Self {
+        let mut single = Self::bootstrap(max_members);
+        single.run_for(3000);
+        assert!(single.node.is_leader() && single.node.active_policy(at(3000)).is_ok());
+        single
+    }
+
+    fn run_for(&mut self, ms: u64) {
+        let end = self.now + ms;
+        while self.now < end {
+            self.now += 20;
+            self.node.tick(at(self.now));
+            self.handle_actions();
+        }
+    }
+
+    /// Writes succeed at once, and each policy can be applied.
+    fn handle_actions(&mut self) {
+        while !self.node.is_quiet() {
+            for action in self.node.take_actions() {
+                match action {
+                    Action::Write(write) => self.node.write_completed(at(self.now), write.number),
+                    Action::CheckPolicy(version) => {
+                        self.node.policy_checked(at(self.now), version.generation, None);
+                    }
+                    Action::Send { address, envelope } => self.sent.push((address, envelope.message)),
+                    Action::Transition(_) | Action::LeadershipChanged(_) => {}
+                }
+            }
+        }
+    }
+
+    fn receive(&mut self, sender: u64, sender_address: &str, message: Message) {
+        let (fleet, sender_address) = ("f".to_string(), sender_address.to_string());
+        let envelope = Envelope { fleet, sender: Incarnation(sender), sender_address, message };
+        self.node.receive(at(self.now), envelope);
+        self.handle_actions();
+    }
+
+    fn join(&mut self, incarnation: u64, name: &str) {
+        let address = format!("a{incarnation}");
+        let member = Member { name: name.into(), address: address.clone(), replica_id: None, location: 0 };
+        let command = Command::Join { incarnation: Incarnation(incarnation), member, predecessor: None };
+        self.receive(incarnation, &address, Message::Command { hops: 0, command });
+        self.run_for(500);
+    }
+
+    /// What is granted to a process that demands everything.
+    fn grant(&mut self, requester: u64, address: &str, nonce: u64) -> Option<Quota> {
+        self.sent.clear();
+        let key = Budget::OriginFills.of(0);
+        let wants = Quota::rate(100.0, 40.0);
+        let keys = vec![KeyDemand { key, wants, weight: 1, holds: Quota::NONE, term: 0 }];
+        self.receive(requester, address, Message::QuotaRequest(QuotaRequest { nonce, keys }));
+        let granted = self.sent.iter().find_map(|(_, message)| match message {
+            Message::QuotaGrant(QuotaGrant { shares, .. }) => Some(shares[0].quota),
+            _ => None,
+        });
+        granted.filter(|quota| *quota != Quota::NONE)
+    }
+
+    fn members(&self) -> Vec<(u64, String)> {
+        let members = self.node.agreed().members.members().iter();
+        members.map(|(incarnation, member)| (incarnation.0, member.name.clone())).collect()
+    }
+}
+
+#[test]
+fn a_process_that_is_no_member_is_granted_nothing_and_reserves_nothing() {
+    let mut single = SingleMember::settled(4.0);
+    single.join(2, "n1");
+    assert_eq!(single.grant(9, "a2", 1), None, "an earlier process at that address");
+    let granted = single.grant(2, "a2", 1).expect("a member is granted quota");
+    assert!(granted.rate > 80_000, "all but the minimums, as nobody else demands any: {granted:?}");
+}
+
+#[test]
+fn no_more_members_join_than_minimums_are_reserved_for_but_a_known_name_may_restart() {
+    let mut single = SingleMember::settled(2.0);
+    single.join(2, "n1");
+    single.join(3, "n2");
+    assert_eq!(single.members(), [(1, "n0".into()), (2, "n1".into())]);
+    single.join(4, "n1");
+    assert_eq!(single.members(), [(1, "n0".into()), (4, "n1".into())]);
+}
+
+#[test]
+fn a_process_has_no_guaranteed_minimum_while_the_one_before_it_may_still_spend_it() {
+    let mut single = SingleMember::bootstrap(4.0);
+    let key = Budget::OriginFills.of(0);
+    let mut steps_without = 0;
+    loop {
+        single.run_for(20);
+        let now = at(single.now);
+        let is_available = single.node.active_policy(now).is_ok();
+        single.node.quota().refused(now, &[key]);
+        let spendable = single.node.quota().might_spend(now);
+        let spendable = spendable.iter().find(|known| known.0 == key).map_or(Quota::NONE, |known| known.1);
+        if spendable != Quota::NONE {
+            break;
+        }
+        steps_without += u64::from(is_available);
+        assert!(single.now < 10_000, "it has one in the end");
+    }
+    assert!(steps_without * 20 >= 1000, "{} ms after it accepted requests", steps_without * 20);
+}
+
+/// Observed among five processes with all faults: a router that had two requests in flight learnt, after the decision,
+/// of a policy that allows one, and stayed unavailable for as long as that policy was in force.
+#[test]
+fn only_a_permanent_objection_makes_a_router_unavailable() {
+    let mut single = SingleMember::settled(4.0);
+    let now = at(single.now);
+    let objection = |permanent| Some(Objection { reason: "two are in flight".into(), permanent });
+    single.node.policy_checked(now, 1, objection(false));
+    assert!(single.node.active_policy(now).is_ok());
+    single.node.policy_checked(now, 1, objection(true));
+    assert_eq!(single.node.active_policy(now).err(), Some(UnavailableReason::PolicyNotApplicable));
+}
+
+/// Observed in a simulation: all seeds had restarted at once, and asked only each other while the rest of the fleet
+/// asked them.
+#[test]
+fn a_router_that_knows_no_fleet_asks_a_requester_that_does() {
+    let mut node = start_node(2, None, &["a2"]);
+    let status_requests = |node: &mut Node, fleet| {
+        let message = Message::StatusRequest { nonce: 1, fleet, index: 9, wants_peer_confirmations: false };
+        let (sender, sender_address) = (Incarnation(3), "a3".to_string());
+        node.receive(at(1), Envelope { fleet: "f".into(), sender, sender_address, message });
+        let is_request = |action: &Action| {
+            matches!(action, Action::Send { address, envelope }
+                if address == "a3" && matches!(envelope.message, Message::StatusRequest { .. }))
+        };
+        node.take_actions().into_iter().filter(is_request).count()
+    };
+    assert_eq!(status_requests(&mut node, 0), 0, "who knows no fleet either is of no help");
+    assert_eq!(status_requests(&mut node, 77), 1);
+}
--- a/crates/membership/src/clocks.rs
+++ b/crates/membership/src/clocks.rs
@@ -1,267 +1,228 @@
-//! The fleet's time, from the clocks of several processes: by round trips, with a bound that is sure as long as
-//! no clock is off its rate by more than is stated, and robust against one that is.
+//! The fleet's time, from the clocks of several processes. Clocks are read by round trips, with an error bound that
+//! is certain as long as no clock is off its rate by more than is stated, and that is robust against one that is.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use tindoor::time::{Moment, Span};
 
-use crate::{Incarnation, Timings};
+use crate::interval::{certain_overlap, narrowest_overlap};
+use crate::{Incarnation, Interval, Timings};
 
-/// A point in the fleet's time, in microseconds; may be negative.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct FleetTime(pub i64);
+/// Sources that are kept for one clock.
+const MAX_SOURCES: usize = 5;
 
-impl FleetTime {
-    pub fn plus(self, span: Span) -> Self {
-        Self(self.0.saturating_add(span.as_micros() as i64))
-    }
-}
-
-/// Something is surely within, both ends counted; in microseconds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Interval {
-    pub low: i64,
-    pub high: i64,
-}
+/// Readings in a row that must agree after two did not.
+const READINGS_TO_SETTLE: u32 = 2;
 
-impl Interval {
-    pub fn midpoint(self) -> i64 {
-        self.low + (self.high - self.low) / 2
-    }
+/// Contradicting exchanges with one peer after which the local clock is distrusted.
+const CONTRADICTIONS_OF_ONE_PEER: usize = 4;
 
-    /// Half of its width.
-    pub fn error_bound(self) -> Span {
-        Span::micros(((self.high - self.low).max(0) as u64).div_ceil(2))
-    }
+/// The part of the clock bound that a clock may deviate from what is agreed of it.
+const MAX_DEVIATION_BOUND_DIVISOR: u64 = 8;
 
-    fn moved(self, by: i64) -> Self {
-        Self { low: self.low.saturating_add(by), high: self.high.saturating_add(by) }
-    }
-
-    fn widened(self, by: Span) -> Self {
-        let by = by.as_micros() as i64;
-        Self { low: self.low.saturating_sub(by), high: self.high.saturating_add(by) }
-    }
+/// How far one clock is ahead of another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ClockOffset {
+    /// Whose clock.
+    pub clock: Incarnation,
+    /// How far it is ahead.
+    pub offset: Interval,
+}
 
-    fn meets(self, other: Self) -> bool {
-        self.low <= other.high && other.low <= self.high
-    }
+/// What a peer told of clocks in one round trip.
+#[derive(Clone, Copy, Debug)]
+pub struct ClockExchange<'a> {
+    /// The peer.
+    pub peer: Incarnation,
+    /// When the request was sent, by the local clock.
+    pub requested_at: Moment,
+    /// When the response arrived, by the local clock.
+    pub answered_at: Moment,
+    /// The peer's clock at the response, in microseconds.
+    pub peer_clock_micros: i64,
+    /// Clocks that the peer can read, relative to its own; its own as 0 to 0.
+    pub offsets: &'a [ClockOffset],
 }
 
-/// What one source last said of a clock: that clock less ours, when it was heard.
+/// What one source last told of a clock.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
-    by: Incarnation,
-    off: Interval,
+    source: Incarnation,
+    /// How far the clock was ahead of the local one.
+    offset: Interval,
     at: Moment,
 }
 
+impl Reading {
+    /// The offset, widened by what clocks may have drifted since.
+    fn at(&self, timings: &Timings, now: Moment) -> Interval {
+        self.offset.widened(timings.drift(now.since(self.at)))
+    }
+}
+
 /// One process's clock, as several sources tell of it.
 #[derive(Debug, Default)]
-struct Readings {
-    last: Vec<Reading>,
-    /// How many answers in a row agreed since two did not.
-    agreed: u32,
+struct ClockReadings {
+    latest: Vec<Reading>,
+    /// How many readings in a row agreed since two did not.
+    agreeing: u32,
 }
 
-/// Sources that are kept for one clock, answers that must agree after two did not, and answers of one giver of
-/// which nothing agrees until the own clock is blamed.
-const SOURCES: usize = 5;
-const SETTLED: u32 = 2;
-const DOUBTS: usize = 4;
-
-impl Readings {
-    /// Where most of what was said meets, widened by what clocks may have drifted since.
-    fn best(&self, terms: &Timings, now: Moment) -> Option<Interval> {
-        if self.agreed < SETTLED {
-            return None;
-        }
-        let aged = |r: &Reading| r.off.widened(terms.drift(now.since(r.at)));
-        meeting(&self.last.iter().map(aged).collect::<Vec<_>>()).map(|(interval, _)| interval)
-    }
-
-    /// Whether a reading agrees with what was known; nothing was, if none.
-    fn agrees(&self, terms: &Timings, reading: &Reading) -> Option<bool> {
-        let aged = |r: &Reading| r.off.widened(terms.drift(reading.at.since(r.at)));
-        let known = meeting(&self.last.iter().map(aged).collect::<Vec<_>>());
-        known.map(|(known, _)| known.meets(reading.off))
+impl ClockReadings {
+    /// How far the clock is ahead of the local one, once its readings have settled.
+    fn offset(&self, timings: &Timings, now: Moment) -> Option<Interval> {
+        self.unsettled_offset(timings, now).filter(|_| self.agreeing >= READINGS_TO_SETTLE)
     }
 
-    fn add(&mut self, terms: &Timings, reading: Reading) {
-        if self.agrees(terms, &reading).unwrap_or(true) {
-            self.agreed += 1;
-        } else {
-            // That clock has jumped, or who told of it: nothing older is of use any more.
-            self.last.clear();
-            self.agreed = 1;
-        }
-        self.last.retain(|known| known.by != reading.by);
-        if self.last.len() == SOURCES {
-            let oldest = (0..SOURCES).min_by_key(|at| self.last[*at].at).expect("there are some");
-            self.last.remove(oldest);
-        }
-        self.last.push(reading);
+    fn unsettled_offset(&self, timings: &Timings, now: Moment) -> Option<Interval> {
+        let current: Vec<Interval> = self.latest.iter().map(|reading| reading.at(timings, now)).collect();
+        narrowest_overlap(&current)
     }
-}
 
-/// Where the most of the intervals meet, and how many do (Marzullo): the narrowest such part.
-fn meeting(intervals: &[Interval]) -> Option<(Interval, usize)> {
-    let mut edges: Vec<(i64, i32)> =
-        intervals.iter().flat_map(|interval| [(interval.low, -1), (interval.high, 1)]).collect();
-    // At one point an interval begins before another ends: both hold it.
-    edges.sort_unstable();
-    let (mut open, mut best): (usize, Option<(Interval, usize)>) = (0, None);
-    for (at, edge) in edges.iter().enumerate() {
-        if edge.1 > 0 {
-            open -= 1;
-            continue;
-        }
-        open += 1;
-        let part = Interval { low: edge.0, high: edges[at + 1].0 };
-        if best.is_none_or(|(known, most)| {
-            open > most || open == most && part.high - part.low < known.high - known.low
-        }) {
-            best = Some((part, open));
-        }
+    /// Whether a reading agrees with what was known; none where nothing was known.
+    fn agrees(&self, timings: &Timings, reading: &Reading) -> Option<bool> {
+        let known = self.unsettled_offset(timings, reading.at)?;
+        Some(known.overlaps(reading.offset))
     }
-    best
-}
 
-/// Where something surely is of which these are told, though as many of them as may be are wrong: all of what at least
-/// the others hold in common, not the narrowest part of it. One that is wrong by less than the others are wide meets
-/// them, and what it meets is where it is wrong.
-fn surely(intervals: &[Interval], wrong: usize) -> Option<Interval> {
-    let need = intervals.len().checked_sub(wrong).filter(|need| *need > 0)?;
-    // Whoever ends last but so many holds the end in common with all before it; and so at the other end.
-    let mut edges: Vec<(i64, i32)> =
-        intervals.iter().flat_map(|interval| [(interval.low, -1), (interval.high, 1)]).collect();
-    edges.sort_unstable();
-    let (mut open, mut low, mut high) = (0, None, None);
-    for (at, edge) in edges {
-        if edge < 0 {
-            open += 1;
-            low = low.or(Some(at).filter(|_| open >= need));
+    fn add(&mut self, timings: &Timings, reading: Reading) {
+        if self.agrees(timings, &reading).unwrap_or(true) {
+            self.agreeing += 1;
         } else {
-            high = if open >= need { Some(at) } else { high };
-            open -= 1;
+            // That clock has jumped, or the source's: no older reading is of use any more.
+            self.latest.clear();
+            self.agreeing = 1;
         }
+        self.latest.retain(|known| known.source != reading.source);
+        if self.latest.len() == MAX_SOURCES {
+            let oldest = (0..MAX_SOURCES).min_by_key(|index| self.latest[*index].at);
+            self.latest.remove(oldest.expect("the list is full"));
+        }
+        self.latest.push(reading);
     }
-    Some(Interval { low: low?, high: high? })
 }
 
 /// The clocks of other processes, as read from here.
 #[derive(Debug, Default)]
 pub struct ClockSync {
     own: Incarnation,
-    known: BTreeMap<Incarnation, Readings>,
-    /// Who gave the last answers of which nothing agreed with what was known.
-    doubts: Vec<Incarnation>,
-    /// When the own clock has jumped, and nothing has agreed since.
-    upset: Option<Moment>,
+    readings: BTreeMap<Incarnation, ClockReadings>,
+    /// The peers of the last exchanges that contradicted all that was known.
+    contradicting: Vec<Incarnation>,
+    /// When the local clock has jumped; none once an exchange agreed since.
+    untrusted_since: Option<Moment>,
 }
 
 impl ClockSync {
+    /// The clocks as read by that process.
     pub fn new(own: Incarnation) -> Self {
         Self { own, ..Self::default() }
     }
 
-    /// What an answer tells: its giver's clock at the answer, and other clocks less the giver's. `asked` and
-    /// `answered` are ours. The giver's own is told as 0 to 0.
-    pub fn record_exchange(
-        &mut self,
-        terms: &Timings,
-        by: Incarnation,
-        [asked, answered]: [Moment; 2],
-        theirs: i64,
-        offsets: &[(Incarnation, Interval)],
-    ) {
-        let own = self.own;
-        let seen = |(clock, less_giver): &(Incarnation, Interval)| {
-            let off = Interval {
-                low: less_giver.low.saturating_add(theirs).saturating_sub(micros(answered)),
-                high: less_giver.high.saturating_add(theirs).saturating_sub(micros(asked)),
+    /// Records what a peer told of clocks.
+    pub fn record_exchange(&mut self, timings: &Timings, exchange: &ClockExchange<'_>) {
+        let readings = self.readings_of(exchange);
+        let known =
+            |(clock, reading): &(Incarnation, Reading)| self.readings.get(clock)?.agrees(timings, reading);
+        let agreeing: Vec<bool> = readings.iter().filter_map(known).collect();
+        if agreeing.contains(&true) {
+            self.contradicting.clear();
+            self.untrusted_since = None;
+        } else if !agreeing.is_empty() && !self.handle_contradiction(exchange) {
+            return;
+        }
+        for (clock, reading) in readings {
+            self.readings.entry(clock).or_default().add(timings, reading);
+        }
+    }
+
+    fn readings_of(&self, exchange: &ClockExchange<'_>) -> Vec<(Incarnation, Reading)> {
+        let ClockExchange { peer, requested_at, answered_at, peer_clock_micros, offsets } = *exchange;
+        let reading = |told: &ClockOffset| {
+            let peer_ahead = told.offset.shifted(peer_clock_micros);
+            let offset = Interval {
+                low: peer_ahead.low.saturating_sub(micros(answered_at)),
+                high: peer_ahead.high.saturating_sub(micros(requested_at)),
             };
-            (*clock != own && off.low <= off.high).then_some((*clock, Reading { by, off, at: answered }))
+            let is_usable = told.clock != self.own && offset.low <= offset.high;
+            is_usable.then_some((told.clock, Reading { source: peer, offset, at: answered_at }))
         };
-        let read: Vec<(Incarnation, Reading)> = offsets.iter().filter_map(seen).collect();
-        let known = read.iter().filter_map(|(clock, reading)| self.known.get(clock)?.agrees(terms, reading));
-        let (agreed, not) =
-            known.fold((0, 0), |(a, n), agrees| (a + u32::from(agrees), n + u32::from(!agrees)));
-        if not > 0 && agreed == 0 {
-            // Nothing of it agrees: its giver's clock has jumped, or ours. A second giver, or the same one for
-            // long, tells which: one liar must not put all others out.
-            self.doubts.push(by);
-            if self.doubts.len() < DOUBTS && self.doubts.iter().all(|giver| *giver == by) {
-                return;
-            }
-            self.reset_after_jump(answered);
-        } else if agreed > 0 {
-            self.doubts.clear();
-            self.upset = None;
-        }
-        for (clock, reading) in read {
-            self.known.entry(clock).or_default().add(terms, reading);
+        offsets.iter().filter_map(reading).collect()
+    }
+
+    /// Nothing of an exchange agrees with what was known: the peer's clock has jumped, or the local one. A second
+    /// peer, or the same one repeatedly, tells which: one faulty peer must not make all others distrusted. Returns
+    /// whether the local clock is to blame.
+    fn handle_contradiction(&mut self, exchange: &ClockExchange<'_>) -> bool {
+        self.contradicting.push(exchange.peer);
+        let is_one_peer = self.contradicting.iter().all(|peer| *peer == exchange.peer);
+        if is_one_peer && self.contradicting.len() < CONTRADICTIONS_OF_ONE_PEER {
+            return false;
         }
+        self.reset_after_jump(exchange.answered_at);
+        true
     }
 
-    /// Forgets all readings: the own clock is known to have jumped.
+    /// Discards all readings: the local clock has jumped.
     pub fn reset_after_jump(&mut self, now: Moment) {
-        self.known.clear();
-        self.doubts.clear();
-        self.upset = Some(now);
+        self.readings.clear();
+        self.contradicting.clear();
+        self.untrusted_since = Some(now);
     }
 
-    /// Keeps only these: memory stays bounded.
-    pub fn retain(&mut self, which: impl Fn(Incarnation) -> bool) {
-        self.known.retain(|clock, _| which(*clock));
+    /// Keeps only the readings of these clocks, to bound the memory.
+    pub fn retain(&mut self, is_needed: impl Fn(Incarnation) -> bool) {
+        self.readings.retain(|clock, _| is_needed(*clock));
     }
 
-    /// What to tell others: that clock less ours, now.
-    pub fn offset_of(&self, terms: &Timings, clock: Incarnation, now: Moment) -> Option<Interval> {
+    /// How far that clock is ahead of the local one.
+    pub fn offset_of(&self, timings: &Timings, clock: Incarnation, now: Moment) -> Option<Interval> {
         if clock == self.own {
             return Some(Interval { low: 0, high: 0 });
         }
-        self.known.get(&clock)?.best(terms, now)
+        self.readings.get(&clock)?.offset(timings, now)
     }
 
-    /// The fleet's time now, from the agreed clocks: `agreed` says of each how far it is ahead of the fleet's
-    /// time. It is surely within as long as no more than one of them is wrong, or of five no more than two; a lone clock
-    /// is believed. None unless more than half of them can be read and all but as many meet.
+    /// The fleet's time now. `agreed` has the clocks that define it, and how far each is ahead of it. The interval is
+    /// certain as long as no more than one of the clocks is wrong, or of five no more than two; a single clock is
+    /// trusted. None unless more than half of the clocks can be read, and enough of them overlap.
     pub fn fleet_time(
         &self,
-        terms: &Timings,
+        timings: &Timings,
         agreed: &BTreeMap<Incarnation, i64>,
         now: Moment,
     ) -> Option<Interval> {
-        let ahead =
-            |(clock, ahead): (&Incarnation, &i64)| Some(self.offset_of(terms, *clock, now)?.moved(-ahead));
-        let offsets: Vec<Interval> = agreed.iter().filter_map(ahead).collect();
+        let offset = |(clock, ahead): (&Incarnation, &i64)| {
+            Some(self.offset_of(timings, *clock, now)?.shifted(-ahead))
+        };
+        let offsets: Vec<Interval> = agreed.iter().filter_map(offset).collect();
         if 2 * offsets.len() <= agreed.len() {
             return None;
         }
-        let wrong = if agreed.len() == 1 { 0 } else { (offsets.len().saturating_sub(1) / 2).max(1) };
-        surely(&offsets, wrong).map(|off| off.moved(micros(now)))
+        let faulty = if agreed.len() == 1 { 0 } else { (offsets.len().saturating_sub(1) / 2).max(1) };
+        certain_overlap(&offsets, faulty).map(|offset| offset.shifted(micros(now)))
     }
 
-    /// How far that clock is off what is agreed of it, where that is surely more than the bound.
+    /// How far that clock deviates from what is agreed of it, where that is certainly more than is tolerated.
     pub fn deviation_of(
         &self,
-        terms: &Timings,
+        timings: &Timings,
         agreed: &BTreeMap<Incarnation, i64>,
         clock: Incarnation,
         now: Moment,
     ) -> Option<i64> {
-        let time = self.fleet_time(terms, agreed, now)?;
-        let reads = self.offset_of(terms, clock, now)?.moved(micros(now));
-        let off = reads.midpoint() - time.midpoint() - agreed.get(&clock)?;
-        let sure = time.error_bound() + reads.error_bound();
-        (off.unsigned_abs() > sure.as_micros().max(terms.clock_bound.as_micros() / 8)).then_some(off)
+        let time = self.fleet_time(timings, agreed, now)?;
+        let reading = self.offset_of(timings, clock, now)?.shifted(micros(now));
+        let deviation = reading.midpoint() - time.midpoint() - agreed.get(&clock)?;
+        let uncertainty: Span = time.error_bound() + reading.error_bound();
+        let tolerated = timings.clock_bound.as_micros() / MAX_DEVIATION_BOUND_DIVISOR;
+        (deviation.unsigned_abs() > uncertainty.as_micros().max(tolerated)).then_some(deviation)
     }
 
-    /// Since when the own clock is not to be trusted, by that clock; none where it is.
+    /// Since when the local clock is not to be trusted, by that clock; none where it is trusted.
     pub fn untrusted_since(&self) -> Option<Moment> {
-        self.upset
+        self.untrusted_since
     }
 }
 
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! Who has been silent for longer than is usual. Silence is not death: what is drawn from it here is only whom to
-//! ask less and which voter to replace, never that a router takes no more requests.
+//! Who has been silent for longer than is usual. A suspicion is no proof: it only decides whom to ask less and which
+//! voter to replace, never that a router accepts no more requests.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,48 +7,52 @@
 
 use crate::Incarnation;
 
-/// Gaps between answers that are kept for one router.
-const GAPS: usize = 16;
+/// Intervals between heartbeats that are kept for one peer.
+const INTERVALS: usize = 16;
 
 #[derive(Debug)]
-struct Heard {
+struct Heartbeats {
     last: Moment,
-    gaps: VecDeque<Span>,
+    intervals: VecDeque<Span>,
 }
 
-/// When others were last heard, and how long their silences usually are.
+/// When peers were last heard from, and how long the intervals between their heartbeats usually are.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
-    heard: BTreeMap<Incarnation, Heard>,
+    peers: BTreeMap<Incarnation, Heartbeats>,
 }
 
 impl FailureDetector {
+    /// Records that a peer was heard from.
     pub fn record_heartbeat(&mut self, peer: Incarnation, now: Moment) {
-        let heard = self.heard.entry(peer).or_insert(Heard { last: now, gaps: VecDeque::new() });
-        if now > heard.last {
-            if heard.gaps.len() == GAPS {
-                heard.gaps.pop_front();
+        let unheard = Heartbeats { last: now, intervals: VecDeque::new() };
+        let heartbeats = self.peers.entry(peer).or_insert(unheard);
+        if now > heartbeats.last {
+            if heartbeats.intervals.len() == INTERVALS {
+                heartbeats.intervals.pop_front();
             }
-            heard.gaps.push_back(now.since(heard.last));
-            heard.last = now;
+            heartbeats.intervals.push_back(now.since(heartbeats.last));
+            heartbeats.last = now;
         }
     }
 
-    /// How many usual silences this one is: the mean of its last gaps, but no less than `usual`. None where it
-    /// was never heard.
-    pub fn suspicion(&self, peer: Incarnation, now: Moment, usual: Span) -> Option<f64> {
-        let heard = self.heard.get(&peer)?;
-        let sum: u64 = heard.gaps.iter().map(|gap| gap.as_micros()).sum();
-        let mean = (sum / heard.gaps.len().max(1) as u64).max(usual.as_micros()).max(1);
-        Some(now.since(heard.last).as_micros() as f64 / mean as f64)
+    /// How long a peer has been silent, as a multiple of its mean interval, which is taken for no less than `min_mean`.
+    /// None where it was never heard from.
+    pub fn suspicion(&self, peer: Incarnation, now: Moment, min_mean: Span) -> Option<f64> {
+        let heartbeats = self.peers.get(&peer)?;
+        let sum: u64 = heartbeats.intervals.iter().map(|interval| interval.as_micros()).sum();
+        let count = heartbeats.intervals.len().max(1) as u64;
+        let mean = (sum / count).max(min_mean.as_micros()).max(1);
+        Some(now.since(heartbeats.last).as_micros() as f64 / mean as f64)
     }
 
-    /// How long it has been silent; since `from` where it was never heard.
+    /// How long a peer has been silent, counted from `from` at the earliest.
     pub fn silence(&self, peer: Incarnation, now: Moment, from: Moment) -> Span {
-        now.since(self.heard.get(&peer).map_or(from, |heard| heard.last.max(from)))
+        now.since(self.peers.get(&peer).map_or(from, |heartbeats| heartbeats.last.max(from)))
     }
 
-    pub fn retain(&mut self, which: impl Fn(Incarnation) -> bool) {
-        self.heard.retain(|peer, _| which(*peer));
+    /// Keeps only these peers, to bound the memory.
+    pub fn retain(&mut self, is_needed: impl Fn(Incarnation) -> bool) {
+        self.peers.retain(|peer, _| is_needed(*peer));
     }
 }
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -1,115 +1,120 @@
-//! How long a router may go by what it surely knew. See "Lease" in `docs/design/policy.md`, where it is shown
-//! why no router decides by an old policy for longer.
+//! How long a router may go by what it knew for certain. See "Lease" in `docs/design/policy.md`, where it is shown why
+//! no router decides by an old policy for longer.
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use tindoor::time::{Moment, Span};
 
 use crate::{Incarnation, Timings};
 
-/// Somebody's word that it was at that index, no earlier than then by our clock.
+/// A confirmation that an index was the latest, no earlier than that moment of the local clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Confirmation {
+    /// The index.
     pub index: u64,
+    /// The moment.
     pub at: Moment,
 }
 
 /// The lease of one router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// The voters' word of the newest kind, and the last that was at or before the own index.
-    newest: Option<Confirmation>,
-    voters: Option<Moment>,
-    /// The last word of each peer, at whatever index it was.
-    peers: BTreeMap<Incarnation, Confirmation>,
-    until: Option<Moment>,
+    latest_by_quorum: Option<Confirmation>,
+    /// When a quorum last confirmed an index that this router had reached.
+    confirmed_by_quorum: Option<Moment>,
+    /// The last confirmation by each peer, of whatever index.
+    by_peers: BTreeMap<Incarnation, Confirmation>,
+    valid_until: Option<Moment>,
 }
 
 impl Lease {
-    /// The voters' word: that index was all that was agreed, no earlier than then.
-    pub fn confirm_by_quorum(&mut self, terms: &Timings, own: u64, word: Confirmation) {
-        if self.newest.is_none_or(|known| known.at <= word.at) {
-            self.newest = Some(word);
+    /// A quorum of the voters confirmed that nothing beyond that index was committed. `own_index` is this router's.
+    pub fn confirm_by_quorum(&mut self, timings: &Timings, own_index: u64, confirmation: Confirmation) {
+        if self.latest_by_quorum.is_none_or(|known| known.at <= confirmation.at) {
+            self.latest_by_quorum = Some(confirmation);
         }
-        // A word for what is agreed beyond the own index says that something is not known here.
-        if word.index <= own && self.voters.is_none_or(|at| at < word.at) {
-            self.voters = Some(word.at);
-            self.reach(terms, word.at + terms.lease);
+        // A confirmation of an index beyond the own one says that something is not known here.
+        let is_known_here = confirmation.index <= own_index;
+        if is_known_here && self.confirmed_by_quorum.is_none_or(|at| at < confirmation.at) {
+            self.confirmed_by_quorum = Some(confirmation.at);
+            self.extend(timings, confirmation.at + timings.lease);
         }
     }
 
-    /// A peer's word, direct or passed on.
-    pub fn confirm_by_peer(&mut self, peer: Incarnation, word: Confirmation) {
-        let known = self.peers.entry(peer).or_insert(word);
-        if (known.index, known.at) < (word.index, word.at) {
-            *known = word;
+    /// A peer confirmed its index, directly or by way of another.
+    pub fn confirm_by_peer(&mut self, peer: Incarnation, confirmation: Confirmation) {
+        let known = self.by_peers.entry(peer).or_insert(confirmation);
+        if (known.index, known.at) < (confirmation.index, confirmation.at) {
+            *known = confirmation;
         }
     }
 
-    /// Reckons the lease from what was said: `own` is the own word now, `listed` are all routers listed at its
-    /// index, `open` says that no change waits for its decision there.
+    /// Renews the lease by what was confirmed. `own` is the local confirmation now, `members` are all members at its
+    /// index, and `confirms_index` says that no change waits for its decision there.
     pub fn renew<'a>(
         &mut self,
-        terms: &Timings,
+        timings: &Timings,
         own: Confirmation,
-        open: bool,
-        listed: impl ExactSizeIterator<Item = &'a Incarnation>,
-        me: Incarnation,
+        confirms_index: bool,
+        members: impl ExactSizeIterator<Item = &'a Incarnation>,
+        local: Incarnation,
     ) {
-        if let Some(word) = self.newest {
-            self.confirm_by_quorum(terms, own.index, word);
+        if let Some(latest) = self.latest_by_quorum {
+            self.confirm_by_quorum(timings, own.index, latest);
         }
-        let Some(voters) = self.voters.filter(|_| open) else { return };
-        let more_than_half = listed.len() / 2 + 1;
-        let said = |start: &Incarnation| self.peers.get(start).filter(|word| word.index == own.index);
-        let mut moments: Vec<Moment> = listed
-            .filter_map(|start| if *start == me { Some(own.at) } else { Some(said(start)?.at) })
+        let Some(by_quorum) = self.confirmed_by_quorum.filter(|_| confirms_index) else { return };
+        let majority = members.len() / 2 + 1;
+        let by_peer = |member: &Incarnation| self.by_peers.get(member).filter(|peer| peer.index == own.index);
+        let mut moments: Vec<Moment> = members
+            .filter_map(|member| if *member == local { Some(own.at) } else { Some(by_peer(member)?.at) })
             .collect();
-        if moments.len() < more_than_half {
+        if moments.len() < majority {
             return;
         }
-        // The moment since when more than half have said so: the latest but so many.
-        let nth = moments.len() - more_than_half;
-        let since = *moments.select_nth_unstable(nth).1;
-        self.reach(terms, (since + terms.lease).min(voters + terms.quorum_loss_grace));
+        // The latest moment since which a majority has confirmed.
+        let position = moments.len() - majority;
+        let since = *moments.select_nth_unstable(position).1;
+        self.extend(timings, (since + timings.lease).min(by_quorum + timings.quorum_loss_grace));
     }
 
-    fn reach(&mut self, terms: &Timings, until: Moment) {
-        let until = until - terms.drift(terms.lease);
-        self.until = self.until.max(Some(until));
+    fn extend(&mut self, timings: &Timings, until: Moment) {
+        let until = until - timings.drift(timings.lease);
+        self.valid_until = self.valid_until.max(Some(until));
     }
 
-    /// Whether new requests may be taken now.
+    /// Whether requests may be accepted now.
     pub fn is_valid(&self, now: Moment) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.valid_until.is_some_and(|until| now < until)
     }
 
-    /// How much of it is left.
+    /// The time remaining until it expires.
     pub fn remaining(&self, now: Moment) -> Span {
-        self.until.map_or(Span::ZERO, |until| until.since(now))
+        self.valid_until.map_or(Span::ZERO, |until| until.since(now))
     }
 
-    /// The voters' last word, for telling others.
+    /// The latest confirmation by a quorum of the voters, of whatever index.
     pub fn latest_quorum_confirmation(&self) -> Option<Confirmation> {
-        self.newest
+        self.latest_by_quorum
     }
 
-    /// Words of peers at that index, the freshest first; at most so many.
-    pub fn peer_confirmations(&self, index: u64, most: usize) -> Vec<(Incarnation, Moment)> {
-        let at_index = self.peers.iter().filter(|(_, word)| word.index == index);
-        let mut words: Vec<(Incarnation, Moment)> = at_index.map(|(start, word)| (*start, word.at)).collect();
-        words.sort_unstable_by_key(|(start, at)| (std::cmp::Reverse(*at), *start));
-        words.truncate(most);
-        words
+    /// The peers that confirmed that index, and when: the latest first, at most `limit` of them.
+    pub fn peer_confirmations(&self, index: u64, limit: usize) -> Vec<(Incarnation, Moment)> {
+        let of_index = self.by_peers.iter().filter(|(_, confirmation)| confirmation.index == index);
+        let mut latest: Vec<(Incarnation, Moment)> =
+            of_index.map(|(peer, confirmation)| (*peer, confirmation.at)).collect();
+        latest.sort_unstable_by_key(|(peer, at)| (Reverse(*at), *peer));
+        latest.truncate(limit);
+        latest
     }
 
-    /// Nothing that was heard may be reckoned with any more: the own clock has jumped.
+    /// Expires the lease and discards all confirmations: the local clock has jumped.
     pub fn expire(&mut self) {
         *self = Self::default();
     }
 
-    /// Keeps only the words of these: memory stays bounded.
-    pub fn retain_peers(&mut self, which: impl Fn(Incarnation) -> bool) {
-        self.peers.retain(|start, _| which(*start));
+    /// Keeps only the confirmations of these peers, to bound the memory.
+    pub fn retain_peers(&mut self, is_needed: impl Fn(Incarnation) -> bool) {
+        self.by_peers.retain(|peer, _| is_needed(*peer));
     }
 }
--- /dev/null
+++ b/crates/membership/tests/member_list.rs
@@ -0,0 +1,82 @@
+//! Tests of the member list.
+
+use std::collections::BTreeSet;
+
+use proptest::prelude::*;
+use tindoor_membership::{Incarnation, Member, MemberList, UninformedMajority};
+
+fn member(number: u64) -> Member {
+    let (name, address) = (format!("n{number}"), format!("a{number}"));
+    Member { name, address, replica_id: Some(number), location: 0 }
+}
+
+fn first_three() -> MemberList {
+    MemberList::new((1..=3).map(|number| (Incarnation(number), member(number))).collect())
+}
+
+#[test]
+fn a_superseded_list_counts_until_it_is_discarded() {
+    let mut member_list = first_three();
+    for number in 4..=10 {
+        member_list.add(number, Incarnation(number), member(number), None);
+    }
+    // Two of the first three are cut off and go by the first list: more than half of it.
+    let is_informed = |member: Incarnation| ![Incarnation(1), Incarnation(2)].contains(&member);
+    assert_eq!(
+        member_list.rule_out_uninformed_majority(20, is_informed),
+        Err(UninformedMajority { superseded_at: 4 }),
+        "eight of ten are informed, but only one of the first three"
+    );
+    member_list.discard_superseded(4);
+    assert_eq!(
+        member_list.rule_out_uninformed_majority(20, is_informed),
+        Ok(()),
+        "nobody goes by that list any more, and two of four are no majority"
+    );
+    assert_eq!(
+        member_list.rule_out_uninformed_majority(20, |member| member.0 > 6),
+        Err(UninformedMajority { superseded_at: 20 }),
+        "six of ten are"
+    );
+}
+
+#[test]
+fn a_process_that_is_proved_to_have_ended_goes_by_no_list() {
+    let is_informed = |member: Incarnation| member.0 == 3 || member.0 > 10;
+    let mut member_list = first_three();
+    member_list.add(4, Incarnation(11), member(1), Some(Incarnation(1)));
+    member_list.add(5, Incarnation(12), member(2), None);
+    assert_eq!(member_list.members().len(), 3);
+    assert_eq!(member_list.rule_out_uninformed_majority(20, is_informed), Ok(()));
+    let mut without_proof = first_three();
+    without_proof.add(4, Incarnation(11), member(1), None);
+    without_proof.add(5, Incarnation(12), member(2), None);
+    let result = without_proof.rule_out_uninformed_majority(20, is_informed);
+    assert!(result.is_err(), "silence is no proof");
+}
+
+proptest! {
+    /// If the uninformed are a majority of any list by which a router may go, that is detected.
+    #[test]
+    fn an_uninformed_majority_of_any_list_is_detected(
+        steps in prop::collection::vec((0u64..8, any::<bool>()), 1..24),
+        informed in prop::collection::btree_set(0u64..40, 0..40),
+    ) {
+        let mut member_list = MemberList::default();
+        let mut lists: Vec<BTreeSet<Incarnation>> = Vec::new();
+        for (position, (name, joins)) in steps.iter().enumerate() {
+            let (index, incarnation) = (position as u64 + 1, Incarnation(position as u64));
+            match (joins, member_list.find_by_name(&format!("n{name}"))) {
+                (false, Some(known)) => member_list.remove(index, known, false),
+                _ => member_list.add(index, incarnation, member(*name), None),
+            }
+            lists.push(member_list.members().keys().copied().collect());
+        }
+        let is_informed = |member: Incarnation| informed.contains(&member.0);
+        let has_uninformed_majority = lists.iter().any(|list| {
+            2 * list.iter().filter(|member| !is_informed(**member)).count() > list.len()
+        });
+        let result = member_list.rule_out_uninformed_majority(100, is_informed);
+        prop_assert_eq!(result.is_ok(), !has_uninformed_majority);
+    }
+}
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,6 +1,6 @@
-//! Leases and lists under a model checker: two to four routers of a fleet, an agreed log that voters keep (its agreement
-//! is the `raft` library's matter), one change and its undo. Anybody may stand still or be cut off at any point, as
-//! nothing has to happen; answers may be old; a leader may be lost with a decision on its way.
+//! Model checking of leases and member lists: two to four routers of a fleet, a replicated log (its replication is the
+//! `raft` library's matter), one change and its rollback. Any router may stall or be cut off at any point, as no action
+//! has to happen; responses may be old; a leader may be lost with an uncommitted decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use tindoor_membership::{Confirmation, Incarnation, Lease, Member, MemberList, Timings};
 
 /// One tick of the model is a second.
-const TERMS: Timings = Timings {
+const TIMINGS: Timings = Timings {
     lease: Span::millis(2000),
     quorum_loss_grace: Span::millis(4000),
     clock_bound: Span::millis(1),
@@ -20,13 +20,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Entry {
     Propose,
-    /// From that second on.
+    /// Activated at that second.
     Decide(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct Router {
-    /// How much of the log it knows.
+    /// How many entries of the log it has applied.
     index: usize,
     lease: Lease,
 }
@@ -35,168 +35,187 @@
 struct Fleet {
     now: u64,
     log: Vec<Entry>,
-    /// A decision that is proposed and not yet agreed, and when the change was first seen.
-    on_its_way: Option<u64>,
+    /// The activation time of a decision that is not yet committed.
+    uncommitted: Option<u64>,
+    /// When the change was proposed.
     proposed: u64,
-    /// Who is known to know of the change.
-    answered: BTreeSet<u64>,
+    /// Who is known to be informed of the change.
+    informed: BTreeSet<u64>,
     routers: Vec<Router>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
+enum Action {
     Tick,
-    AskVoters(usize),
-    AskPeer(usize, usize),
-    Answer(usize),
+    ConfirmByQuorum(usize),
+    ConfirmByPeer(usize, usize),
+    CheckPolicy(usize),
     Propose,
     Decide,
-    Agree,
-    LeaderLost,
+    Commit,
+    LoseLeader,
 }
 
-/// The protocol, whole or with one rule taken out.
-struct Play {
+/// The protocol, complete or with one rule disabled.
+struct Protocol {
     routers: u64,
     until: u64,
-    /// The leader waits until the silent can't go on.
-    waits: bool,
-    /// It asks for no word while its decision is on its way.
-    quiet: bool,
-    /// It decides a lease ahead.
-    ahead: bool,
-    /// Nobody vouches while a change waits for its decision.
-    open: bool,
+    /// The leader waits until the silent routers can't renew their leases.
+    waits_for_silent: bool,
+    /// It requests no confirmation while its decision is not committed.
+    pauses_confirmations: bool,
+    /// It activates a decision a lease after it.
+    activates_ahead: bool,
+    /// No router confirms its index while a change waits for its decision.
+    confirms_only_decided: bool,
 }
 
-const WHOLE: Play = Play { routers: 3, until: 7, waits: true, quiet: true, ahead: true, open: true };
+const COMPLETE: Protocol = Protocol {
+    routers: 3,
+    until: 7,
+    waits_for_silent: true,
+    pauses_confirmations: true,
+    activates_ahead: true,
+    confirms_only_decided: true,
+};
 
 fn at(second: u64) -> Moment {
     Moment::at_micros(1_000_000_000 + second * 1_000_000)
 }
 
-fn open(log: &[Entry]) -> bool {
+fn has_no_undecided_change(log: &[Entry]) -> bool {
     !matches!(log.last(), Some(Entry::Propose))
 }
 
-/// How many changes hold then, of those that are known or `more`.
-fn generation(log: &[Entry], more: Option<u64>, now: u64) -> usize {
+/// How many changes are activated then, of those in the log and an uncommitted one.
+fn generation(log: &[Entry], uncommitted: Option<u64>, now: u64) -> usize {
     let decided = log.iter().filter_map(|entry| match entry {
         Entry::Decide(at) => Some(*at),
         Entry::Propose => None,
     });
-    decided.chain(more).filter(|at| *at <= now).count()
+    decided.chain(uncommitted).filter(|at| *at <= now).count()
 }
 
-impl Play {
+impl Protocol {
     fn may_decide(&self, fleet: &Fleet) -> bool {
-        let listed =
-            |no| Member { name: format!("{no}"), address: String::new(), replica_id: None, location: 0 };
+        let member = |router| Member {
+            name: format!("{router}"),
+            address: String::new(),
+            replica_id: None,
+            location: 0,
+        };
         let member_list = MemberList::new(
-            (0..self.routers).map(|no| (Incarnation(no), listed(no))).collect::<BTreeMap<_, _>>(),
+            (0..self.routers).map(|router| (Incarnation(router), member(router))).collect::<BTreeMap<_, _>>(),
         );
-        let most =
-            member_list.rule_out_uninformed_majority(10, |start| fleet.answered.contains(&start.0)).is_ok();
-        !self.waits || most || at(fleet.now).since(at(fleet.proposed)) > TERMS.quorum_loss_grace
+        let no_majority =
+            member_list.rule_out_uninformed_majority(10, |member| fleet.informed.contains(&member.0)).is_ok();
+        !self.waits_for_silent
+            || no_majority
+            || at(fleet.now).since(at(fleet.proposed)) > TIMINGS.quorum_loss_grace
+    }
+
+    fn confirm_by_quorum(&self, fleet: &mut Fleet, id: usize) {
+        let is_paused = self.pauses_confirmations && fleet.uncommitted.is_some();
+        let (index, at) = (fleet.log.len() as u64, at(fleet.now));
+        let router = &mut fleet.routers[id];
+        router.index = fleet.log.len();
+        if !is_paused {
+            router.lease.confirm_by_quorum(&TIMINGS, index, Confirmation { index, at });
+        }
+    }
+
+    fn confirm_by_peer(&self, fleet: &mut Fleet, id: usize, other: usize) {
+        let now = at(fleet.now);
+        let Router { index, lease } = fleet.routers[other].clone();
+        let confirms = !self.confirms_only_decided || has_no_undecided_change(&fleet.log[..index]);
+        let known = fleet.log[..index.max(fleet.routers[id].index)].to_vec();
+        let router = &mut fleet.routers[id];
+        router.index = known.len();
+        if let Some(confirmation) = lease.latest_quorum_confirmation() {
+            router.lease.confirm_by_quorum(&TIMINGS, router.index as u64, confirmation);
+        }
+        if confirms {
+            let index = index as u64;
+            router.lease.confirm_by_peer(Incarnation(other as u64), Confirmation { index, at: now });
+            for (peer, at) in lease.peer_confirmations(index, 8) {
+                router.lease.confirm_by_peer(peer, Confirmation { index, at });
+            }
+        }
+        let own = Confirmation { index: router.index as u64, at: now };
+        let all: Vec<Incarnation> = (0..self.routers).map(Incarnation).collect();
+        let confirms_own = !self.confirms_only_decided || has_no_undecided_change(&known);
+        router.lease.renew(&TIMINGS, own, confirms_own, all.iter(), Incarnation(id as u64));
     }
 }
 
-impl Model for Play {
+impl Model for Protocol {
     type State = Fleet;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<Fleet> {
         let mut routers = vec![Router::default(); self.routers as usize];
-        // All have just heard the voters.
+        // A quorum has just confirmed all leases.
         routers.iter_mut().for_each(|router| {
-            router.lease.confirm_by_quorum(&TERMS, 0, Confirmation { index: 0, at: at(0) })
+            router.lease.confirm_by_quorum(&TIMINGS, 0, Confirmation { index: 0, at: at(0) });
         });
-        let (log, answered) = (Vec::new(), BTreeSet::new());
-        vec![Fleet { now: 0, log, on_its_way: None, proposed: 0, answered, routers }]
+        let (log, informed) = (Vec::new(), BTreeSet::new());
+        vec![Fleet { now: 0, log, uncommitted: None, proposed: 0, informed, routers }]
     }
 
-    fn actions(&self, fleet: &Fleet, acts: &mut Vec<Act>) {
+    fn actions(&self, fleet: &Fleet, actions: &mut Vec<Action>) {
         if fleet.now < self.until {
-            acts.push(Act::Tick);
+            actions.push(Action::Tick);
         }
-        for no in 0..fleet.routers.len() {
-            acts.push(Act::AskVoters(no));
-            acts.extend(
-                (0..fleet.routers.len()).filter(|other| *other != no).map(|other| Act::AskPeer(no, other)),
+        for router in 0..fleet.routers.len() {
+            actions.push(Action::ConfirmByQuorum(router));
+            actions.extend(
+                (0..fleet.routers.len())
+                    .filter(|other| *other != router)
+                    .map(|other| Action::ConfirmByPeer(router, other)),
             );
-            if !open(&fleet.log[..fleet.routers[no].index]) {
-                acts.push(Act::Answer(no));
+            if !has_no_undecided_change(&fleet.log[..fleet.routers[router].index]) {
+                actions.push(Action::CheckPolicy(router));
             }
         }
         let changes = fleet.log.iter().filter(|entry| **entry == Entry::Propose).count();
-        // The second change, the undo, begins once the first holds.
-        let settled = open(&fleet.log) && generation(&fleet.log, None, fleet.now) == changes;
+        // The second change, the rollback, is proposed once the first is activated.
+        let settled =
+            has_no_undecided_change(&fleet.log) && generation(&fleet.log, None, fleet.now) == changes;
         if settled && changes < 2 {
-            acts.push(Act::Propose);
+            actions.push(Action::Propose);
         }
-        match fleet.on_its_way {
-            Some(_) => acts.extend([Act::Agree, Act::LeaderLost]),
-            None if !open(&fleet.log) && self.may_decide(fleet) => acts.push(Act::Decide),
+        match fleet.uncommitted {
+            Some(_) => actions.extend([Action::Commit, Action::LoseLeader]),
+            None if !has_no_undecided_change(&fleet.log) && self.may_decide(fleet) => {
+                actions.push(Action::Decide);
+            }
             None => {}
         }
     }
 
-    fn next_state(&self, last: &Fleet, act: Act) -> Option<Fleet> {
+    fn next_state(&self, last: &Fleet, action: Action) -> Option<Fleet> {
         let mut fleet = last.clone();
         let now = fleet.now;
-        match act {
-            Act::Tick => fleet.now += 1,
-            Act::AskVoters(no) => {
-                let (index, quiet) = (fleet.log.len(), self.quiet && fleet.on_its_way.is_some());
-                let router = &mut fleet.routers[no];
-                router.index = index;
-                if !quiet {
-                    router.lease.confirm_by_quorum(
-                        &TERMS,
-                        index as u64,
-                        Confirmation { index: index as u64, at: at(now) },
-                    );
-                }
-            }
-            Act::AskPeer(no, other) => {
-                let Router { index, lease } = fleet.routers[other].clone();
-                let vouches = !self.open || open(&fleet.log[..index]);
-                let known = fleet.log[..index.max(fleet.routers[no].index)].to_vec();
-                let router = &mut fleet.routers[no];
-                router.index = known.len();
-                if let Some(word) = lease.latest_quorum_confirmation() {
-                    router.lease.confirm_by_quorum(&TERMS, router.index as u64, word);
-                }
-                if vouches {
-                    let index = index as u64;
-                    router
-                        .lease
-                        .confirm_by_peer(Incarnation(other as u64), Confirmation { index, at: at(now) });
-                    for (peer, at) in lease.peer_confirmations(index, 8) {
-                        router.lease.confirm_by_peer(peer, Confirmation { index, at });
-                    }
-                }
-                let own = Confirmation { index: router.index as u64, at: at(now) };
-                let all: Vec<Incarnation> = (0..self.routers).map(Incarnation).collect();
-                let open = !self.open || open(&known);
-                router.lease.renew(&TERMS, own, open, all.iter(), Incarnation(no as u64));
-            }
-            Act::Answer(no) => drop(fleet.answered.insert(no as u64)),
-            Act::Propose => {
+        match action {
+            Action::Tick => fleet.now += 1,
+            Action::ConfirmByQuorum(id) => self.confirm_by_quorum(&mut fleet, id),
+            Action::ConfirmByPeer(id, other) => self.confirm_by_peer(&mut fleet, id, other),
+            Action::CheckPolicy(id) => drop(fleet.informed.insert(id as u64)),
+            Action::Propose => {
                 fleet.log.push(Entry::Propose);
-                fleet.answered.clear();
+                fleet.informed.clear();
                 fleet.proposed = now;
             }
-            // The lease is a second longer than what is reckoned with at whole seconds.
-            Act::Decide => fleet.on_its_way = Some(now + if self.ahead { 2 } else { 0 }),
-            Act::Agree => {
-                let moment = fleet.on_its_way.take()?;
-                fleet.log.push(Entry::Decide(moment));
+            // A lease of two of the model's seconds.
+            Action::Decide => fleet.uncommitted = Some(now + if self.activates_ahead { 2 } else { 0 }),
+            Action::Commit => {
+                let at = fleet.uncommitted.take()?;
+                fleet.log.push(Entry::Decide(at));
             }
-            Act::LeaderLost => {
-                // The next one has to hear from all again.
-                fleet.on_its_way = None;
-                fleet.answered.clear();
+            Action::LoseLeader => {
+                // The next leader has to be informed by all again.
+                fleet.uncommitted = None;
+                fleet.informed.clear();
             }
         }
         Some(fleet)
@@ -204,74 +223,84 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
-            "no view is decided by a policy that another has replaced",
+            "no request is decided by a policy that another has replaced",
             |_, fleet: &Fleet| {
-                let must = generation(&fleet.log, fleet.on_its_way, fleet.now);
+                let in_force = generation(&fleet.log, fleet.uncommitted, fleet.now);
                 fleet.routers.iter().all(|router| {
                     let goes_by = generation(&fleet.log[..router.index], None, fleet.now);
-                    !router.lease.is_valid(at(fleet.now)) || goes_by >= must
+                    !router.lease.is_valid(at(fleet.now)) || goes_by >= in_force
                 })
             },
         )]
     }
 }
 
-const BROKEN: &str = "no view is decided by a policy that another has replaced";
+const PROPERTY: &str = "no request is decided by a policy that another has replaced";
 
 #[test]
 fn no_request_is_decided_by_a_policy_that_another_has_replaced() {
-    // All that can happen in so many steps; and longer ways by lot, until so many states were seen.
-    let checked = WHOLE.checker().threads(2).target_max_depth(6).spawn_bfs().join();
-    checked.assert_no_discovery(BROKEN);
-    walks(WHOLE, 1, 400_000).assert_no_discovery(BROKEN);
-    // Where half can be silent, too.
+    // Everything that can happen within the depth; and longer random walks, until so many states were visited.
+    let checked = COMPLETE.checker().threads(2).target_max_depth(6).spawn_bfs().join();
+    checked.assert_no_discovery(PROPERTY);
+    walks(COMPLETE, 1, 400_000).assert_no_discovery(PROPERTY);
+    // Also where half of the members can be silent.
     for routers in [2, 4] {
-        walks(Play { routers, ..WHOLE }, 1, 400_000).assert_no_discovery(BROKEN);
+        walks(Protocol { routers, ..COMPLETE }, 1, 400_000).assert_no_discovery(PROPERTY);
     }
 }
 
-/// Where these lead.
-fn after(acts: &[Act]) -> Fleet {
-    let first = WHOLE.init_states().remove(0);
-    acts.iter().fold(first, |fleet, act| {
+/// The state that these actions lead to.
+fn after(actions: &[Action]) -> Fleet {
+    let first = COMPLETE.init_states().remove(0);
+    actions.iter().fold(first, |fleet, action| {
         let mut allowed = Vec::new();
-        WHOLE.actions(&fleet, &mut allowed);
-        assert!(allowed.contains(act), "{act:?} is not allowed at {fleet:?}");
-        WHOLE.next_state(&fleet, act.clone()).expect("it is allowed")
+        COMPLETE.actions(&fleet, &mut allowed);
+        assert!(allowed.contains(action), "{action:?} is not allowed at {fleet:?}");
+        COMPLETE.next_state(&fleet, action.clone()).expect("it is allowed")
     })
 }
 
 #[test]
-fn a_change_comes_to_hold_and_a_fleet_without_voters_goes_on() {
-    use Act::*;
-    let ask = [AskVoters(0), AskVoters(1), AskVoters(2)];
-    let acts =
-        [&[Propose][..], &ask, &[Answer(0), Answer(1), Decide, Agree], &ask, &[Tick, Tick], &ask].concat();
-    let fleet = after(&acts);
-    let holds = |router: &Router| {
+fn a_change_is_activated_and_a_fleet_without_voters_goes_on() {
+    use Action::*;
+    let ask = [ConfirmByQuorum(0), ConfirmByQuorum(1), ConfirmByQuorum(2)];
+    let actions =
+        [&[Propose][..], &ask, &[CheckPolicy(0), CheckPolicy(1), Decide, Commit], &ask, &[Tick, Tick], &ask]
+            .concat();
+    let fleet = after(&actions);
+    let is_activated = |router: &Router| {
         router.lease.is_valid(at(fleet.now)) && generation(&fleet.log[..router.index], None, fleet.now) == 1
     };
-    assert!(fleet.routers.iter().all(holds), "{fleet:?}");
-    let peers = [Tick, AskPeer(0, 1), AskPeer(1, 0), AskPeer(2, 0)];
+    assert!(fleet.routers.iter().all(is_activated), "{fleet:?}");
+    let peers = [Tick, ConfirmByPeer(0, 1), ConfirmByPeer(1, 0), ConfirmByPeer(2, 0)];
     let fleet = after(&[&peers[..], &peers, &peers].concat());
     assert!(fleet.routers.iter().all(|router| router.lease.is_valid(at(fleet.now))), "{fleet:?}");
     let fleet = after(&[&peers[..], &peers, &peers, &peers].concat());
-    assert!(!fleet.routers.iter().any(|router| router.lease.is_valid(at(fleet.now))), "the hold-out is over");
+    assert!(!fleet.routers.iter().any(|router| router.lease.is_valid(at(fleet.now))), "the grace is over");
 }
 
-fn walks(play: Play, seed: u64, states: usize) -> impl Checker<Play> {
-    let checked = play.checker().threads(2).target_state_count(states).target_max_depth(48);
-    checked.finish_when(HasDiscoveries::AnyOf([BROKEN].into())).spawn_simulation(seed, UniformChooser).join()
+fn walks(protocol: Protocol, seed: u64, states: usize) -> impl Checker<Protocol> {
+    let checked = protocol.checker().threads(2).target_state_count(states).target_max_depth(48);
+    checked
+        .finish_when(HasDiscoveries::AnyOf([PROPERTY].into()))
+        .spawn_simulation(seed, UniformChooser)
+        .join()
 }
 
 #[test]
-fn each_rule_is_needed() {
-    let needed = |play: Play, what: &str| {
-        let found = walks(play, 7, 4_000_000).discovery(BROKEN).is_some();
-        assert!(found, "{what}");
+fn each_rule_is_necessary() {
+    let needed = |protocol: Protocol, rule: &str| {
+        let found = walks(protocol, 7, 4_000_000).discovery(PROPERTY).is_some();
+        assert!(found, "{rule}");
     };
-    needed(Play { ahead: false, ..WHOLE }, "a decision must lie a lease ahead");
-    needed(Play { quiet: false, ..WHOLE }, "no word while a decision is on its way");
-    needed(Play { open: false, ..WHOLE }, "nobody vouches while a change waits");
-    needed(Play { waits: false, ..WHOLE }, "the leader waits for more than half");
+    needed(Protocol { activates_ahead: false, ..COMPLETE }, "a decision must be activated a lease ahead");
+    needed(
+        Protocol { pauses_confirmations: false, ..COMPLETE },
+        "no confirmation while a decision is not committed",
+    );
+    needed(
+        Protocol { confirms_only_decided: false, ..COMPLETE },
+        "no confirmation of an index with an undecided change",
+    );
+    needed(Protocol { waits_for_silent: false, ..COMPLETE }, "the leader waits for silent majorities");
 }
--- a/crates/router/src/council.rs
+++ b/crates/router/src/council.rs
@@ -113,7 +113,9 @@
 fn answer(fleet: &Fleet, ask: Ask) -> std::result::Result<Value, String> {
     let propose = |proposal: Proposal| {
         let token = proposal.token;
-        fleet.tell(|node, now| node.submit(now, Command::Propose(proposal)))?;
+        fleet
+            .tell(|node, now| node.submit(now, Command::Propose(proposal)))
+            .map_err(|error| error.to_string())?;
         Ok(json!({"token": token}))
     };
     match ask {
@@ -142,6 +144,7 @@
             keys::check_change(&own, &policy, fleet.classes())?;
             fleet
                 .tell(|node, now| node.bootstrap(now, policy))
+                .map_err(|error| error.to_string())
                 .map(|number| json!({"fleet": format!("{number:016x}")}))
         }
         Ask::Propose { changes, from, by, note } => {
@@ -157,15 +160,20 @@
             let proposal = fleet.tell(|node, _| {
                 let generation = generation.unwrap_or(node.agreed().generation());
                 node.rollback_proposal(generation, &by, "undone by its operator")
-            })?;
+            });
+            let proposal = proposal.map_err(|error| error.to_string())?;
             propose(proposal)
         }
         Ask::Withdraw { generation } => {
-            fleet.tell(|node, now| node.submit(now, Command::Withdraw { generation }))?;
+            fleet
+                .tell(|node, now| node.submit(now, Command::Withdraw { generation }))
+                .map_err(|error| error.to_string())?;
             Ok(json!({}))
         }
         Ask::Forget { name } => {
-            fleet.tell(|node, now| node.submit(now, Command::Forget { name }))?;
+            fleet
+                .tell(|node, now| node.submit(now, Command::RemoveMember { name }))
+                .map_err(|error| error.to_string())?;
             Ok(json!({}))
         }
         Ask::Outcome { token } => Ok(fleet.tell(|node, _| match node.agreed().end_of(token) {
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -17,7 +17,7 @@
 use tindoor::settings::Settings;
 use tindoor::time::{Moment, Span};
 use tindoor_consensus::{
-    Action, Guards, Limits as Much, LocalIdentity, Node, Objection, Status, StorageWrite,
+    Action, Limits as Much, LocalIdentity, Node, Objection, SafetyChecks, Status, StorageWrite,
 };
 use tindoor_membership::{Incarnation, Timings};
 use tindoor_policy::budgets::{self, Budget};
@@ -221,21 +221,31 @@
             .with_context(|| format!("fleet.listen: {}", told.listen))?;
         let bound = listener.get_ref().local_addr().context("fleet.listen")?;
         let own = LocalIdentity {
-            start: Incarnation(start),
+            incarnation: Incarnation(start),
             name: place.name.clone(),
             address: told.address.unwrap_or(bound).to_string(),
             location: place.location,
             replica_id: told.votes.then_some(replica_id),
-            after: after.filter(|_| !by_name),
+            predecessor: after.filter(|_| !by_name),
         };
-        tracing::info!(front = "fleet", at = %bound, start = %own.start, replica_id = own.replica_id, "listening");
+        tracing::info!(front = "fleet", at = %bound, start = %own.incarnation, replica_id = own.replica_id, "listening");
         let clock = Clock::new();
-        let mut limits = Much { voters: told.voters, weight: told.weight, ..Much::default() };
+        let mut limits = Much { voters: told.voters, quota_weight: told.weight, ..Much::default() };
         limits.probation.lasts = Span::millis(told.probation_ms);
         let seeds = told.seeds.iter().map(SocketAddr::to_string).collect();
         let seed = getrandom::u64().context("a seed")?;
         let now = clock.now().0;
-        let node = Node::start(&told.name, own, terms, limits, guards, seeds, kept, seed, now);
+        let config = tindoor_consensus::NodeConfig {
+            fleet: told.name.clone(),
+            identity: own,
+            timings: terms,
+            limits,
+            checks: guards,
+            seeds,
+            stored: kept,
+            random_seed: seed,
+        };
+        let node = Node::start(config, now);
         let node = node.map_err(|what| anyhow!("fleet: {what}"))?;
         let every = Duration::from_micros(node.tick_interval().as_micros());
         let peers = Peers::new(Rc::clone(executor), place.limits, &told.name, &place.name);
@@ -295,19 +305,19 @@
         while !wants.is_empty() {
             for out in std::mem::take(&mut wants) {
                 match out {
-                    Action::Send { to, frame } => self.peers.send(&to, &frame),
-                    Action::StorageWrite(write) => drop(self.writes.try_send(write)),
-                    Action::Check(version) => {
+                    Action::Send { address: to, envelope: frame } => self.peers.send(&to, &frame),
+                    Action::Write(write) => drop(self.writes.try_send(write)),
+                    Action::CheckPolicy(version) => {
                         let objection = self.objection(&version);
                         match &objection {
-                            Some(Objection { why, lasts: true }) => {
+                            Some(Objection { reason: why, permanent: true }) => {
                                 tracing::error!(
                                     generation = version.generation,
                                     why,
                                     "can't go by that policy"
                                 );
                             }
-                            Some(Objection { why, .. }) => {
+                            Some(Objection { reason: why, .. }) => {
                                 tracing::warn!(
                                     generation = version.generation,
                                     why,
@@ -321,8 +331,8 @@
                         wants.extend(node.take_actions());
                     }
                     Action::Transition(step) => log(&step),
-                    Action::Leads(Some(term)) => tracing::info!(term, "fleet: leads the voters"),
-                    Action::Leads(None) => tracing::info!("fleet: no longer leads the voters"),
+                    Action::LeadershipChanged(Some(term)) => tracing::info!(term, "fleet: leads the voters"),
+                    Action::LeadershipChanged(None) => tracing::info!("fleet: no longer leads the voters"),
                 }
             }
         }
@@ -333,7 +343,7 @@
     fn objection(&self, version: &Version) -> Option<Objection> {
         let own = keys::from_settings(&self.settings, &self.classes);
         if let Err(why) = keys::check_change(&own, &version.policy, &self.classes) {
-            return Some(Objection { why, lasts: true });
+            return Some(Objection { reason: why, permanent: true });
         }
         let too_few = {
             let node = self.node.borrow();
@@ -344,7 +354,7 @@
         let most = version.policy.0.get("limit.open_views").copied();
         let below = most.filter(|most| (in_hand as f64) > *most);
         let below = below.map(|most| format!("limit.open_views: {most} is below the {in_hand} in hand"));
-        too_few.or(below).map(|why| Objection { why, lasts: false })
+        too_few.or(below).map(|why| Objection { reason: why, permanent: false })
     }
 
     /// The policy that a fleet founded here begins with: what this router was started with.
@@ -545,26 +555,26 @@
 }
 
 /// All guards stand. An experiment of the lab may name one to take out, in a build for tests only.
-fn guards() -> Result<(Guards, bool, bool, bool)> {
-    let mut guards = Guards::default();
+fn guards() -> Result<(SafetyChecks, bool, bool, bool)> {
+    let mut guards = SafetyChecks::default();
     let (mut by_name, mut unsynced, mut pinned) = (false, false, true);
     if cfg!(debug_assertions)
         && let Ok(without) = std::env::var("TINDOOR_WITHOUT")
     {
         match without.as_str() {
             "lease" => guards.lease = false,
-            "staged" => guards.staged = false,
-            "compare" => guards.compare = false,
+            "staged" => guards.staged_activation = false,
+            "compare" => guards.compare_generation = false,
             "incarnation" => by_name = true,
             "synced" => unsynced = true,
             "pinned" => pinned = false,
-            "lapse" => guards.shares.lapse = false,
-            "epoch" => guards.shares.epoch = false,
-            "returned" => guards.shares.returned = false,
-            "burst" => guards.shares.burst = false,
+            "lapse" => guards.quota.lapse = false,
+            "epoch" => guards.quota.epoch = false,
+            "returned" => guards.quota.returned = false,
+            "burst" => guards.quota.burst = false,
             // Its lease on the policy keeps one that wakes from spending as well: without either.
-            "wakes" => (guards.shares.wakes, guards.lease) = (false, false),
-            "floor" => guards.shares.floor = false,
+            "wakes" => (guards.quota.wakes, guards.lease) = (false, false),
+            "floor" => guards.quota.floor = false,
             _ => {}
         }
     }
--- a/crates/router/src/folder.rs
+++ b/crates/router/src/folder.rs
@@ -74,7 +74,11 @@
                 entries.push((index.value(), bytes.value().to_vec()));
             }
             ensure!(hard.is_some() || entries.is_empty() && snapshot.is_none(), "a log without its vote");
-            let kept = hard.map(|hard| StoredState { hard, snapshot: snapshot.unwrap_or_default(), entries });
+            let kept = hard.map(|hard| StoredState {
+                hard_state: hard,
+                snapshot: snapshot.unwrap_or_default(),
+                entries,
+            });
             Found { replica_id, before, kept }
         };
         writing.commit()?;
@@ -87,16 +91,16 @@
         {
             let mut facts = writing.open_table(FACTS)?;
             let mut log = writing.open_table(LOG)?;
-            if let Some(hard) = &write.hard {
+            if let Some(hard) = &write.hard_state {
                 facts.insert("hard", &hard[..])?;
             }
             if let Some(snapshot) = &write.snapshot {
                 facts.insert("snapshot", &snapshot[..])?;
-                if write.cut_before.is_none() {
+                if write.discard_before.is_none() {
                     log.retain(|_, _| false)?;
                 }
             }
-            if let Some(before) = write.cut_before {
+            if let Some(before) = write.discard_before {
                 log.retain_in(..before, |_, _| false)?;
             }
             if let Some(&(first, _)) = write.entries.first() {
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -11,7 +11,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use tindoor_consensus::Frame;
+use tindoor_consensus::Envelope;
 
 use crate::limits::{PeerLimits, Seldom, within};
 
@@ -74,7 +74,7 @@
     }
 
     /// Sends a frame, as far as there is room and somebody there.
-    pub fn send(self: &Rc<Self>, to: &str, frame: &Frame) {
+    pub fn send(self: &Rc<Self>, to: &str, frame: &Envelope) {
         let bytes = frame.to_bytes();
         if bytes.len() > self.limits.frame {
             tracing::error!(to, size = bytes.len(), "a message to a peer is too long, and dropped");
@@ -109,7 +109,7 @@
     pub async fn accept(
         self: Rc<Self>,
         listener: Async<TcpListener>,
-        heard: impl Fn(Frame) + Clone + 'static,
+        heard: impl Fn(Envelope) + Clone + 'static,
     ) {
         let open = Rc::new(Cell::new(0usize));
         loop {
@@ -173,7 +173,7 @@
 }
 
 /// Reads one connection, each frame whole before anything is done by it.
-async fn take(peers: &Peers, mut stream: Async<TcpStream>, heard: impl Fn(Frame)) -> io::Result<()> {
+async fn take(peers: &Peers, mut stream: Async<TcpStream>, heard: impl Fn(Envelope)) -> io::Result<()> {
     let limits = &peers.limits;
     let bad = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_string());
     let mut line = Vec::new();
@@ -203,6 +203,6 @@
         }
         let mut bytes = vec![0; length];
         within(limits.write, stream.read_exact(&mut bytes)).await?;
-        heard(Frame::read(&bytes).map_err(|_| bad("a frame is no message"))?);
+        heard(Envelope::from_bytes(&bytes).map_err(|_| bad("a frame is no message"))?);
     }
 }
--- a/crates/router/tests/unit/council.rs
+++ b/crates/router/tests/unit/council.rs
@@ -54,18 +54,18 @@
     let text = |text: &str| complete.then(|| text.to_string());
     json!(Status {
         name: "router-1".into(),
-        start: "0123456789abcdef".into(),
+        incarnation: "0123456789abcdef".into(),
         fleet: 0xfeed_f00d,
         index: 1000,
         generation: 300,
         hash: "0011223344556677".into(),
-        out,
-        lease_left_ms: 900,
-        routers: 3,
+        unavailable: out,
+        lease_remaining_ms: 900,
+        members: 3,
         voters: vec!["router-1".into(), "router-2".into()],
         leader: text("router-2"),
         clock_bound_us: complete.then_some(1500),
-        under_way: text("generation 301"),
+        staged_change: text("generation 301"),
         on_probation: complete.then_some(300),
     })
 }
@@ -78,10 +78,10 @@
 fn answers() -> Vec<(&'static str, Value)> {
     vec![
         ("answer-status", status(None, true)),
-        ("answer-status-not-a-member", status(Some(UnavailableReason::NotListed), false)),
-        ("answer-status-lease-expired", status(Some(UnavailableReason::NoLease), false)),
-        ("answer-status-clock-unsynchronized", status(Some(UnavailableReason::NoTime), false)),
-        ("answer-status-policy-not-applicable", status(Some(UnavailableReason::Unfit), false)),
+        ("answer-status-not-a-member", status(Some(UnavailableReason::NotAMember), false)),
+        ("answer-status-lease-expired", status(Some(UnavailableReason::LeaseExpired), false)),
+        ("answer-status-clock-unsynchronized", status(Some(UnavailableReason::ClockUncertain), false)),
+        ("answer-status-policy-not-applicable", status(Some(UnavailableReason::PolicyNotApplicable), false)),
         ("answer-outcome-rejected", outcome(None, None, ProposalOutcome::Refused("under way".into()))),
         ("answer-outcome-aborted", outcome(Some(300), None, ProposalOutcome::CalledOff("withdrawn".into()))),
         ("answer-outcome-activated", outcome(Some(300), None, ProposalOutcome::TookHold)),
--- a/crates/router/tests/unit/folder.rs
+++ b/crates/router/tests/unit/folder.rs
@@ -3,7 +3,7 @@
 fn write(number: u64, first: u64) -> StorageWrite {
     let entry = |index: u64| (index, vec![index as u8; 200]);
     let entries = (first..first + 3).map(entry).collect();
-    StorageWrite { number, hard: Some(vec![number as u8]), entries, ..StorageWrite::default() }
+    StorageWrite { number, hard_state: Some(vec![number as u8]), entries, ..StorageWrite::default() }
 }
 
 /// A disk that stops at one operation by its number: what was synced lasts, of what was written since then each
@@ -107,7 +107,7 @@
             let disk = disk.after(lot);
             let found = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| open(&disk, 8, 101)));
             let Ok(Ok((_, found))) = found else { continue };
-            let vote = found.kept.as_ref().map_or(0, |kept| u64::from(kept.hard[0]));
+            let vote = found.kept.as_ref().map_or(0, |kept| u64::from(kept.hard_state[0]));
             let whole = vote == told || vote == told + 1;
             assert!(
                 whole || found.replica_id == 8,
@@ -143,9 +143,9 @@
     let (open, found) = Folder::open(&path, 8, 101).unwrap();
     assert_eq!((found.replica_id, found.before), (7, Some(100)));
     let kept = found.kept.unwrap();
-    assert_eq!(kept.hard, [2]);
+    assert_eq!(kept.hard_state, [2]);
     assert_eq!(kept.entries.iter().map(|(index, _)| *index).collect::<Vec<_>>(), [2, 3, 4, 5, 6]);
-    let fold = StorageWrite { snapshot: Some(vec![9]), cut_before: Some(5), ..StorageWrite::default() };
+    let fold = StorageWrite { snapshot: Some(vec![9]), discard_before: Some(5), ..StorageWrite::default() };
     open.write(&fold).unwrap();
     drop(open);
     let kept = Folder::open(&path, 8, 102).unwrap().1.kept.unwrap();
@@ -176,7 +176,7 @@
         std::fs::write(path.join("seat.redb"), &bytes).unwrap();
         let (_, found) = Folder::open(&path, 8, 101).unwrap();
         match found.kept {
-            Some(kept) => assert_eq!((found.replica_id, kept.hard), (7, vec![5]), "case {nth}"),
+            Some(kept) => assert_eq!((found.replica_id, kept.hard_state), (7, vec![5]), "case {nth}"),
             None => assert_eq!(found.replica_id, 8, "case {nth}: a seat whose vote is lost is another seat"),
         }
     }
@@ -194,7 +194,7 @@
     let read = |name: &str| std::fs::read(directory.join(format!("replica-with-log-{name}.bin"))).unwrap();
     let entry = |index: u64| (index, vec![index as u8; 5]);
     let entries = [2, 3, 255, 256, 0x0102_0304_0506].map(entry).to_vec();
-    StoredState { hard: read("hard-state"), snapshot: read("snapshot"), entries }
+    StoredState { hard_state: read("hard-state"), snapshot: read("snapshot"), entries }
 }
 
 /// The database file of a replica is opened, and the seat, the process before, the hard state, the snapshot and the
@@ -224,9 +224,9 @@
 fn record_replica_storage() {
     let path = folder("record");
     let (open, _) = Folder::open(&path, 0x0123_4567_89ab_cdef, 0xfedc_ba98_7654_3210).unwrap();
-    let StoredState { hard, snapshot, entries } = recorded_replica();
+    let StoredState { hard_state: hard, snapshot, entries } = recorded_replica();
     let write =
-        StorageWrite { hard: Some(hard), snapshot: Some(snapshot), entries, ..StorageWrite::default() };
+        StorageWrite { hard_state: Some(hard), snapshot: Some(snapshot), entries, ..StorageWrite::default() };
     open.write(&write).unwrap();
     drop(open);
     // As small as the library makes it: a new file is mostly free space.
--- a/crates/testbed/src/simulated.rs
+++ b/crates/testbed/src/simulated.rs
@@ -7,7 +7,7 @@
 use anyhow::{Result, bail, ensure};
 use serde_json::{Value, json};
 use tindoor::time::Span;
-use tindoor_consensus::Guards;
+use tindoor_consensus::SafetyChecks;
 
 use crate::figures::Figures;
 use crate::ways::{self, Way};
@@ -45,12 +45,12 @@
     first.lasts = Span::secs(plan.seconds as f64);
     (first.budget, first.shown) = (plan.budget, plan.shown);
     first.guards = match plan.without.as_deref() {
-        None => Guards::default(),
-        Some("lease") => Guards { lease: false, ..Guards::default() },
-        Some("staged") => Guards { staged: false, ..Guards::default() },
-        Some("compare") => Guards { compare: false, ..Guards::default() },
+        None => SafetyChecks::default(),
+        Some("lease") => SafetyChecks { lease: false, ..SafetyChecks::default() },
+        Some("staged") => SafetyChecks { staged_activation: false, ..SafetyChecks::default() },
+        Some("compare") => SafetyChecks { compare_generation: false, ..SafetyChecks::default() },
         Some(guard) if plan.budget.is_some() => {
-            Guards { shares: guard_of_shares(guard)?, ..Guards::default() }
+            SafetyChecks { quota: guard_of_shares(guard)?, ..SafetyChecks::default() }
         }
         Some(other) => bail!("no such guard: {other}"),
     };
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -9,8 +9,8 @@
 use rand_pcg::Pcg64Mcg;
 use tindoor::time::{Moment, Span};
 use tindoor_consensus::{
-    Action, Command, Frame, Guards, Limits, LocalIdentity, Node, Objection, StorageWrite, StoredState,
-    UnavailableReason,
+    Action, Command, Envelope, Limits, LocalIdentity, Node, NodeConfig, Objection, SafetyChecks,
+    StorageWrite, StoredState, UnavailableReason,
 };
 use tindoor_membership::{Incarnation, Member, MemberList, Timings};
 use tindoor_policy::budgets::Budget;
@@ -26,7 +26,7 @@
     pub lasts: Span,
     pub faults: Vec<String>,
     pub terms: Timings,
-    pub guards: Guards,
+    pub guards: SafetyChecks,
     /// From one proposal to the next.
     pub proposals: Span,
     /// From one request of a router to its next.
@@ -69,7 +69,7 @@
             lasts: Span::secs(25.0),
             faults: Vec::new(),
             terms,
-            guards: Guards::default(),
+            guards: SafetyChecks::default(),
             proposals: Span::secs(2.5),
             requests: Span::millis(20),
             latency: [Span::micros(200), Span::millis(3)],
@@ -186,7 +186,7 @@
     paused: bool,
     /// When its disk has done what it was given.
     disk: u64,
-    held_back: Vec<Frame>,
+    held_back: Vec<Envelope>,
     /// Counts process starts, so that what was for an earlier one is dropped.
     life: u64,
     /// How many times as many requests come to it as usual.
@@ -207,7 +207,7 @@
     },
     Message {
         to: usize,
-        frame: Box<Frame>,
+        frame: Box<Envelope>,
     },
     Wrote {
         machine: usize,
@@ -409,21 +409,23 @@
         machine.life += 1;
         machine.paused = false;
         machine.held_back.clear();
-        let own = LocalIdentity {
-            start: start_of(no, machine.starts),
+        let identity = LocalIdentity {
+            incarnation: start_of(no, machine.starts),
             name: machine.name.clone(),
             address: machine.address.clone(),
             location: machine.location,
             replica_id: machine.seat,
-            after: None,
+            predecessor: None,
         };
-        let kept = machine.folder.clone().filter(|kept| *kept != StoredState::default());
+        let stored = machine.folder.clone().filter(|kept| *kept != StoredState::default());
         // So that a change can follow the one before it within the day.
         let mut limits = Limits::default();
         limits.probation.lasts = Span::millis(500);
-        let Day { terms, guards, .. } = self.day;
-        let node = Node::start("lab", own, terms, limits, guards, seeds, kept, seed, now);
-        machine.node = Some(node.expect("what was written fits together"));
+        let Day { terms: timings, guards: checks, .. } = self.day;
+        let fleet = "lab".to_string();
+        let config =
+            NodeConfig { fleet, identity, timings, limits, checks, seeds, stored, random_seed: seed };
+        machine.node = Some(Node::start(config, now).expect("what was written fits together"));
         let (life, requests) = (machine.life, self.day.requests.as_micros());
         let jitter = self.chance.random_range(1..40_000);
         self.at(self.now + jitter, Event::Tick { machine: no, life });
@@ -439,25 +441,25 @@
         let Some(node) = self.machines[no].node.as_mut() else { return };
         for out in node.take_actions() {
             match out {
-                Action::Send { to, frame } => self.post(no, &to, frame),
-                Action::StorageWrite(write) => {
+                Action::Send { address: to, envelope: frame } => self.post(no, &to, frame),
+                Action::Write(write) => {
                     let life = self.machines[no].life;
                     let takes = self.chance.random_range(500..4_000);
                     let done = self.now.max(self.machines[no].disk) + takes;
                     self.machines[no].disk = done;
                     self.at(done, Event::Wrote { machine: no, life, write: Box::new(write) });
                 }
-                Action::Check(version) => {
+                Action::CheckPolicy(version) => {
                     let bad = version.policy.0.contains_key("bad") && no == self.day.routers - 1;
                     let objection = bad.then(|| Objection {
-                        why: "an offering would have no cache".to_string(),
-                        lasts: true,
+                        reason: "an offering would have no cache".to_string(),
+                        permanent: true,
                     });
                     let now = self.local(no);
                     let node = self.machines[no].node.as_mut().expect("it wanted this");
                     node.policy_checked(now, version.generation, objection);
                 }
-                Action::Leads(term) => self.show(no, &("leads", term)),
+                Action::LeadershipChanged(term) => self.show(no, &("leads", term)),
                 Action::Transition(step) => {
                     self.show(no, &step);
                     self.machines[no].unlisted += u64::from(matches!(step, Transition::Removed(_)));
@@ -475,7 +477,7 @@
         }
     }
 
-    fn post(&mut self, from: usize, to: &str, frame: Frame) {
+    fn post(&mut self, from: usize, to: &str, frame: Envelope) {
         let Some(&to) = self.by_address.get(to) else { return };
         self.came.messages += 1;
         if self.day.routers <= 64 || self.came.messages.is_multiple_of(64) {
@@ -950,7 +952,7 @@
             if out != Some(None) {
                 let status = self.machines[no].node.as_mut().map(|node| node.status(now));
                 self.show(no, &("out at the end", out, status));
-                let unfit = out == Some(Some(UnavailableReason::Unfit));
+                let unfit = out == Some(Some(UnavailableReason::PolicyNotApplicable));
                 *if unfit { &mut self.came.unfit_at_end } else { &mut self.came.out_at_end } += 1;
             }
         }
@@ -999,9 +1001,9 @@
 
 /// What a folder holds after a write.
 fn keep(folder: &mut StoredState, write: StorageWrite) {
-    let StorageWrite { hard, snapshot, entries, cut_before, .. } = write;
+    let StorageWrite { hard_state: hard, snapshot, entries, discard_before: cut_before, .. } = write;
     if let Some(hard) = hard {
-        folder.hard = hard;
+        folder.hard_state = hard;
     }
     if let Some(snapshot) = snapshot {
         folder.snapshot = snapshot;
