--- a/crates/router/src/clients.rs
+++ b/crates/router/src/clients.rs
@@ -80,8 +80,8 @@
     let frame = if size <= router.limits.small_frame { Bytes::copy_from_slice(&frame) } else { frame };
     match tindoor_thrift::parse(frame) {
         Ok(Message::Health { seq }) => {
-            let good =
-                router.stopping.get().is_none() && router.fleet.as_ref().is_none_or(|fleet| fleet.is_good());
+            let good = router.stopping.get().is_none()
+                && router.fleet.as_ref().is_none_or(|fleet| fleet.is_available());
             client.send(tindoor_thrift::answer("health", seq, Bytes::new(), &[], good), None);
         }
         Ok(Message::Cancel { seq }) => {
--- a/crates/router/src/council.rs
+++ b/crates/router/src/council.rs
@@ -114,41 +114,42 @@
     let propose = |proposal: Proposal| {
         let token = proposal.token;
         fleet
-            .tell(|node, now| node.submit(now, Command::Propose(proposal)))
+            .with_node(|node, now| node.submit(now, Command::Propose(proposal)))
             .map_err(|error| error.to_string())?;
         Ok(json!({"token": token}))
     };
     match ask {
         Ask::Status => {
-            let (status, [bytes, frames]) = fleet.status();
-            let mut value = serde_json::to_value(status).map_err(|what| what.to_string())?;
-            value["sent"] = json!({"bytes": bytes, "messages": frames});
+            let status = fleet.status();
+            let mut value = serde_json::to_value(status.node).map_err(|what| what.to_string())?;
+            value["sent"] = json!({"bytes": status.sent.bytes, "messages": status.sent.messages});
             Ok(value)
         }
-        Ask::Policy => fleet.tell(|node, _| {
+        Ask::Policy => fleet.with_node(|node, _| {
             let version = node.in_force().ok_or("no fleet is founded yet")?;
             Ok(json!({"generation": version.generation, "hash": version.hash, "policy": version.policy.0}))
         }),
         Ask::History => {
-            let past: Vec<PastProposal> = fleet.tell(|node, _| node.agreed().past.iter().cloned().collect());
+            let past: Vec<PastProposal> =
+                fleet.with_node(|node, _| node.agreed().past.iter().cloned().collect());
             Ok(json!(past))
         }
         Ask::Shares => {
             let units = |share: Quota| json!({"per_s": share.rate as f64 / UNIT as f64, "stock": share.burst as f64 / UNIT as f64});
             let line = |(line, own, whole): (BudgetKey, Quota, Quota)| json!({"budget": Budget::name(line), "of": format!("{:x}", line.of), "own": units(own), "whole": units(whole)});
-            Ok(Value::Array(fleet.lines().into_iter().map(line).collect()))
+            Ok(Value::Array(fleet.quotas().into_iter().map(line).collect()))
         }
         Ask::Found { like } => {
-            let own = fleet.first_policy();
+            let own = fleet.initial_policy();
             let policy = own.changed(like);
             keys::check_change(&own, &policy, fleet.classes())?;
             fleet
-                .tell(|node, now| node.bootstrap(now, policy))
+                .with_node(|node, now| node.bootstrap(now, policy))
                 .map_err(|error| error.to_string())
                 .map(|number| json!({"fleet": format!("{number:016x}")}))
         }
         Ask::Propose { changes, from, by, note } => {
-            let (token, in_force) = fleet.tell(|node, _| (node.new_token(), node.in_force().cloned()));
+            let (token, in_force) = fleet.with_node(|node, _| (node.new_token(), node.in_force().cloned()));
             let in_force = in_force.ok_or("no fleet is founded yet")?;
             let policy = in_force.policy.changed(changes);
             // What can't be right anywhere is said at once; the rest is for all routers to say.
@@ -157,7 +158,7 @@
             propose(Proposal { token, made_from, policy, undoes: None, by, note })
         }
         Ask::Undo { generation, by } => {
-            let proposal = fleet.tell(|node, _| {
+            let proposal = fleet.with_node(|node, _| {
                 let generation = generation.unwrap_or(node.agreed().generation());
                 node.rollback_proposal(generation, &by, "undone by its operator")
             });
@@ -166,17 +167,17 @@
         }
         Ask::Withdraw { generation } => {
             fleet
-                .tell(|node, now| node.submit(now, Command::Withdraw { generation }))
+                .with_node(|node, now| node.submit(now, Command::Withdraw { generation }))
                 .map_err(|error| error.to_string())?;
             Ok(json!({}))
         }
         Ask::Forget { name } => {
             fleet
-                .tell(|node, now| node.submit(now, Command::RemoveMember { name }))
+                .with_node(|node, now| node.submit(now, Command::RemoveMember { name }))
                 .map_err(|error| error.to_string())?;
             Ok(json!({}))
         }
-        Ask::Outcome { token } => Ok(fleet.tell(|node, _| match node.agreed().end_of(token) {
+        Ask::Outcome { token } => Ok(fleet.with_node(|node, _| match node.agreed().end_of(token) {
             Some(past) => json!(past),
             None => Value::Null,
         })),
--- /dev/null
+++ b/crates/router/src/fleet/admission.rs
@@ -0,0 +1,170 @@
+//! The admission gate of the routing engine: requests are admitted by the lease, the policy and the quota of this
+//! router.
+
+use std::time::Duration;
+
+use tindoor::host::{Outcome, QuotaCharge};
+use tindoor::settings::Settings;
+use tindoor::time::{Moment, Span};
+use tindoor_policy::budgets::{self, Budget};
+use tindoor_policy::{Count, Version, keys};
+use tindoor_quota::{BudgetKey, Participant, Quota, RetryBudget};
+use tindoor_request_runtime::{AdmissionGate, FillCharge};
+
+use super::Fleet;
+use super::runtime::ExitOnPanic;
+
+/// The policy's key of how many requests may be open.
+pub(super) const MAX_OPEN_REQUESTS_KEY: &str = "limit.open_views";
+
+/// Generations whose latency objectives are kept: requests in flight may be of a few generations back. Outcomes of
+/// older ones are not counted.
+const KEPT_OBJECTIVES: usize = 8;
+
+/// The latency objectives of one generation, by request class.
+pub(super) struct LatencyObjectives {
+    generation: u64,
+    by_class: Vec<Duration>,
+}
+
+/// The policy's key of a class's latency objective.
+fn latency_objective_key(class: &str) -> String {
+    format!("offering.{class}.latency_goal_ms")
+}
+
+impl Fleet {
+    /// The settings of the routing engine under that policy.
+    fn adopt(&self, version: &Version) -> Option<Settings> {
+        let policy = &version.policy;
+        let mut settings = keys::apply_to_settings(policy, &self.settings, &self.classes).ok()?;
+        if !self.checks.pinned_settings {
+            settings.attempts.settings_unpinned = true;
+        }
+        self.keep_latency_objectives(version);
+        // Without a value, as after a rollback, the limit is the one that the router was started with.
+        let limit = policy.0.get(MAX_OPEN_REQUESTS_KEY).map(|limit| *limit as usize);
+        self.open_requests_limit.set(limit.unwrap_or(self.started_open_requests_limit));
+        let known = self.retry_budget.get();
+        let per_success = budgets::per_success(policy);
+        self.retry_budget
+            .set(per_success.map(|each| known.map_or(RetryBudget::new(each), |known| known.by(each))));
+        self.adopted_generation.set(version.generation);
+        Some(settings)
+    }
+
+    fn keep_latency_objectives(&self, version: &Version) {
+        let objective = |class: &String| {
+            let ms = version.policy.0.get(&latency_objective_key(class));
+            Duration::from_micros((ms.copied().unwrap_or_default() * 1000.0) as u64)
+        };
+        let by_class = self.classes.iter().map(objective).collect();
+        let mut objectives = self.latency_objectives.borrow_mut();
+        objectives.push(LatencyObjectives { generation: version.generation, by_class });
+        if objectives.len() > KEPT_OBJECTIVES {
+            objectives.remove(0);
+        }
+    }
+
+    /// Uses this router's quota at the current time.
+    fn with_quota<T>(&self, operation: impl FnOnce(&mut Participant, Moment) -> T) -> T {
+        let _exit = ExitOnPanic;
+        let mut node = self.node.borrow_mut();
+        let (now, has_jumped) = self.clock.now();
+        if has_jumped {
+            node.clock_jumped(now);
+        }
+        operation(node.quota(), now)
+    }
+
+    /// Charges a new connection to that cache; false where the quota does not allow it.
+    pub fn charge_connection(&self, cache: &str) -> bool {
+        let key = Budget::Connections.of(budgets::number(cache));
+        self.with_quota(|participant, now| participant.spend(now, &[key]))
+    }
+
+    /// Each budget that is known here: what this router may spend of it, and the whole fleet.
+    pub fn quotas(&self) -> Vec<(BudgetKey, Quota, Quota)> {
+        self.with_quota(|participant, now| participant.shares(now))
+    }
+}
+
+impl AdmissionGate for Fleet {
+    fn renews(&self) -> Result<Option<Settings>, Span> {
+        let _exit = ExitOnPanic;
+        let mut node = self.node.borrow_mut();
+        let (now, has_jumped) = self.clock.now();
+        if has_jumped {
+            node.clock_jumped(now);
+        }
+        match node.active_policy(now) {
+            Ok(version) if version.generation == self.adopted_generation.get() => Ok(None),
+            Ok(version) => Ok(self.adopt(version)),
+            Err(_) => Err(self.retry_after),
+        }
+    }
+
+    fn most_in_hand(&self) -> usize {
+        self.open_requests_limit.get()
+    }
+
+    fn admits(&self, account: u64) -> Result<u64, Span> {
+        // One account's flood is rejected before it costs others anything.
+        let key = Budget::Accounts.of(account);
+        match self.with_quota(|participant, now| participant.spend(now, &[key])) {
+            true => Ok(self.adopted_generation.get()),
+            false => Err(self.retry_after),
+        }
+    }
+
+    fn ended(&self, generation: u64, class: u16, done: bool, took: Duration) {
+        if done {
+            self.retry_budget.set(self.retry_budget.get().map(RetryBudget::filled));
+        }
+        let objectives = self.latency_objectives.borrow();
+        let objectives = objectives.iter().find(|objectives| objectives.generation == generation);
+        let objective = objectives.and_then(|objectives| objectives.by_class.get(class as usize));
+        let Some(objective) = objective else { return };
+        let count = Count { requests: 1, good: u64::from(done && took <= *objective) };
+        self.node.borrow_mut().record_outcomes(generation, class, count);
+    }
+
+    fn can_afford_fill(&self, class: u16) -> bool {
+        let keys = self.budget_scope.fills(class);
+        self.with_quota(|participant, now| participant.affords(now, &keys))
+    }
+
+    fn charge_quota(&self, charge: &QuotaCharge) -> Option<FillCharge> {
+        let retry_budget = self.retry_budget.get();
+        if charge.further && retry_budget.is_some_and(|budget| !budget.affords()) {
+            return None;
+        }
+        let (keys, count) = self.budget_scope.draws(charge);
+        let at = self.with_quota(|participant, now| {
+            // An attempt that is sent without a fill, as none can be afforded, still demands one.
+            let fills = self.budget_scope.fills(charge.class);
+            if !charge.fills && !charge.further && !participant.affords(now, &fills) {
+                participant.refused(now, &fills);
+            }
+            participant.spend(now, &keys[..count]).then_some(now)
+        })?;
+        if charge.further {
+            self.retry_budget.set(retry_budget.map(RetryBudget::spent));
+        }
+        Some(FillCharge { at, class: charge.class, fills: charge.fills })
+    }
+
+    fn settle(&self, charge: FillCharge, outcome: Outcome) {
+        let keys = self.budget_scope.fills(charge.class);
+        // The last key is of fills in flight, the others are of rates.
+        let in_flight = &keys[keys.len() - 1..];
+        self.with_quota(|participant, now| {
+            participant.settled(now, charge.at, &keys, self.budget_scope.by_origin(outcome));
+            participant.ended(charge.at, in_flight);
+        });
+    }
+
+    fn slow_start_share(&self, stable: u64, parent: bool) -> Option<f64> {
+        let budget = if parent { Budget::ColdParents } else { Budget::ColdCaches };
+        self.with_quota(|participant, now| participant.part(now, budget.of(stable)))
+    }
+}
--- /dev/null
+++ b/crates/router/src/fleet/mod.rs
@@ -0,0 +1,15 @@
+//! This router as a member of a fleet: its consensus node with a clock, stable storage, connections to its peers, and
+//! the routing engine that goes by the fleet's policy. What is decided here is decided by the node.
+
+mod admission;
+mod clock;
+mod configuration;
+mod disabled_checks;
+mod peers;
+mod policy_objections;
+mod replica_storage;
+mod runtime;
+mod transitions;
+
+pub use configuration::FleetConfiguration;
+pub use runtime::{Fleet, LocalRouter};
--- /dev/null
+++ b/crates/router/src/fleet/peers.rs
@@ -0,0 +1,264 @@
+//! Carries messages between the routers of a fleet: one connection for each pair and direction, with frames of bounded
+//! length and bounded queues. A message may be lost; whoever needs a response asks again.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, VecDeque};
+use std::io;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::task::{Poll, Waker};
+
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
+use tindoor_consensus::Envelope;
+
+use crate::limits::{PeerLimits, Seldom, within};
+
+/// What the first line on each connection begins with. The names of the fleet and of the sender follow.
+const PREFACE: &str = "tindoor-membership 1";
+
+/// How often the idle timeout may pass on an accepted connection before it is closed.
+const ACCEPTED_IDLE_TIMEOUTS: u32 = 2;
+
+/// Frames that wait for one peer.
+#[derive(Default)]
+struct SendQueue {
+    frames: RefCell<VecDeque<Vec<u8>>>,
+    sender: Cell<Option<Waker>>,
+}
+
+impl SendQueue {
+    /// Appends a frame. If the queue is full, the oldest is dropped: it tells of the past.
+    fn push(&self, frame: Vec<u8>, capacity: usize) {
+        let mut frames = self.frames.borrow_mut();
+        if frames.len() >= capacity {
+            frames.pop_front();
+        }
+        frames.push_back(frame);
+        if let Some(sender) = self.sender.take() {
+            sender.wake();
+        }
+    }
+
+    fn clear(&self) {
+        self.frames.borrow_mut().clear();
+    }
+
+    async fn pop(&self) -> Vec<u8> {
+        future::poll_fn(|context| match self.frames.borrow_mut().pop_front() {
+            Some(frame) => Poll::Ready(frame),
+            None => {
+                self.sender.set(Some(context.waker().clone()));
+                Poll::Pending
+            }
+        })
+        .await
+    }
+}
+
+/// What was sent to peers.
+#[derive(Clone, Copy, Default)]
+pub struct SentTraffic {
+    /// Bytes of messages.
+    pub bytes: u64,
+    /// Messages.
+    pub messages: u64,
+}
+
+/// The connections to all peers.
+pub(super) struct Peers {
+    executor: Rc<LocalExecutor<'static>>,
+    limits: PeerLimits,
+    preface: String,
+    queues: RefCell<HashMap<String, Rc<SendQueue>>>,
+    sent: Cell<SentTraffic>,
+    unreadable: Seldom,
+}
+
+impl Peers {
+    pub fn new(
+        executor: Rc<LocalExecutor<'static>>,
+        limits: PeerLimits,
+        fleet: &str,
+        name: &str,
+    ) -> Rc<Self> {
+        Rc::new(Self {
+            executor,
+            limits,
+            preface: format!("{PREFACE} {fleet} {name}\n"),
+            queues: RefCell::default(),
+            sent: Cell::default(),
+            unreadable: Seldom::default(),
+        })
+    }
+
+    /// What was sent so far.
+    pub fn sent(&self) -> SentTraffic {
+        self.sent.get()
+    }
+
+    /// Queues a message for a peer. It is dropped if it is too long, or if there is no connection for it.
+    pub fn send(self: &Rc<Self>, address: &str, envelope: &Envelope) {
+        let bytes = envelope.to_bytes();
+        if bytes.len() > self.limits.frame {
+            tracing::error!(address, size = bytes.len(), "a message to a peer is too long, and dropped");
+            return;
+        }
+        let sent = self.sent.get();
+        self.sent.set(SentTraffic { bytes: sent.bytes + bytes.len() as u64, messages: sent.messages + 1 });
+        let known = self.queues.borrow().get(address).cloned();
+        if let Some(queue) = known.or_else(|| self.open_queue(address)) {
+            queue.push(bytes, self.limits.queue);
+        }
+    }
+
+    /// Opens the queue to a peer, with a task that sends. None where the address is invalid, or where there are as many
+    /// connections as are allowed: each holds a descriptor.
+    fn open_queue(self: &Rc<Self>, address: &str) -> Option<Rc<SendQueue>> {
+        let socket_address: SocketAddr = address.parse().ok()?;
+        if self.queues.borrow().len() >= self.limits.connections {
+            return None;
+        }
+        let queue = Rc::<SendQueue>::default();
+        self.queues.borrow_mut().insert(address.to_string(), Rc::clone(&queue));
+        let (peers, key, sending) = (Rc::clone(self), address.to_string(), Rc::clone(&queue));
+        let task = async move {
+            peers.send_queued(socket_address, &sending).await;
+            peers.queues.borrow_mut().remove(&key);
+        };
+        self.executor.spawn(task).detach();
+        Some(queue)
+    }
+
+    /// Sends what is queued for one peer, until nothing was for the idle timeout.
+    async fn send_queued(&self, address: SocketAddr, queue: &SendQueue) {
+        let mut stream: Option<Async<TcpStream>> = None;
+        while let Some(frame) = self.next_frame(queue).await {
+            if stream.is_none() {
+                stream = self.connect(address).await;
+            }
+            let Some(open) = &mut stream else {
+                // What is queued was for that moment. It is requested again, after a pause.
+                queue.clear();
+                Timer::after(self.limits.pause).await;
+                continue;
+            };
+            let length = (frame.len() as u32).to_be_bytes();
+            let bytes = [&length[..], &frame].concat();
+            if within(self.limits.write, open.write_all(&bytes)).await.is_err() {
+                stream = None;
+            }
+        }
+    }
+
+    async fn next_frame(&self, queue: &SendQueue) -> Option<Vec<u8>> {
+        let next = async { Some(queue.pop().await) };
+        let idle = async {
+            Timer::after(self.limits.idle).await;
+            None
+        };
+        future::or(next, idle).await
+    }
+
+    async fn connect(&self, address: SocketAddr) -> Option<Async<TcpStream>> {
+        let mut stream = match within(self.limits.connect, Async::<TcpStream>::connect(address)).await {
+            Ok(stream) => stream,
+            Err(error) => {
+                tracing::debug!(%address, %error, "a peer can't be reached");
+                return None;
+            }
+        };
+        let _ = stream.get_ref().set_nodelay(true);
+        let written = within(self.limits.write, stream.write_all(self.preface.as_bytes())).await;
+        written.ok().map(|()| stream)
+    }
+
+    /// Accepts connections of peers for as long as the router runs; each message is passed to `receive`.
+    pub async fn accept(
+        self: Rc<Self>,
+        listener: Async<TcpListener>,
+        receive: impl Fn(Envelope) + Clone + 'static,
+    ) {
+        let open = Rc::new(Cell::new(0usize));
+        loop {
+            future::yield_now().await;
+            let stream = match listener.accept().await {
+                Ok((stream, _)) if open.get() < self.limits.connections => stream,
+                _ => {
+                    Timer::after(self.limits.pause).await;
+                    continue;
+                }
+            };
+            open.set(open.get() + 1);
+            let (peers, receive, open) = (Rc::clone(&self), receive.clone(), Rc::clone(&open));
+            let task = async move {
+                if let Err(error) = peers.read_connection(stream, receive).await {
+                    peers.log_unreadable(&error);
+                }
+                open.set(open.get() - 1);
+            };
+            self.executor.spawn(task).detach();
+        }
+    }
+
+    fn log_unreadable(&self, error: &io::Error) {
+        if error.kind() == io::ErrorKind::InvalidData
+            && let Some(times) = self.unreadable.told()
+        {
+            tracing::warn!(%error, times, "a peer's connection is closed: it can't be read");
+        }
+    }
+
+    /// Reads one connection. Each message is read completely before it is passed on.
+    async fn read_connection(
+        &self,
+        mut stream: Async<TcpStream>,
+        receive: impl Fn(Envelope),
+    ) -> io::Result<()> {
+        let limits = &self.limits;
+        self.check_preface(&mut stream).await?;
+        let mut length = [0; 4];
+        loop {
+            // A peer that sends without end is not preferred to others.
+            future::yield_now().await;
+            within(limits.idle * ACCEPTED_IDLE_TIMEOUTS, stream.read_exact(&mut length)).await?;
+            let length = u32::from_be_bytes(length) as usize;
+            if length > limits.frame {
+                return Err(invalid_data("a frame is too long"));
+            }
+            let mut bytes = vec![0; length];
+            within(limits.write, stream.read_exact(&mut bytes)).await?;
+            receive(Envelope::from_bytes(&bytes).map_err(|_| invalid_data("a frame is no message"))?);
+        }
+    }
+
+    /// Reads the preface, and compares protocol version and fleet with the own ones.
+    async fn check_preface(&self, stream: &mut Async<TcpStream>) -> io::Result<()> {
+        let mut line = Vec::new();
+        let read = async {
+            let mut byte = [0];
+            while line.last() != Some(&b'\n') && line.len() < self.limits.hello {
+                stream.read_exact(&mut byte).await?;
+                line.extend(byte);
+            }
+            Ok(())
+        };
+        within(self.limits.write, read).await?;
+        let line = String::from_utf8_lossy(&line);
+        if without_sender(&line) == without_sender(&self.preface) {
+            Ok(())
+        } else {
+            Err(invalid_data("it is of another fleet, or speaks another form"))
+        }
+    }
+}
+
+/// A preface without the sender's name.
+fn without_sender(preface: &str) -> &str {
+    preface.rsplit_once(' ').map_or("", |(rest, _)| rest)
+}
+
+fn invalid_data(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason)
+}
--- /dev/null
+++ b/crates/router/src/fleet/policy_objections.rs
@@ -0,0 +1,45 @@
+//! Why this router can't apply a policy.
+
+use tindoor_consensus::Objection;
+use tindoor_policy::{Version, budgets, keys};
+
+use super::Fleet;
+use super::admission::MAX_OPEN_REQUESTS_KEY;
+
+impl Fleet {
+    /// Checks whether this router can apply a policy, and logs why it can't.
+    pub(super) fn check_policy(&self, version: &Version) -> Option<Objection> {
+        let objection = self.objection_to(version);
+        let generation = version.generation;
+        if let Some(Objection { reason, permanent }) = &objection {
+            if *permanent {
+                tracing::error!(generation, reason, "can't go by that policy");
+            } else {
+                tracing::warn!(generation, reason, "speaks against that policy");
+            }
+        }
+        objection
+    }
+
+    fn objection_to(&self, version: &Version) -> Option<Objection> {
+        let started_with = self.initial_policy();
+        if let Err(reason) = keys::check_change(&started_with, &version.policy, &self.classes) {
+            return Some(Objection { reason, permanent: true });
+        }
+        let reason = self.too_many_members(version).or_else(|| self.too_many_in_flight(version))?;
+        Some(Objection { reason, permanent: false })
+    }
+
+    fn too_many_members(&self, version: &Version) -> Option<String> {
+        let node = self.node.borrow();
+        let in_force = node.in_force().map(|in_force| &*in_force.policy);
+        budgets::too_few(in_force, &version.policy, node.possible_members() as u64)
+    }
+
+    fn too_many_in_flight(&self, version: &Version) -> Option<String> {
+        let in_flight = (self.requests_in_flight)();
+        let limit = version.policy.0.get(MAX_OPEN_REQUESTS_KEY).copied()?;
+        let is_exceeded = in_flight as f64 > limit;
+        is_exceeded.then(|| format!("{MAX_OPEN_REQUESTS_KEY}: {limit} is below the {in_flight} in hand"))
+    }
+}
--- /dev/null
+++ b/crates/router/src/fleet/runtime.rs
@@ -0,0 +1,336 @@
+//! Runs the node of this router: events in, actions out.
+
+use std::cell::{Cell, RefCell};
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use anyhow::{Context, Result, anyhow};
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use tindoor::settings::Settings;
+use tindoor::time::{Moment, Span};
+use tindoor_consensus::{Action, Limits, LocalIdentity, Node, NodeConfig, Status, StorageWrite, StoredState};
+use tindoor_membership::Incarnation;
+use tindoor_policy::{Policy, budgets, keys};
+use tindoor_quota::RetryBudget;
+
+use super::FleetConfiguration;
+use super::admission::LatencyObjectives;
+use super::clock::BootClock;
+use super::disabled_checks::FleetChecks;
+use super::peers::{Peers, SentTraffic};
+use super::replica_storage::ReplicaStorage;
+use super::transitions::{log_leadership, log_transition};
+use crate::limits::PeerLimits;
+
+/// The exit status of a process whose node has failed.
+const NODE_FAILURE_EXIT_STATUS: i32 = 101;
+
+/// This router as a member of its fleet.
+pub struct Fleet {
+    pub(super) node: RefCell<Node>,
+    pub(super) clock: BootClock,
+    pub(super) checks: FleetChecks,
+    peers: Rc<Peers>,
+    writes: Sender<StorageWrite>,
+    /// The settings that this router was started with.
+    pub(super) settings: Settings,
+    /// The names of its request classes.
+    pub(super) classes: Vec<String>,
+    /// The generation that the routing engine goes by.
+    pub(super) adopted_generation: Cell<u64>,
+    pub(super) latency_objectives: RefCell<Vec<LatencyObjectives>>,
+    /// What clients of rejected requests are told to wait.
+    pub(super) retry_after: Span,
+    pub(super) requests_in_flight: Box<dyn Fn() -> usize>,
+    /// How many requests may be open, by the policy.
+    pub(super) open_requests_limit: Cell<usize>,
+    /// How many requests may be open, as this router was started.
+    pub(super) started_open_requests_limit: usize,
+    pub(super) budget_scope: budgets::BudgetScope,
+    /// The retries that served requests allow.
+    pub(super) retry_budget: Cell<Option<RetryBudget>>,
+}
+
+/// The router that is to be a member of a fleet.
+pub struct LocalRouter {
+    /// Its name.
+    pub name: String,
+    /// Its location, by its position in the deployment's list.
+    pub location: u16,
+    /// The settings that it was started with.
+    pub settings: Settings,
+    /// The names of its request classes.
+    pub classes: Vec<String>,
+    /// Limits of its connections to peers.
+    pub limits: PeerLimits,
+    /// How many requests may be open where the policy does not say.
+    pub open_requests_limit: usize,
+    /// How many requests are in flight.
+    pub requests_in_flight: Box<dyn Fn() -> usize>,
+    /// What clients of rejected requests are told to wait.
+    pub retry_after: Span,
+}
+
+/// The status of this router, for its operator.
+pub struct FleetStatus {
+    /// That of the node.
+    pub node: Status,
+    /// What was sent to peers.
+    pub sent: SentTraffic,
+}
+
+/// This process, and its stable storage.
+struct Process {
+    incarnation: Incarnation,
+    replica_id: u64,
+    predecessor: Option<Incarnation>,
+    storage: Option<Arc<ReplicaStorage>>,
+    stored: Option<StoredState>,
+}
+
+impl Fleet {
+    /// Starts the node, and its tasks on that executor.
+    pub fn start(
+        executor: &Rc<LocalExecutor<'static>>,
+        configuration: &FleetConfiguration,
+        router: LocalRouter,
+    ) -> Result<Rc<Self>> {
+        let timings = configuration.timings()?;
+        let checks = FleetChecks::from_environment();
+        let process = Process::start(configuration, &router.name, checks)?;
+        let listener = Async::<TcpListener>::bind(configuration.listen)
+            .with_context(|| format!("fleet.listen: {}", configuration.listen))?;
+        let bound = listener.get_ref().local_addr().context("fleet.listen")?;
+        let identity = process.identity(configuration, &router, bound);
+        let (incarnation, replica_id) = (identity.incarnation, identity.replica_id);
+        tracing::info!(front = "fleet", at = %bound, %incarnation, replica_id, "listening");
+        let clock = BootClock::start();
+        let random_seed = getrandom::u64().context("a seed")?;
+        let config = NodeConfig {
+            fleet: configuration.name.clone(),
+            identity,
+            timings,
+            limits: node_limits(configuration),
+            checks: checks.node,
+            seeds: configuration.seeds.iter().map(SocketAddr::to_string).collect(),
+            stored: process.stored,
+            random_seed,
+        };
+        let node = Node::start(config, clock.now().0).map_err(|error| anyhow!("fleet: {error}"))?;
+        let peers = Peers::new(Rc::clone(executor), router.limits, &configuration.name, &router.name);
+        let (writes, pending_writes) = async_channel::unbounded();
+        let fleet = Rc::new(Self::new(node, clock, checks, peers, writes, router));
+        fleet.with_node(|_, _| ());
+        fleet.spawn_tasks(executor, listener, pending_writes, process.storage);
+        Ok(fleet)
+    }
+
+    fn new(
+        node: Node,
+        clock: BootClock,
+        checks: FleetChecks,
+        peers: Rc<Peers>,
+        writes: Sender<StorageWrite>,
+        router: LocalRouter,
+    ) -> Self {
+        let budget_scope = budgets::BudgetScope::new(
+            u64::from(router.location),
+            &router.classes,
+            router.settings.topology.fill_details_reported,
+        );
+        Self {
+            node: RefCell::new(node),
+            clock,
+            checks,
+            peers,
+            writes,
+            settings: router.settings,
+            classes: router.classes,
+            adopted_generation: Cell::new(0),
+            latency_objectives: RefCell::default(),
+            retry_after: router.retry_after,
+            requests_in_flight: router.requests_in_flight,
+            open_requests_limit: Cell::new(router.open_requests_limit),
+            started_open_requests_limit: router.open_requests_limit,
+            budget_scope,
+            retry_budget: Cell::new(None),
+        }
+    }
+
+    fn spawn_tasks(
+        self: &Rc<Self>,
+        executor: &LocalExecutor<'static>,
+        listener: Async<TcpListener>,
+        pending_writes: Receiver<StorageWrite>,
+        storage: Option<Arc<ReplicaStorage>>,
+    ) {
+        let fleet = Rc::clone(self);
+        let receive = move |envelope| fleet.with_node(|node, now| node.receive(now, envelope));
+        executor.spawn(Rc::clone(&self.peers).accept(listener, receive)).detach();
+        let fleet = Rc::clone(self);
+        executor.spawn(async move { fleet.tick_forever().await }).detach();
+        let fleet = Rc::clone(self);
+        executor.spawn(async move { fleet.write_all(pending_writes, storage).await }).detach();
+    }
+
+    async fn tick_forever(&self) {
+        let interval = Duration::from_micros(self.node.borrow().tick_interval().as_micros());
+        loop {
+            Timer::after(interval).await;
+            self.with_node(|node, now| node.tick(now));
+        }
+    }
+
+    /// Does the node's writes, one after the other, on a thread that may wait for the disk.
+    async fn write_all(&self, pending: Receiver<StorageWrite>, storage: Option<Arc<ReplicaStorage>>) {
+        while let Ok(write) = pending.recv().await {
+            let number = write.number;
+            let is_needed = self.checks.synced_writes || number == 0;
+            if let Some(storage) = storage.as_ref().filter(|_| is_needed) {
+                let storage = Arc::clone(storage);
+                if let Err(error) = blocking::unblock(move || storage.write(&write)).await {
+                    // A write that failed is never reported as completed: this replica does not vote any more.
+                    tracing::error!(%error, "the folder can't be written: this voter stands still from now on");
+                    return;
+                }
+            }
+            self.with_node(|node, now| node.write_completed(now, number));
+        }
+    }
+
+    /// Passes an event to the node, at the current time, and carries out the actions that it leads to. Nothing is
+    /// awaited meanwhile.
+    pub fn with_node<T>(&self, event: impl FnOnce(&mut Node, Moment) -> T) -> T {
+        let _exit = ExitOnPanic;
+        let (result, mut actions) = {
+            let mut node = self.node.borrow_mut();
+            let (now, has_jumped) = self.clock.now();
+            if has_jumped {
+                tracing::warn!("the clock has jumped: leases and clock readings are discarded");
+                node.clock_jumped(now);
+            }
+            let result = event(&mut node, now);
+            (result, node.take_actions())
+        };
+        while !actions.is_empty() {
+            for action in std::mem::take(&mut actions) {
+                actions.extend(self.carry_out(action));
+            }
+        }
+        result
+    }
+
+    /// Carries out an action, and returns those that it leads to.
+    fn carry_out(&self, action: Action) -> Vec<Action> {
+        match action {
+            Action::Send { address, envelope } => self.peers.send(&address, &envelope),
+            // The channel is closed once a write has failed.
+            Action::Write(write) => drop(self.writes.try_send(write)),
+            Action::CheckPolicy(version) => {
+                let objection = self.check_policy(&version);
+                let mut node = self.node.borrow_mut();
+                node.policy_checked(self.clock.now().0, version.generation, objection);
+                return node.take_actions();
+            }
+            Action::Transition(transition) => log_transition(&transition),
+            Action::LeadershipChanged(term) => log_leadership(term),
+        }
+        Vec::new()
+    }
+
+    /// The policy that a fleet bootstrapped here begins with: what this router was started with.
+    pub fn initial_policy(&self) -> Policy {
+        keys::from_settings(&self.settings, &self.classes)
+    }
+
+    /// The names of this router's request classes.
+    pub fn classes(&self) -> &[String] {
+        &self.classes
+    }
+
+    /// The status of this router.
+    pub fn status(&self) -> FleetStatus {
+        FleetStatus { node: self.with_node(|node, now| node.status(now)), sent: self.peers.sent() }
+    }
+
+    /// Whether requests are accepted now.
+    pub fn is_available(&self) -> bool {
+        self.with_node(|node, now| node.active_policy(now).is_ok())
+    }
+}
+
+impl Process {
+    /// A new incarnation of the replica in the storage directory, or, without one, of a new replica.
+    fn start(configuration: &FleetConfiguration, name: &str, checks: FleetChecks) -> Result<Self> {
+        // Drawn from the system: the node's seed may be the same again.
+        let random = getrandom::u64().context("a number for this start")?;
+        let incarnation = if checks.unique_incarnations { random } else { hash_of_name(name) };
+        let directory = configuration.storage_directory.as_ref().filter(|_| configuration.may_vote);
+        let Some(directory) = directory else {
+            return Ok(Self {
+                incarnation: Incarnation(incarnation),
+                replica_id: incarnation,
+                predecessor: None,
+                storage: None,
+                stored: None,
+            });
+        };
+        let (storage, replica) =
+            ReplicaStorage::open(directory, incarnation, incarnation).context("fleet.folder")?;
+        let predecessor = replica.predecessor.filter(|_| checks.unique_incarnations);
+        Ok(Self {
+            incarnation: Incarnation(incarnation),
+            replica_id: replica.replica_id,
+            predecessor: predecessor.map(Incarnation),
+            storage: Some(Arc::new(storage)),
+            stored: replica.state,
+        })
+    }
+
+    /// Without a configured address, peers reach this router where it listens.
+    fn identity(
+        &self,
+        configuration: &FleetConfiguration,
+        router: &LocalRouter,
+        bound: SocketAddr,
+    ) -> LocalIdentity {
+        LocalIdentity {
+            incarnation: self.incarnation,
+            name: router.name.clone(),
+            address: configuration.address.unwrap_or(bound).to_string(),
+            location: router.location,
+            replica_id: configuration.may_vote.then_some(self.replica_id),
+            predecessor: self.predecessor,
+        }
+    }
+}
+
+fn node_limits(configuration: &FleetConfiguration) -> Limits {
+    let mut limits =
+        Limits { voters: configuration.voters, quota_weight: configuration.weight, ..Limits::default() };
+    limits.probation.lasts = Span::millis(configuration.probation_ms);
+    limits
+}
+
+/// The FNV-1a hash of a name.
+fn hash_of_name(name: &str) -> u64 {
+    let add = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, add)
+}
+
+/// Ends the process if the node panics. A task that panics is dropped and the others go on, but nobody may go by, or
+/// vote by, a state that is half changed: the process ends, and returns as another incarnation.
+pub(super) struct ExitOnPanic;
+
+impl Drop for ExitOnPanic {
+    fn drop(&mut self) {
+        if std::thread::panicking() {
+            tracing::error!("the consensus node has failed: the process exits");
+            std::process::exit(NODE_FAILURE_EXIT_STATUS);
+        }
+    }
+}
--- a/crates/router/src/fronts.rs
+++ b/crates/router/src/fronts.rs
@@ -17,7 +17,7 @@
     pub call: Option<Front>,
     /// The fleet that this router belongs to.
     #[serde(default)]
-    pub fleet: Option<crate::fleet::Told>,
+    pub fleet: Option<crate::fleet::FleetConfiguration>,
     /// Links that are checked on the fronts of this file.
     #[serde(default)]
     pub links: Option<Told>,
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -11,13 +11,11 @@
 mod external;
 mod feed;
 mod fleet;
-mod folder;
 mod fronts;
 mod limits;
 mod links;
 mod locate;
 mod operate;
-mod peers;
 mod places;
 mod processor;
 mod request;
@@ -104,7 +102,7 @@
     let (deployment, fronts) = read(files)?;
     let asked = asked(&deployment);
     fronts.links.map(|told| Links::start(told, &asked, 0).context("fronts")).transpose()?;
-    fronts.fleet.map(|told| told.terms().context("fronts")).transpose()?;
+    fronts.fleet.map(|told| told.timings().context("fronts")).transpose()?;
     Ok(())
 }
 
@@ -184,24 +182,24 @@
         Some(told) => Some(Links::start(told, &asked, seed).context("fronts")?),
         None => None,
     };
-    let place = fleet::Place {
+    let place = fleet::LocalRouter {
         name: name.clone(),
         location: settings.topology.location,
         settings,
         classes: deployment.classes.iter().map(|class| class.name.clone()).collect(),
         limits: PeerLimits::default(),
-        open_requests: limits.open_requests,
-        in_hand: {
+        open_requests_limit: limits.open_requests,
+        requests_in_flight: {
             let engine = Rc::clone(&engine);
             Box::new(move || engine.open_requests())
         },
-        pause: Span::micros(limits.no_lease.as_micros() as u64),
+        retry_after: Span::micros(limits.no_lease.as_micros() as u64),
     };
     let fleet = match &fronts.fleet {
         Some(told) => {
             let fleet = Fleet::start(&executor, told, place).context("fronts")?;
             engine.set_gate(Rc::clone(&fleet) as Rc<dyn AdmissionGate>);
-            if let Some(path) = told.operator.clone() {
+            if let Some(path) = told.operator_socket.clone() {
                 let heard =
                     council::listen(Rc::clone(&executor), Rc::clone(&fleet), path, PeerLimits::default());
                 let heard = async move {
@@ -237,7 +235,7 @@
         stopping: Cell::new(None),
     });
     if let Some(fleet) = router.fleet.clone() {
-        router.caches.ask_before_connects(move |id| fleet.may_connect(id));
+        router.caches.ask_before_connects(move |id| fleet.charge_connection(id));
     }
     deployment.known.into_iter().for_each(|event| feed::heed(&router, event));
     // Told to end while it waits for its address, it has nothing to end in order.
@@ -328,7 +326,7 @@
     router.stopping.set(Some(end));
     if let Some(fleet) = &router.fleet {
         // Its name leaves the list only once it takes no more requests: until then it is waited for.
-        tracing::info!(generation = fleet.status().0.generation, "leaving the fleet");
+        tracing::info!(generation = fleet.status().node.generation, "leaving the fleet");
     }
     tracing::info!(requests = router.engine.open_requests(), "stopping");
     let look_again = || Timer::after(router.limits.look_again);
@@ -350,7 +348,7 @@
         look_again().await;
     }
     if let Some(fleet) = &router.fleet {
-        fleet.tell(|node, now| node.leave(now));
+        fleet.with_node(|node, now| node.leave(now));
         look_again().await;
     }
     tracing::info!(calls = ?router.external.figures(), "stopped");
