--- a/crates/consensus/src/node/status.rs
+++ b/crates/consensus/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What an operator is told.
+//! Builds the status for the operator.
 
 use tindoor::time::Moment;
 use tindoor_policy::StagedChange;
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a node. The JSON names are those of the control socket.
+//! The status of a node, for its operator. The JSON names are those of the control socket.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,7 +19,7 @@
     PolicyNotApplicable,
 }
 
-/// What an operator is told of a node.
+/// The status of a node, for its operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// The router's name.
--- a/crates/membership/src/clocks.rs
+++ b/crates/membership/src/clocks.rs
@@ -30,7 +30,7 @@
     pub offset: Interval,
 }
 
-/// What a peer told of clocks in one round trip.
+/// What a peer reported of clocks in one round trip.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockExchange<'a> {
     /// The peer.
@@ -45,7 +45,7 @@
     pub offsets: &'a [ClockOffset],
 }
 
-/// What one source last told of a clock.
+/// What one source last reported of a clock.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     source: Incarnation,
@@ -61,7 +61,7 @@
     }
 }
 
-/// One process's clock, as several sources tell of it.
+/// One process's clock, as several sources report it.
 #[derive(Debug, Default)]
 struct ClockReadings {
     latest: Vec<Reading>,
@@ -120,7 +120,7 @@
         Self { own, ..Self::default() }
     }
 
-    /// Records what a peer told of clocks.
+    /// Records what a peer reported of clocks.
     pub fn record_exchange(&mut self, timings: &Timings, exchange: &ClockExchange<'_>) {
         let readings = self.readings_of(exchange);
         let known =
@@ -139,14 +139,14 @@
 
     fn readings_of(&self, exchange: &ClockExchange<'_>) -> Vec<(Incarnation, Reading)> {
         let ClockExchange { peer, requested_at, answered_at, peer_clock_micros, offsets } = *exchange;
-        let reading = |told: &ClockOffset| {
-            let peer_ahead = told.offset.shifted(peer_clock_micros);
+        let reading = |relative: &ClockOffset| {
+            let peer_ahead = relative.offset.shifted(peer_clock_micros);
             let offset = Interval {
                 low: peer_ahead.low.saturating_sub(micros(answered_at)),
                 high: peer_ahead.high.saturating_sub(micros(requested_at)),
             };
-            let is_usable = told.clock != self.own && offset.low <= offset.high;
-            is_usable.then_some((told.clock, Reading { source: peer, offset, at: answered_at }))
+            let is_usable = relative.clock != self.own && offset.low <= offset.high;
+            is_usable.then_some((relative.clock, Reading { source: peer, offset, at: answered_at }))
         };
         offsets.iter().filter_map(reading).collect()
     }
--- a/crates/router/src/fleet/runtime.rs
+++ b/crates/router/src/fleet/runtime.rs
@@ -43,7 +43,7 @@
     /// The generation that the routing engine goes by.
     pub(super) adopted_generation: Cell<u64>,
     pub(super) latency_objectives: RefCell<Vec<LatencyObjectives>>,
-    /// What clients of rejected requests are told to wait.
+    /// The Retry-After of rejected requests.
     pub(super) retry_after: Span,
     pub(super) requests_in_flight: Box<dyn Fn() -> usize>,
     /// How many requests may be open, by the policy.
@@ -71,7 +71,7 @@
     pub open_requests_limit: usize,
     /// How many requests are in flight.
     pub requests_in_flight: Box<dyn Fn() -> usize>,
-    /// What clients of rejected requests are told to wait.
+    /// The Retry-After of rejected requests.
     pub retry_after: Span,
 }
 
--- a/crates/router/tests/unit/replica_storage.rs
+++ b/crates/router/tests/unit/replica_storage.rs
@@ -225,7 +225,7 @@
     assert_eq!((found.replica_id, found.predecessor), (0x0123_4567_89ab_cdef, Some(0xfedc_ba98_7654_3210)));
     assert_eq!(found.state, Some(recorded_replica()));
     drop(storage);
-    // The process before is now this one; everything else is kept.
+    // The predecessor is now this process; everything else is kept.
     let (storage, found) = ReplicaStorage::open(&path, 8, 102).unwrap();
     assert_eq!((found.replica_id, found.predecessor), (0x0123_4567_89ab_cdef, Some(101)));
     assert_eq!(found.state, Some(recorded_replica()));
@@ -241,9 +241,13 @@
 fn record_replica_storage() {
     let path = directory("record");
     let (storage, _) = ReplicaStorage::open(&path, 0x0123_4567_89ab_cdef, 0xfedc_ba98_7654_3210).unwrap();
-    let StoredState { hard_state: hard, snapshot, entries } = recorded_replica();
-    let write =
-        StorageWrite { hard_state: Some(hard), snapshot: Some(snapshot), entries, ..StorageWrite::default() };
+    let StoredState { hard_state, snapshot, entries } = recorded_replica();
+    let write = StorageWrite {
+        hard_state: Some(hard_state),
+        snapshot: Some(snapshot),
+        entries,
+        ..StorageWrite::default()
+    };
     storage.write(&write).unwrap();
     drop(storage);
     // As small as the library makes it: a new file is mostly free space.
