--- a/crates/policy/src/agreed/state.rs
+++ b/crates/policy/src/agreed/state.rs
@@ -70,7 +70,7 @@
 
     /// Whether there are enough clocks for a change to be decided.
     pub fn has_clocks(&self) -> bool {
-        self.clocks.len() >= self.members.listed().len().min(MIN_CLOCKS)
+        self.clocks.len() >= self.members.members().len().min(MIN_CLOCKS)
     }
 
     /// Whether a proposed change waits for its decision. Until then routers don't confirm each other's leases.
@@ -102,7 +102,7 @@
             }
             LogEntry::Leave { incarnation, ended } => self.leave(index, incarnation, ended),
             LogEntry::RetireLists { before } => {
-                self.members.retire(before);
+                self.members.discard_superseded(before);
                 Vec::new()
             }
             LogEntry::NoOp => Vec::new(),
@@ -142,13 +142,13 @@
         if let Some(replica_id) = member.replica_id.filter(|replica_id| self.is_voter(*replica_id)) {
             self.replica_addresses.insert(replica_id, (incarnation, member.address.clone()));
         }
-        self.members.join(index, incarnation, member, predecessor);
+        self.members.add(index, incarnation, member, predecessor);
         self.remove_unlisted_clocks();
         vec![Transition::Joined(incarnation)]
     }
 
     fn leave(&mut self, index: u64, incarnation: Incarnation, ended: bool) -> Vec<Transition> {
-        self.members.leave(index, incarnation, ended);
+        self.members.remove(index, incarnation, ended);
         self.remove_unlisted_clocks();
         vec![Transition::Removed(incarnation)]
     }
@@ -156,7 +156,7 @@
     fn change_voters(&mut self, replica_ids: Vec<u64>, outgoing: Vec<u64>) -> Vec<Transition> {
         self.voters = replica_ids;
         self.outgoing_voters = outgoing;
-        for (incarnation, member) in self.members.listed() {
+        for (incarnation, member) in self.members.members() {
             let voter = member.replica_id.filter(|replica_id| {
                 self.voters.contains(replica_id) || self.outgoing_voters.contains(replica_id)
             });
@@ -175,7 +175,7 @@
         if self.has_decided_change() {
             return Vec::new();
         }
-        match offset_us.filter(|_| self.members.has(incarnation)) {
+        match offset_us.filter(|_| self.members.contains(incarnation)) {
             Some(offset_us) => drop(self.clocks.insert(incarnation, offset_us)),
             None => drop(self.clocks.remove(&incarnation)),
         }
@@ -187,7 +187,7 @@
     fn remove_unlisted_clocks(&mut self) {
         if !self.has_decided_change() {
             let members = &self.members;
-            self.clocks.retain(|incarnation, _| members.has(*incarnation));
+            self.clocks.retain(|incarnation, _| members.contains(*incarnation));
         }
     }
 
--- a/crates/testbed/src/simulated.rs
+++ b/crates/testbed/src/simulated.rs
@@ -7,7 +7,7 @@
 use anyhow::{Result, bail, ensure};
 use serde_json::{Value, json};
 use tindoor::time::Span;
-use tindoor_consensus::Guards;
+use tindoor_consensus::SafetyChecks;
 
 use crate::figures::Figures;
 use crate::ways::{self, Way};
@@ -45,12 +45,12 @@
     first.lasts = Span::secs(plan.seconds as f64);
     (first.budget, first.shown) = (plan.budget, plan.shown);
     first.guards = match plan.without.as_deref() {
-        None => Guards::default(),
-        Some("lease") => Guards { lease: false, ..Guards::default() },
-        Some("staged") => Guards { staged: false, ..Guards::default() },
-        Some("compare") => Guards { compare: false, ..Guards::default() },
+        None => SafetyChecks::default(),
+        Some("lease") => SafetyChecks { lease: false, ..SafetyChecks::default() },
+        Some("staged") => SafetyChecks { staged_activation: false, ..SafetyChecks::default() },
+        Some("compare") => SafetyChecks { compare_generation: false, ..SafetyChecks::default() },
         Some(guard) if plan.budget.is_some() => {
-            Guards { shares: guard_of_shares(guard)?, ..Guards::default() }
+            SafetyChecks { quota: guard_of_shares(guard)?, ..SafetyChecks::default() }
         }
         Some(other) => bail!("no such guard: {other}"),
     };
@@ -166,7 +166,7 @@
 fn rate(came: &[(u64, Came)], plan: &Plan, what: fn(&Came) -> u64) -> f64 {
     let sum: u64 = came.iter().map(|(_, came)| what(came)).sum();
     let terms = Day::new(0, plan.routers).terms;
-    let calm = (terms.lease + terms.hold_out) * 2.0 + terms.lease * 6.0;
+    let calm = (terms.lease + terms.quorum_loss_grace) * 2.0 + terms.lease * 6.0;
     let seconds = plan.seconds as f64 + 2.0 + calm.as_secs();
     sum as f64 / (came.len().max(1) as f64 * plan.routers as f64 * seconds)
 }
