--- /dev/null
+++ b/crates/extproc/src/headers.rs
@@ -0,0 +1,114 @@
+//! Headers of a request or a response, read strictly.
+
+use serde::Deserialize;
+
+const MAX_VALUE_BYTES: usize = 256;
+
+/// Which headers say what, in lower case.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct HeaderNames {
+    /// The path of the request.
+    pub path: String,
+    /// The correlation id, 16 hex digits.
+    #[serde(alias = "ticket")]
+    pub correlation_id: String,
+    /// The proxy's request id; its hash is the correlation id where that is missing.
+    #[serde(rename = "request")]
+    pub request_id: String,
+    /// How long the client waits, in milliseconds.
+    #[serde(rename = "patience")]
+    pub time_remaining: String,
+    /// The proxy's timeout, in milliseconds; used where `time_remaining` is missing.
+    pub timeout: String,
+    /// The idempotency key, 32 hex digits.
+    #[serde(alias = "mark")]
+    pub idempotency_key: String,
+    /// The group of the object.
+    pub group: String,
+    /// Whether the client says that it retries.
+    pub client_retry: String,
+    /// The attempt, counted by the proxy from 1.
+    pub attempt: String,
+}
+
+impl Default for HeaderNames {
+    fn default() -> Self {
+        let name = str::to_string;
+        Self {
+            path: name(":path"),
+            correlation_id: name("x-ticket"),
+            request_id: name("x-request-id"),
+            time_remaining: name("x-max-ms"),
+            timeout: name("x-envoy-expected-rq-timeout-ms"),
+            idempotency_key: name("x-nonce"),
+            group: name("x-group"),
+            client_retry: name("x-redo"),
+            attempt: name("x-envoy-attempt-count"),
+        }
+    }
+}
+
+/// A header that is missing, given twice or can't be used. Its text goes to the proxy.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{header}: {problem}")]
+pub struct HeaderError {
+    /// The name of the header.
+    pub header: String,
+    /// What is wrong with it.
+    pub problem: &'static str,
+}
+
+impl HeaderError {
+    pub(crate) fn new(header: &str, problem: &'static str) -> Self {
+        Self { header: header.to_string(), problem }
+    }
+}
+
+/// The headers of a request or a response, by lower-case names.
+pub struct Headers<'a>(pub Vec<(&'a str, &'a [u8])>);
+
+impl<'a> Headers<'a> {
+    /// The text of a header that is given once, of any length.
+    pub fn one(&self, name: &str) -> Option<&'a str> {
+        let mut values = self.values(name);
+        let value = values.next().filter(|_| values.next().is_none())?;
+        std::str::from_utf8(value).ok()
+    }
+
+    /// The value of a header: graphic text of bounded length, given once.
+    pub(crate) fn text(&self, name: &str) -> Result<Option<&'a str>, HeaderError> {
+        let mut values = self.values(name);
+        let Some(value) = values.next() else { return Ok(None) };
+        if values.next().is_some() {
+            return Err(HeaderError::new(name, "given twice"));
+        }
+        let is_graphic = value.iter().all(u8::is_ascii_graphic);
+        let is_plain = !value.is_empty() && value.len() <= MAX_VALUE_BYTES && is_graphic;
+        let text = std::str::from_utf8(value).ok().filter(|_| is_plain);
+        text.map(Some).ok_or_else(|| HeaderError::new(name, "no plain text"))
+    }
+
+    /// A whole number from `min` to `max`, in its canonical form.
+    pub(crate) fn number(&self, name: &str, [min, max]: [u64; 2]) -> Result<Option<u64>, HeaderError> {
+        let Some(text) = self.text(name)? else { return Ok(None) };
+        let number = text.parse::<u64>().ok();
+        let number = number.filter(|number| is_canonical_number(text) && (min..=max).contains(number));
+        number.map(Some).ok_or_else(|| HeaderError::new(name, "no whole number within bounds"))
+    }
+
+    fn values(&self, name: &str) -> impl Iterator<Item = &'a [u8]> {
+        self.0.iter().filter(move |header| header.0 == name).map(|header| header.1)
+    }
+}
+
+/// Whether a text is digits alone, without leading zeros: parsers accept other forms, too.
+pub(crate) fn is_canonical_number(text: &str) -> bool {
+    text.bytes().all(|byte| byte.is_ascii_digit()) && (text == "0" || !text.starts_with('0'))
+}
+
+/// A hexadecimal number of exactly so many digits.
+pub(crate) fn parse_hex(text: &str, digits: usize) -> Option<u128> {
+    let is_whole = text.len() == digits && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    u128::from_str_radix(text, 16).ok().filter(|_| is_whole)
+}
--- a/crates/extproc/src/lib.rs
+++ b/crates/extproc/src/lib.rs
@@ -1,7 +1,8 @@
-//! The external processing service as a proxy speaks it, without I/O: its messages, gRPC's frames, what
-//! headers ask and report, and what the router says in return.
+//! The external processing service as proxies speak it, without I/O: its messages and their gRPC framing, what
+//! headers of requests and reports say, and the responses to a proxy.
 
 pub mod frames;
+mod headers;
 pub mod messages;
 pub mod request;
 pub mod response;
--- a/crates/extproc/src/response.rs
+++ b/crates/extproc/src/response.rs
@@ -1,5 +1,6 @@
-//! What the router says to a proxy, as headers and as messages of the external processing service.
+//! What the router responds to a proxy, as headers and as messages of the external processing service.
 
+use tindoor::host::FillDirectives;
 use tindoor::time::Span;
 use tindoor_external_requests::{CallReply, ExternalRequest, RefusalReason, RoutingDecision};
 
@@ -8,61 +9,100 @@
     HeadersResponse, HttpStatus, ImmediateResponse, ProcessingMode, ProcessingResponse, Reply,
 };
 
-/// Names of the cache and the source that a choice goes to.
+const MICROS_PER_MILLI: u64 = 1000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// Why a request was refused, or what is wrong with it.
+pub const REASON: &str = "x-tindoor-reason";
+
+/// Headers that only a decision may set: what a client put there is removed.
+pub const DECISION_HEADERS: [&str; 6] =
+    ["x-tindoor-again", REASON, "x-source", "x-tier", "x-accept-age", "x-mode"];
+
+/// The endpoint and the source of a decision, by name.
 #[derive(Clone, Debug)]
 pub struct RoutingTarget {
-    pub cache: String,
+    /// The endpoint's id.
+    pub endpoint: String,
+    /// Its address.
     pub address: String,
-    /// None where nothing may be filled, or where the cache is its own source.
+    /// The source's id; none where nothing may be filled, or where the endpoint is its own source.
     pub source: Option<String>,
 }
 
-pub type HeaderFields = Vec<(&'static str, String)>;
+/// A header to set.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct HeaderField {
+    /// Its name, in lower case.
+    pub name: &'static str,
+    /// Its value.
+    pub value: String,
+}
 
-fn millis(span: Span) -> u64 {
-    span.as_micros() / 1000
+impl HeaderField {
+    /// A header with this value.
+    pub fn new(name: &'static str, value: impl Into<String>) -> Self {
+        Self { name, value: value.into() }
+    }
+}
+
+/// A response in place of an endpoint's.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FinalResponse {
+    /// The HTTP status.
+    pub status: u16,
+    /// Its headers.
+    pub fields: Vec<HeaderField>,
+}
+
+impl FinalResponse {
+    /// A response that gives its reason.
+    pub fn with_reason(status: u16, reason: impl Into<String>) -> Self {
+        Self { status, fields: vec![HeaderField::new(REASON, reason)] }
+    }
 }
 
-/// The headers of a choice. Those of the platform's protocol are as a cache reads them.
+/// The headers of a decision. Those of the platform's protocol are as endpoints read them.
 pub fn decision_headers(
-    call: &ExternalRequest,
+    request: &ExternalRequest,
     decision: &RoutingDecision,
-    place: &RoutingTarget,
+    target: &RoutingTarget,
     use_within: Span,
-    left: Span,
-) -> HeaderFields {
+    time_remaining: Span,
+) -> Vec<HeaderField> {
     let mut fields = vec![
-        ("x-tindoor-cache", place.cache.clone()),
-        ("x-tindoor-address", place.address.clone()),
-        ("x-tindoor-use-within-ms", millis(use_within).to_string()),
-        ("x-tindoor-nth", decision.attempt_index.to_string()),
-        ("x-ticket", format!("{:016x}", call.correlation_id)),
-        ("x-max-ms", millis(left).max(1).to_string()),
+        HeaderField::new("x-tindoor-cache", &target.endpoint),
+        HeaderField::new("x-tindoor-address", &target.address),
+        HeaderField::new("x-tindoor-use-within-ms", millis(use_within).to_string()),
+        HeaderField::new("x-tindoor-nth", decision.attempt_index.to_string()),
+        HeaderField::new("x-ticket", format!("{:016x}", request.correlation_id)),
+        HeaderField::new("x-max-ms", millis(time_remaining).max(1).to_string()),
     ];
-    fields.extend(place.source.iter().map(|source| ("x-source", source.clone())));
+    fields.extend(target.source.iter().map(|source| HeaderField::new("x-source", source)));
     if let Some(directives) = decision.directives {
-        if directives.retention_rank > 0 {
-            fields.push(("x-tier", directives.retention_rank.to_string()));
-        }
-        // Rounded down; 0 would mean that any fresh copy will do. A copy ages while the choice waits for its
-        // use, and the moment of the purge that bounds it lies ever further back: what holds now holds then.
-        fields.extend(directives.max_age.map(|max_age| ("x-accept-age", millis(max_age).max(1).to_string())));
-        let words =
-            [(directives.join_fill, "j"), (directives.only_if_cached, "h"), (directives.refresh, "r")];
-        let words: Vec<&str> = words.iter().filter(|word| word.0).map(|word| word.1).collect();
-        if !words.is_empty() {
-            fields.push(("x-mode", words.join("+")));
-        }
+        push_directives(&mut fields, &directives);
     }
     fields
 }
 
-/// What a client must not set itself: these say what only a choice may.
-pub const OURS: [&str; 6] =
-    ["x-tindoor-again", "x-tindoor-reason", "x-source", "x-tier", "x-accept-age", "x-mode"];
+fn push_directives(fields: &mut Vec<HeaderField>, directives: &FillDirectives) {
+    if directives.retention_rank > 0 {
+        fields.push(HeaderField::new("x-tier", directives.retention_rank.to_string()));
+    }
+    // Rounded down, but not to 0, which would accept any fresh copy. The limit stays valid while the decision waits
+    // for its use: a copy ages as fast as the purge that bounds its age recedes.
+    let max_age = directives.max_age.map(|max_age| millis(max_age).max(1).to_string());
+    fields.extend(max_age.map(|max_age| HeaderField::new("x-accept-age", max_age)));
+    let modes = [(directives.join_fill, "j"), (directives.only_if_cached, "h"), (directives.refresh, "r")];
+    let modes: Vec<&str> = modes.iter().filter(|mode| mode.0).map(|mode| mode.1).collect();
+    if !modes.is_empty() {
+        fields.push(HeaderField::new("x-mode", modes.join("+")));
+    }
+}
 
-fn reason(why: RefusalReason) -> &'static str {
-    match why {
+/// The word that proxies receive for a reason.
+fn reason_word(reason: RefusalReason) -> &'static str {
+    match reason {
         RefusalReason::GaveUp => "given-up",
         RefusalReason::NoCapacity => "no-room",
         RefusalReason::CorrelationIdInUse => "ticket",
@@ -74,44 +114,37 @@
     }
 }
 
-/// A final answer as status and headers; none for what is not final or goes on as it is.
-pub fn final_headers(say: &CallReply) -> Option<(u16, HeaderFields)> {
-    Some(match say {
-        CallReply::Rejected(retry_after, why) => {
-            let mut fields = vec![("x-tindoor-reason", reason(*why).to_string())];
-            if let Some(retry_after) = retry_after {
-                // Whole seconds for those that know no better, rounded up; and the milliseconds.
-                fields.push(("retry-after", retry_after.as_micros().div_ceil(1_000_000).max(1).to_string()));
-                fields.push(("x-tindoor-pause-ms", millis(*retry_after).to_string()));
-            }
-            (503, fields)
+/// A final reply as a response; none for one that is not final or passes the endpoint's response through.
+pub fn final_response(reply: &CallReply) -> Option<FinalResponse> {
+    match reply {
+        CallReply::Rejected(retry_after, reason) => {
+            let mut response = FinalResponse::with_reason(503, reason_word(*reason));
+            response.fields.extend(retry_after.iter().flat_map(|retry_after| retry_fields(*retry_after)));
+            Some(response)
         }
-        CallReply::Failed(why) => (502, vec![("x-tindoor-reason", reason(*why).to_string())]),
-        CallReply::Replayed(known) => {
-            let mut fields = vec![("x-tindoor-known", "1".to_string())];
-            fields.push(("x-version", format!("{:016x}", known.version)));
-            (if known.status == 0 { 200 } else { known.status }, fields)
+        CallReply::Failed(reason) => Some(FinalResponse::with_reason(502, reason_word(*reason))),
+        CallReply::Replayed(result) => {
+            let status = if result.status == 0 { 200 } else { result.status };
+            let version = format!("{:016x}", result.version);
+            let fields =
+                vec![HeaderField::new("x-tindoor-known", "1"), HeaderField::new("x-version", version)];
+            Some(FinalResponse { status, fields })
         }
-        CallReply::Decision { .. } | CallReply::PassThrough | CallReply::AwaitRetry => return None,
-    })
-}
-
-fn mutation(fields: HeaderFields, remove: &[&str]) -> HeaderMutation {
-    let set = |(name, value): (&str, String)| HeaderValueOption {
-        header: Some(HeaderValue { key: name.into(), value: String::new(), raw_value: value.into_bytes() }),
-        append_action: AppendAction::OverwriteIfExistsOrAdd as i32,
-    };
-    let kept = |name: &&&str| !fields.iter().any(|field| field.0 == **name);
-    let remove_headers = remove.iter().filter(kept).map(|name| name.to_string()).collect();
-    HeaderMutation { remove_headers, set_headers: fields.into_iter().map(set).collect() }
+        CallReply::Decision { .. } | CallReply::PassThrough | CallReply::AwaitRetry => None,
+    }
 }
 
-fn goes_on(header_mutation: Option<HeaderMutation>, clear_route_cache: bool) -> HeadersResponse {
-    HeadersResponse { response: Some(CommonResponse { status: 0, header_mutation, clear_route_cache }) }
+/// Retry-After in whole seconds, rounded up, and the same in milliseconds.
+fn retry_fields(retry_after: Span) -> [HeaderField; 2] {
+    let seconds = retry_after.as_micros().div_ceil(MICROS_PER_SECOND).max(1);
+    [
+        HeaderField::new("retry-after", seconds.to_string()),
+        HeaderField::new("x-tindoor-pause-ms", millis(retry_after).to_string()),
+    ]
 }
 
-/// Go to that cache: only the headers of the answer are wanted of what follows.
-pub fn forward_request(fields: HeaderFields) -> ProcessingResponse {
+/// Forwards the request with a decision; of what follows, only the headers of the response are sent to the router.
+pub fn forward_request(fields: Vec<HeaderField>) -> ProcessingResponse {
     let mode = ProcessingMode {
         request_header_mode: HeaderSend::Default as i32,
         response_header_mode: HeaderSend::Send as i32,
@@ -120,43 +153,63 @@
         request_trailer_mode: HeaderSend::Skip as i32,
         response_trailer_mode: HeaderSend::Skip as i32,
     };
-    let reply = Reply::RequestHeaders(goes_on(Some(mutation(fields, &OURS)), true));
+    let reply = Reply::RequestHeaders(continue_with(Some(mutation(fields, &DECISION_HEADERS)), true));
     ProcessingResponse { reply: Some(reply), mode_override: Some(mode) }
 }
 
-fn answered(header_mutation: Option<HeaderMutation>) -> ProcessingResponse {
-    let reply = Reply::ResponseHeaders(goes_on(header_mutation, false));
-    ProcessingResponse { reply: Some(reply), mode_override: None }
-}
-
-/// The cache's answer goes on, with a cookie beside those that it may set itself.
+/// Passes the endpoint's response through, with a cookie beside those that it may set itself.
 pub fn pass_through(cookie: Option<String>) -> ProcessingResponse {
-    let added = |cookie: String| HeaderValueOption {
-        header: Some(HeaderValue {
-            key: "set-cookie".into(),
-            value: String::new(),
-            raw_value: cookie.into_bytes(),
-        }),
-        append_action: AppendAction::AppendIfExistsOrAdd as i32,
-    };
-    let set =
-        cookie.map(|cookie| HeaderMutation { set_headers: vec![added(cookie)], remove_headers: vec![] });
-    answered(set)
+    let mutation = cookie.map(|cookie| {
+        let field = HeaderField::new("set-cookie", cookie);
+        let set_headers = vec![header_option(field, AppendAction::AppendIfExistsOrAdd)];
+        HeaderMutation { set_headers, remove_headers: vec![] }
+    });
+    continue_response(mutation)
 }
 
-/// The cache's answer is not final: a proxy that retries by a header does so.
+/// The endpoint's response is not final: has the proxy retry, if it retries by a header.
 pub fn request_retry() -> ProcessingResponse {
-    answered(Some(mutation(vec![("x-tindoor-again", "1".to_string())], &[])))
+    continue_response(Some(mutation(vec![HeaderField::new("x-tindoor-again", "1")], &[])))
 }
 
-/// A final answer in place of whatever was to come.
-pub fn immediate(status: u16, fields: HeaderFields) -> ProcessingResponse {
-    let details = fields.iter().find(|field| field.0 == "x-tindoor-reason").map(|field| field.1.clone());
+/// Responds in place of whatever was to come.
+pub fn immediate(response: FinalResponse) -> ProcessingResponse {
+    let reason = response.fields.iter().find(|field| field.name == REASON);
+    let details = reason.map(|field| field.value.clone()).unwrap_or_default();
     let reply = Reply::Immediate(ImmediateResponse {
-        status: Some(HttpStatus { code: status.into() }),
-        headers: Some(mutation(fields, &[])),
+        status: Some(HttpStatus { code: response.status.into() }),
+        headers: Some(mutation(response.fields, &[])),
         body: Vec::new(),
-        details: details.unwrap_or_default(),
+        details,
     });
     ProcessingResponse { reply: Some(reply), mode_override: None }
 }
+
+fn continue_response(header_mutation: Option<HeaderMutation>) -> ProcessingResponse {
+    let reply = Reply::ResponseHeaders(continue_with(header_mutation, false));
+    ProcessingResponse { reply: Some(reply), mode_override: None }
+}
+
+fn continue_with(header_mutation: Option<HeaderMutation>, clear_route_cache: bool) -> HeadersResponse {
+    HeadersResponse { response: Some(CommonResponse { status: 0, header_mutation, clear_route_cache }) }
+}
+
+/// Sets `fields`, and removes those of `removed` that are not set.
+fn mutation(fields: Vec<HeaderField>, removed: &[&str]) -> HeaderMutation {
+    let is_unset = |name: &&&str| !fields.iter().any(|field| field.name == **name);
+    let remove_headers = removed.iter().filter(is_unset).map(ToString::to_string).collect();
+    let set = |field| header_option(field, AppendAction::OverwriteIfExistsOrAdd);
+    HeaderMutation { remove_headers, set_headers: fields.into_iter().map(set).collect() }
+}
+
+fn header_option(field: HeaderField, action: AppendAction) -> HeaderValueOption {
+    let raw_value = field.value.into_bytes();
+    HeaderValueOption {
+        header: Some(HeaderValue { key: field.name.into(), value: String::new(), raw_value }),
+        append_action: action as i32,
+    }
+}
+
+fn millis(span: Span) -> u64 {
+    span.as_micros() / MICROS_PER_MILLI
+}
--- a/crates/extproc/tests/golden.rs
+++ b/crates/extproc/tests/golden.rs
@@ -10,7 +10,7 @@
 
 use bytes::BytesMut;
 use golden::Recording;
-use tindoor::host::{AttemptStatus, Authorization, EndpointId, FillDirectives, Outcome, OutcomeDetail};
+use tindoor::host::{AttemptStatus, Authorization, EndpointId, FillDirectives, OutcomeDetail};
 use tindoor::time::Span;
 use tindoor_external_requests::{
     CallReply, ExternalRequest, RefusalReason, Report, RoutingDecision, StoredResult,
@@ -20,7 +20,7 @@
     HeaderMap, HeaderValue, HttpBody, HttpHeaders, HttpTrailers, Phase, ProcessingRequest, ProcessingResponse,
 };
 use tindoor_extproc::request::{self, HeaderNames, Headers, RequestClass};
-use tindoor_extproc::response;
+use tindoor_extproc::response::{self, FinalResponse, HeaderField};
 
 type Pairs<'a> = &'a [(&'a str, &'a str)];
 
@@ -52,11 +52,11 @@
 
 /// A message in its gRPC frame.
 fn message(title: &str, response: &ProcessingResponse) -> String {
-    section(title, &frames::frame(response).escape_ascii().to_string())
+    section(title, &frames::encode(response).escape_ascii().to_string())
 }
 
-fn pairs_text(fields: &response::HeaderFields) -> String {
-    fields.iter().map(|(name, value)| format!("{name}: {value}")).collect::<Vec<_>>().join("; ")
+fn fields_text(fields: &[HeaderField]) -> String {
+    fields.iter().map(|field| format!("{}: {}", field.name, field.value)).collect::<Vec<_>>().join("; ")
 }
 
 const PATH: (&str, &str) = (":path", "/v1/store/pages/7f3a9c21e0b4d655/3");
@@ -80,7 +80,7 @@
     request::read_request(&headers(pairs), &HeaderNames::default(), &classes())
 }
 
-/// The message of a choice with these terms.
+/// The message of a decision with these directives.
 fn decision(
     title: &str,
     directives: Option<FillDirectives>,
@@ -88,11 +88,12 @@
     spans: [Span; 2],
 ) -> String {
     let source = source.map(str::to_string);
-    let place = response::RoutingTarget { cache: "c-1".into(), address: "10.0.0.1:80".into(), source };
+    let target = response::RoutingTarget { endpoint: "c-1".into(), address: "10.0.0.1:80".into(), source };
     let decision =
         RoutingDecision { attempt_index: 4, endpoint: EndpointId(1), directives, timeout: Span::millis(900) };
     let [use_within, left] = spans;
-    let fields = response::decision_headers(&call(&[PATH, ID]).unwrap(), &decision, &place, use_within, left);
+    let fields =
+        response::decision_headers(&call(&[PATH, ID]).unwrap(), &decision, &target, use_within, left);
     message(title, &response::forward_request(fields))
 }
 
@@ -139,8 +140,8 @@
 }
 
 /// A reason by a name that stays; each has its own place in `REASONS`.
-fn reason_name(why: RefusalReason) -> &'static str {
-    match why {
+fn reason_name(reason: RefusalReason) -> &'static str {
+    match reason {
         RefusalReason::GaveUp => "given up",
         RefusalReason::NoCapacity => "no room",
         RefusalReason::CorrelationIdInUse => "id in use",
@@ -163,27 +164,27 @@
     RefusalReason::ShuttingDown,
 ];
 
-/// What is said in place of a response: as status and headers, and as a message.
-fn refusal(title: &str, say: &CallReply) -> String {
-    let Some((status, fields)) = response::final_headers(say) else { return section(title, "none") };
-    let plain = format!("{status} {}", pairs_text(&fields));
-    section(title, &plain) + &message(&format!("{title}, message"), &response::immediate(status, fields))
+/// A response in place of an endpoint's: as status and headers, and as a message.
+fn refusal(title: &str, reply: &CallReply) -> String {
+    let Some(response) = response::final_response(reply) else { return section(title, "none") };
+    let plain = format!("{} {}", response.status, fields_text(&response.fields));
+    section(title, &plain) + &message(&format!("{title}, message"), &response::immediate(response))
 }
 
 fn refusals() -> String {
     let mut out = String::new();
-    for why in REASONS {
-        let name = reason_name(why);
-        out += &refusal(&format!("rejected, {name}"), &CallReply::Rejected(None, why));
-        out += &refusal(&format!("failed, {name}"), &CallReply::Failed(why));
+    for reason in REASONS {
+        let name = reason_name(reason);
+        out += &refusal(&format!("rejected, {name}"), &CallReply::Rejected(None, reason));
+        out += &refusal(&format!("failed, {name}"), &CallReply::Failed(reason));
     }
     for micros in [0, 999, 1000, 1_000_000, 1_000_001, 1_200_000, 60_000_000] {
-        let say = CallReply::Rejected(Some(Span::micros(micros)), RefusalReason::GaveUp);
-        out += &refusal(&format!("rejected with a pause of {micros} microseconds"), &say);
+        let reply = CallReply::Rejected(Some(Span::micros(micros)), RefusalReason::GaveUp);
+        out += &refusal(&format!("rejected with a pause of {micros} microseconds"), &reply);
     }
     for status in [0, 200, 201, 404] {
-        let known = StoredResult { status, version: 0x4be0_c192_7d55_a6f3 };
-        out += &refusal(&format!("done before with status {status}"), &CallReply::Replayed(known));
+        let result = StoredResult { status, version: 0x4be0_c192_7d55_a6f3 };
+        out += &refusal(&format!("done before with status {status}"), &CallReply::Replayed(result));
     }
     out += &refusal(
         "done before without version",
@@ -195,13 +196,17 @@
 
 fn responses() -> String {
     let cookie = "name=value; Path=/; HttpOnly".to_string();
-    let fields = vec![("x-tindoor-reason", "no-room".to_string()), ("retry-after", "1".to_string())];
+    let mut refused = FinalResponse::with_reason(503, "no-room");
+    refused.fields.push(HeaderField::new("retry-after", "1"));
     [
         message("passed on", &response::pass_through(None)),
         message("passed on with a cookie", &response::pass_through(Some(cookie))),
         message("again", &response::request_retry()),
-        message("immediate without headers", &response::immediate(200, Vec::new())),
-        message("immediate with a reason", &response::immediate(503, fields)),
+        message(
+            "immediate without headers",
+            &response::immediate(FinalResponse { status: 200, fields: Vec::new() }),
+        ),
+        message("immediate with a reason", &response::immediate(refused)),
         message("chosen without headers", &response::forward_request(Vec::new())),
     ]
     .concat()
@@ -245,20 +250,26 @@
 fn request(pairs: Pairs) -> String {
     let read = match call(pairs) {
         Ok(call) => call_text(&call),
-        Err(fault) => format!("fault: {fault}"),
+        Err(error) => format!("fault: {error}"),
     };
     section(&pairs_shown(pairs), &read)
 }
 
+const TIMEOUT: &str = "x-envoy-expected-rq-timeout-ms";
+const TIME_REMAINING: &str = "x-max-ms";
+
 fn requests() -> String {
-    let (timeout, patience) = ("x-envoy-expected-rq-timeout-ms", "x-max-ms");
+    [common_requests(), requests_with_paths(), requests_with_values()].concat()
+}
+
+fn common_requests() -> String {
     let by_request = ("x-request-id", "0f5e3a54-6b1b-4a4d-9c5e-3d0c8b1e7a11");
-    let mut out = [
+    [
         request(&[PATH, ID]),
         request(&[PATH, by_request]),
         request(&[PATH, by_request, ID]),
-        request(&[PATH, ID, (timeout, "900")]),
-        request(&[PATH, ID, (timeout, "900"), (patience, "700")]),
+        request(&[PATH, ID, (TIMEOUT, "900")]),
+        request(&[PATH, ID, (TIMEOUT, "900"), (TIME_REMAINING, "700")]),
         request(&[PATH, ID, KEY]),
         request(&[SAVE, ID, KEY]),
         request(&[SAVE, ID]),
@@ -270,7 +281,11 @@
         request(&[PATH, PATH, ID]),
         request(&[PATH, ID, ID]),
     ]
-    .concat();
+    .concat()
+}
+
+fn requests_with_paths() -> String {
+    let mut out = String::new();
     for path in [
         "/v1/store/pages/7F3A9C21E0B4D655/0",
         "/v1/store/pages/7f3a9c21e0b4d655/4294967295",
@@ -290,11 +305,16 @@
     ] {
         out += &request(&[(":path", path), ID]);
     }
+    out
+}
+
+fn requests_with_values() -> String {
+    let mut out = String::new();
     let long = "1".repeat(257);
     for (name, values) in [
         ("x-ticket", &["9b1f", "9b1f03aa5c7e2d4g", "9B1F03AA5C7E2D41", "+b1f03aa5c7e2d41", "", &long][..]),
-        (patience, &["0", "1", "-5", "05", "4294967295", "4294967296", "soon", &long]),
-        (timeout, &["0", "1", "4294967296"]),
+        (TIME_REMAINING, &["0", "1", "-5", "05", "4294967295", "4294967296", "soon", &long]),
+        (TIMEOUT, &["0", "1", "4294967296"]),
         ("x-nonce", &["5c0f", "5c0f6e1a2b3d4c59a8b7c6d5e4f3021g"]),
         ("x-group", &["0", "255", "256", "x"]),
         ("x-redo", &["0", "yes"]),
@@ -310,8 +330,8 @@
 }
 
 /// How an attempt ended, by a name that stays.
-fn outcome_name(verdict: AttemptStatus) -> &'static str {
-    match verdict {
+fn outcome_name(status: AttemptStatus) -> &'static str {
+    match status {
         AttemptStatus::Served => "done",
         AttemptStatus::Error => "error",
         AttemptStatus::Overloaded => "full",
@@ -324,9 +344,9 @@
     }
 }
 
-/// What the cache tells of an attempt, by a name that stays.
-fn remark_name(note: OutcomeDetail) -> &'static str {
-    match note {
+/// What the endpoint says of an attempt, by a name that stays.
+fn remark_name(detail: OutcomeDetail) -> &'static str {
+    match detail {
         OutcomeDetail::Unknown => "none",
         OutcomeDetail::Hit => "hit",
         OutcomeDetail::FilledFromSource => "filled",
@@ -342,22 +362,21 @@
 }
 
 fn report_text(report: &Report) -> String {
-    let Report { outcome, stored_result: known, used_after } = *report;
-    let Outcome { status: verdict, detail: note } = outcome;
+    let Report { outcome, stored_result, used_after } = *report;
     let used = used_after.map_or("untold".to_string(), |span| format!("{} us", span.as_micros()));
     format!(
         "{}, remark {}, status {}, version {:016x}, used after {used}",
-        outcome_name(verdict),
-        remark_name(note),
-        known.status,
-        known.version
+        outcome_name(outcome.status),
+        remark_name(outcome.detail),
+        stored_result.status,
+        stored_result.version
     )
 }
 
 fn report(pairs: Pairs) -> String {
     let read = match request::read_report(&headers(pairs)) {
         Ok(report) => report_text(&report),
-        Err(fault) => format!("fault: {fault}"),
+        Err(error) => format!("fault: {error}"),
     };
     section(&pairs_shown(pairs), &read)
 }
@@ -394,8 +413,8 @@
 /// The bytes of a message from a proxy, which are read back as the same message.
 fn from_proxy(title: &str, phase: Option<Phase>, observability_mode: bool) -> String {
     let request = ProcessingRequest { phase, observability_mode };
-    let bytes = frames::frame(&request);
-    assert_eq!(frames::take(&mut BytesMut::from(&bytes[..]), 1000), Ok(Some(request)));
+    let bytes = frames::encode(&request);
+    assert_eq!(frames::decode(&mut BytesMut::from(&bytes[..]), 1000), Ok(Some(request)));
     section(title, &bytes.escape_ascii().to_string())
 }
 
--- a/crates/extproc/tests/stories.rs
+++ b/crates/extproc/tests/headers.rs
@@ -1,4 +1,4 @@
-//! What is read from proxies, strictly and within bounds, and what they are told.
+//! Requests and reports are read strictly and within bounds; decisions and refusals become headers; messages are framed.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use tindoor_external_requests::{CallReply, RefusalReason, RoutingDecision, StoredResult};
 use tindoor_extproc::frames::{self, FrameError};
 use tindoor_extproc::messages::{HttpBody, Phase, ProcessingRequest};
-use tindoor_extproc::request::{self, HeaderNames, Headers, RequestClass};
-use tindoor_extproc::response;
+use tindoor_extproc::request::{self, HeaderError, HeaderNames, Headers, RequestClass};
+use tindoor_extproc::response::{self, FinalResponse, HeaderField};
 
 fn classes() -> Vec<RequestClass> {
     let class = |name: &str, requires_idempotency_key| RequestClass {
@@ -22,17 +22,17 @@
     vec![class("pages", false), class("saves", true)]
 }
 
-fn call(fields: &[(&str, &str)]) -> Result<tindoor_external_requests::ExternalRequest, request::HeaderError> {
+fn call(fields: &[(&str, &str)]) -> Result<tindoor_external_requests::ExternalRequest, HeaderError> {
     let headers = Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect());
     request::read_request(&headers, &HeaderNames::default(), &classes())
 }
 
 const PATH: (&str, &str) = (":path", "/v1/store/pages/7f3a9c21e0b4d655/3");
-const TICKET: (&str, &str) = ("x-ticket", "9b1f03aa5c7e2d41");
+const CORRELATION_ID: (&str, &str) = ("x-ticket", "9b1f03aa5c7e2d41");
 
 #[test]
-fn what_a_proxy_leaves_out_has_its_stated_default() {
-    let asked = call(&[PATH, TICKET]).unwrap();
+fn what_a_proxy_leaves_out_has_its_documented_default() {
+    let asked = call(&[PATH, CORRELATION_ID]).unwrap();
     assert_eq!(
         (asked.correlation_id, asked.object, asked.part),
         (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655, 3)
@@ -44,30 +44,31 @@
     let by_request = |id| call(&[PATH, ("x-request-id", id)]).unwrap().correlation_id;
     assert_eq!(by_request("a"), by_request("a"));
     assert_ne!(by_request("a"), by_request("b"));
-    let timed = call(&[PATH, TICKET, ("x-envoy-expected-rq-timeout-ms", "900")]).unwrap();
+    let timed = call(&[PATH, CORRELATION_ID, ("x-envoy-expected-rq-timeout-ms", "900")]).unwrap();
     assert_eq!(timed.time_remaining, Span::millis(900));
-    let both = call(&[PATH, TICKET, ("x-envoy-expected-rq-timeout-ms", "900"), ("x-max-ms", "700")]).unwrap();
+    let both = call(&[PATH, CORRELATION_ID, ("x-envoy-expected-rq-timeout-ms", "900"), ("x-max-ms", "700")])
+        .unwrap();
     assert_eq!(both.time_remaining, Span::millis(700));
 }
 
 #[test]
-fn a_mark_counts_only_where_repeats_are_told_by_it() {
-    let idempotency_key = ("x-nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-    assert_eq!(call(&[PATH, TICKET, idempotency_key]).unwrap().idempotency_key, None);
-    let save = (":path", "/v1/store/saves/7f3a9c21e0b4d655/0");
+fn an_idempotency_key_is_used_only_by_classes_that_require_one() {
+    let key = ("x-nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+    assert_eq!(call(&[PATH, CORRELATION_ID, key]).unwrap().idempotency_key, None);
+    let write = (":path", "/v1/store/saves/7f3a9c21e0b4d655/0");
     assert_eq!(
-        call(&[save, TICKET, idempotency_key]).unwrap().idempotency_key,
+        call(&[write, CORRELATION_ID, key]).unwrap().idempotency_key,
         Some(0x5c0f_6e1a_2b3d_4c59_a8b7_c6d5_e4f3_0211)
     );
-    assert_eq!(call(&[save, TICKET]).unwrap_err().header, "x-nonce");
+    assert_eq!(call(&[write, CORRELATION_ID]).unwrap_err().header, "x-nonce");
 }
 
 #[test]
-fn a_report_blames_a_cache_for_no_more_than_it_said() {
+fn a_report_blames_an_endpoint_for_no_more_than_it_said() {
     let read = |fields: &[(&str, &str)]| {
         request::read_report(&Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect()))
     };
-    for (fields, verdict, note) in [
+    for (fields, status, detail) in [
         (&[(":status", "200"), ("x-remark", "piggy")][..], AttemptStatus::Served, OutcomeDetail::JoinedFill),
         (&[(":status", "503"), ("x-shed", "1")], AttemptStatus::Overloaded, OutcomeDetail::Unknown),
         (&[(":status", "503")], AttemptStatus::Incomplete, OutcomeDetail::Unknown),
@@ -89,7 +90,7 @@
         (&[(":status", "404")], AttemptStatus::Miss, OutcomeDetail::Unknown),
     ] {
         let report = read(fields).unwrap();
-        assert_eq!((report.outcome.status, report.outcome.detail), (verdict, note), "{fields:?}");
+        assert_eq!((report.outcome.status, report.outcome.detail), (status, detail), "{fields:?}");
     }
     assert_eq!(read(&[]).unwrap_err().header, ":status");
     assert_eq!(
@@ -99,9 +100,10 @@
 }
 
 #[test]
-fn a_choice_names_what_the_cache_reads_and_takes_out_what_a_client_put_there() {
-    let asked = call(&[PATH, TICKET]).unwrap();
-    let place = response::RoutingTarget { cache: "c-1".into(), address: "10.0.0.1:80".into(), source: None };
+fn a_decision_sets_what_the_endpoint_reads_and_removes_what_a_client_put_there() {
+    let asked = call(&[PATH, CORRELATION_ID]).unwrap();
+    let target =
+        response::RoutingTarget { endpoint: "c-1".into(), address: "10.0.0.1:80".into(), source: None };
     let max_age = Some(Span::micros(300));
     let directives = FillDirectives {
         source: EndpointId(2),
@@ -117,87 +119,89 @@
         directives: Some(directives),
         timeout: Span::millis(900),
     };
-    let fields = response::decision_headers(&asked, &decision, &place, Span::millis(200), Span::millis(700));
-    let field = |name: &str| fields.iter().find(|field| field.0 == name).map(|field| field.1.as_str());
+    let fields = response::decision_headers(&asked, &decision, &target, Span::millis(200), Span::millis(700));
+    let field = |name: &str| fields.iter().find(|field| field.name == name).map(|field| field.value.as_str());
     assert_eq!(
         (field("x-tier"), field("x-mode"), field("x-tindoor-nth")),
         (Some("2"), Some("j+r"), Some("4"))
     );
     assert_eq!(field("x-accept-age"), Some("1"), "0 would mean that any fresh copy will do");
     assert_eq!(field("x-source"), None);
-    let Some(tindoor_extproc::messages::Reply::RequestHeaders(said)) =
+    let Some(tindoor_extproc::messages::Reply::RequestHeaders(reply)) =
         response::forward_request(fields).reply
     else {
         panic!()
     };
-    let mutation = said.response.unwrap().header_mutation.unwrap();
+    let mutation = reply.response.unwrap().header_mutation.unwrap();
     assert!(mutation.remove_headers.contains(&"x-source".to_string()), "a client must not name a source");
     assert!(!mutation.remove_headers.contains(&"x-mode".to_string()));
 }
 
 #[test]
-fn a_refusal_tells_when_to_come_back_in_whole_seconds_and_in_milliseconds() {
-    let (status, fields) =
-        response::final_headers(&CallReply::Rejected(Some(Span::millis(1200)), RefusalReason::GaveUp))
+fn a_rejection_gives_retry_after_in_whole_seconds_and_in_milliseconds() {
+    let FinalResponse { status, fields } =
+        response::final_response(&CallReply::Rejected(Some(Span::millis(1200)), RefusalReason::GaveUp))
             .unwrap();
     assert_eq!(status, 503);
-    assert!(fields.contains(&("retry-after", "2".to_string())));
-    assert!(fields.contains(&("x-tindoor-pause-ms", "1200".to_string())));
+    assert!(fields.contains(&HeaderField::new("retry-after", "2")));
+    assert!(fields.contains(&HeaderField::new("x-tindoor-pause-ms", "1200")));
     assert_eq!(
-        response::final_headers(&CallReply::Failed(RefusalReason::CorrelationIdInUse)).unwrap().0,
+        response::final_response(&CallReply::Failed(RefusalReason::CorrelationIdInUse)).unwrap().status,
         502
     );
     assert_eq!(
-        response::final_headers(&CallReply::Replayed(StoredResult { status: 0, version: 0 })).unwrap().0,
+        response::final_response(&CallReply::Replayed(StoredResult { status: 0, version: 0 }))
+            .unwrap()
+            .status,
         200
     );
-    assert!(response::final_headers(&CallReply::PassThrough).is_none());
+    assert!(response::final_response(&CallReply::PassThrough).is_none());
 }
 
 #[test]
-fn a_message_is_taken_whole_in_any_pieces_and_never_over_its_limit() {
+fn a_message_is_decoded_from_any_pieces_and_never_over_its_limit() {
     let body = HttpBody { body: vec![7; 900].into(), end_of_stream: true };
     let message = ProcessingRequest { phase: Some(Phase::RequestBody(body)), observability_mode: false };
-    let whole = frames::frame(&message);
+    let whole = frames::encode(&message);
     let mut read = BytesMut::new();
     for byte in &whole[..whole.len() - 1] {
         read.extend_from_slice(&[*byte]);
-        assert_eq!(frames::take::<ProcessingRequest>(&mut read, 1000), Ok(None));
+        assert_eq!(frames::decode::<ProcessingRequest>(&mut read, 1000), Ok(None));
     }
     read.extend_from_slice(&whole[whole.len() - 1..]);
-    assert_eq!(frames::take(&mut read, 1000), Ok(Some(message)));
-    let mut long = BytesMut::from(&[0, 0, 0, 4, 0][..]);
+    assert_eq!(frames::decode(&mut read, 1000), Ok(Some(message)));
+    let mut too_long = BytesMut::from(&[0, 0, 0, 4, 0][..]);
     assert_eq!(
-        frames::take::<ProcessingRequest>(&mut long, 1000),
+        frames::decode::<ProcessingRequest>(&mut too_long, 1000),
         Err(FrameError::TooLong),
-        "refused before it comes"
+        "refused before it is read"
     );
 }
 
 proptest! {
-    /// Whatever comes is read or refused, and nothing waits for more than its limit.
+    /// Whatever comes is decoded or refused, and nothing over its limit is waited for.
     #[test]
-    fn bytes_of_any_kind_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut read = BytesMut::from(&bytes[..]);
-        while let Ok(Some(message)) = frames::take::<ProcessingRequest>(&mut read, 200) {
+        while let Ok(Some(message)) = frames::decode::<ProcessingRequest>(&mut read, 200) {
             prop_assert!(message.encoded_len() <= 4096);
         }
     }
 
     /// No header's value stands for another: what is accepted is what was written.
     #[test]
-    fn a_number_that_is_accepted_is_written_in_one_way(text in "[0-9+ -]{1,7}") {
-        if let Ok(asked) = call(&[PATH, TICKET, ("x-max-ms", &text)]) {
+    fn a_number_is_accepted_in_its_canonical_form_only(text in "[0-9+ -]{1,7}") {
+        if let Ok(asked) = call(&[PATH, CORRELATION_ID, ("x-max-ms", &text)]) {
             prop_assert_eq!(format!("{}", asked.time_remaining.as_micros() / 1000), text);
         }
     }
 
     #[test]
-    fn paths_of_any_kind_are_read_or_refused(path in "/?v1/store/[a-z]{0,6}/[0-9a-fA-F]{14,18}/[0-9/]{0,4}") {
-        if let Ok(asked) = call(&[(":path", &path), TICKET]) {
+    fn arbitrary_paths_are_read_or_refused(path in "/?v1/store/[a-z]{0,6}/[0-9a-fA-F]{14,18}/[0-9/]{0,4}") {
+        if let Ok(asked) = call(&[(":path", &path), CORRELATION_ID]) {
             let class = &classes()[usize::from(asked.class)].name;
-            let again = format!("/v1/store/{class}/{:016x}/{}", asked.object, asked.part);
-            prop_assert_eq!(again, path.to_lowercase());
+            let canonical = format!("/v1/store/{class}/{:016x}/{}", asked.object, asked.part);
+            prop_assert_eq!(canonical, path.to_lowercase());
         }
     }
 }
--- /dev/null
+++ b/crates/router/src/external/grpc/exchange.rs
@@ -0,0 +1,234 @@
+//! One request of a proxy, from its headers to the end of its stream.
+
+use std::rc::Rc;
+
+use futures_lite::future::or;
+use tindoor_external_requests::{CallReply, RefusalReason, RoutingDecision};
+use tindoor_extproc::frames;
+use tindoor_extproc::messages::{
+    HeadersResponse, HttpHeaders, Phase, ProcessingResponse, Reply, TrailersResponse,
+};
+use tindoor_extproc::request::{HeaderNames, Headers, read_report};
+use tindoor_extproc::response::{self, HeaderField};
+
+use super::stream::{MessageStream, StreamEnd};
+use crate::external::call::Call;
+use crate::external::request::{
+    CheckedRequest, bad_request, final_response_to_request, read_request, unix_ms,
+};
+use crate::external::target;
+use crate::limits::within;
+use crate::router::Router;
+
+/// Serves one request.
+pub async fn serve(
+    router: &Rc<Router>,
+    stream: &mut MessageStream<'_>,
+    names: &HeaderNames,
+) -> Result<(), StreamEnd> {
+    let Some(headers) = request_headers(router, stream).await? else { return Ok(()) };
+    let request = match read_request(router, &headers_of(&headers), names) {
+        Ok(request) => request,
+        Err(error) => {
+            tracing::debug!(%error, "unusable request of an external proxy");
+            stream.send(&response::immediate(bad_request(error.to_string()))).await?;
+            return drain(router, stream).await;
+        }
+    };
+    let call = router.external.open_call();
+    router.external.call_received(&call, request.request);
+    if let Some(decision) = send_decision(router, stream, &call, &request).await? {
+        receive_report(router, stream, &call, &decision).await?;
+        reply_to_report(router, stream, &call, &request).await?;
+    }
+    drain(router, stream).await
+}
+
+/// The first message, which must be the request's headers; none where the proxy closed its side at once.
+async fn request_headers(
+    router: &Router,
+    stream: &mut MessageStream<'_>,
+) -> Result<Option<HttpHeaders>, StreamEnd> {
+    let first = within(router.limits.frame_wait, async { Ok(stream.next().await) }).await;
+    match first.map_err(|_| StreamEnd::timed_out("no headers came in time"))?? {
+        Some(Phase::RequestHeaders(headers)) => Ok(Some(headers)),
+        Some(_) => Err(StreamEnd::invalid("the first message is not the request's headers")),
+        None => Ok(None),
+    }
+}
+
+/// Waits for the decision and sends it; none where a final response was sent in its place. A proxy that ends its
+/// stream meanwhile has given the request up.
+async fn send_decision(
+    router: &Rc<Router>,
+    stream: &mut MessageStream<'_>,
+    call: &Call,
+    request: &CheckedRequest,
+) -> Result<Option<RoutingDecision>, StreamEnd> {
+    loop {
+        let reply = next_reply(call, stream).await?;
+        let CallReply::Decision { decision, use_within, time_remaining } = reply else {
+            let refusal = final_response_to_request(&reply, request.denial.as_deref());
+            stream.send(&response::immediate(refusal)).await?;
+            return Ok(None);
+        };
+        let target = target::resolve(router, &decision);
+        let mut fields =
+            response::decision_headers(&request.request, &decision, &target, use_within, time_remaining);
+        // The path is forwarded as it was checked.
+        fields.extend(request.path.iter().map(|path| HeaderField::new(":path", path)));
+        let bytes = frames::encode(&response::forward_request(fields));
+        stream.reserve(bytes.len()).await?;
+        // The decision may have been withdrawn while the proxy's window had no capacity.
+        if router.external.confirm_send(call, &reply) {
+            stream.send_reserved(bytes)?;
+            return Ok(Some(decision));
+        }
+    }
+}
+
+enum Event {
+    Reply(CallReply),
+    Phase(Result<Option<Phase>, StreamEnd>),
+}
+
+/// Waits for the headers of the response, which are the report.
+async fn receive_report(
+    router: &Rc<Router>,
+    stream: &mut MessageStream<'_>,
+    call: &Call,
+    decision: &RoutingDecision,
+) -> Result<(), StreamEnd> {
+    loop {
+        let phase = async { Event::Phase(stream.next().await) };
+        let reply = async { Event::Reply(call.replies.next().await) };
+        match or(phase, reply).await {
+            Event::Phase(phase) => match phase? {
+                None => return Err(StreamEnd::CLOSED),
+                Some(Phase::ResponseHeaders(headers)) => {
+                    return apply_report(router, call, decision, &headers);
+                }
+                Some(Phase::RequestHeaders(_)) => {
+                    return Err(StreamEnd::invalid("the request's headers twice"));
+                }
+                Some(Phase::ResponseBody(_) | Phase::ResponseTrailers(_)) => {
+                    return Err(StreamEnd::invalid("an answer's body before its headers"));
+                }
+                Some(other) => stream.send(&unchanged(&other)).await?,
+            },
+            Event::Reply(reply) => return Err(end_without_report(&reply)),
+        }
+    }
+}
+
+fn apply_report(
+    router: &Rc<Router>,
+    call: &Call,
+    decision: &RoutingDecision,
+    headers: &HttpHeaders,
+) -> Result<(), StreamEnd> {
+    let headers = headers_of(headers);
+    if let Some(links) = &router.links {
+        // Endpoints tell the time by the date of their responses; 0 stands for the discovery service.
+        let participant = 1 + u64::from(decision.endpoint.0);
+        links.heard_date(participant, &headers, unix_ms(router));
+    }
+    let report = read_report(&headers).map_err(|error| {
+        tracing::debug!(%error, "unusable report of an external proxy");
+        StreamEnd::invalid("the response's headers can't be used")
+    })?;
+    router.external.report_received(call, report);
+    Ok(())
+}
+
+/// A reply that comes while the decision is in flight can only end the stream.
+fn end_without_report(reply: &CallReply) -> StreamEnd {
+    match reply {
+        CallReply::Failed(RefusalReason::NotReported) | CallReply::Rejected(..) => {
+            StreamEnd::timed_out("nothing was reported in time")
+        }
+        CallReply::Failed(RefusalReason::ShuttingDown) => StreamEnd::unavailable("the router ends"),
+        _ => StreamEnd::aborted("a later try of this request came"),
+    }
+}
+
+async fn reply_to_report(
+    router: &Rc<Router>,
+    stream: &mut MessageStream<'_>,
+    call: &Call,
+    request: &CheckedRequest,
+) -> Result<(), StreamEnd> {
+    let message = match next_reply(call, stream).await? {
+        CallReply::PassThrough => {
+            let links = router.links.as_ref().zip(request.playback.as_ref());
+            let cookie = links.and_then(|(links, playback)| links.renewal(playback, unix_ms(router)));
+            response::pass_through(cookie)
+        }
+        CallReply::AwaitRetry => response::request_retry(),
+        other => {
+            let refusal = response::final_response(&other);
+            response::immediate(refusal.ok_or(StreamEnd::aborted("no answer"))?)
+        }
+    };
+    stream.send(&message).await
+}
+
+/// The next reply to a call; phases that come meanwhile are passed on unchanged.
+async fn next_reply(call: &Call, stream: &mut MessageStream<'_>) -> Result<CallReply, StreamEnd> {
+    loop {
+        let reply = async { Event::Reply(call.replies.next().await) };
+        let phase = async { Event::Phase(stream.next().await) };
+        match or(reply, phase).await {
+            Event::Reply(reply) => return Ok(reply),
+            Event::Phase(phase) => match phase? {
+                Some(Phase::RequestHeaders(_) | Phase::ResponseHeaders(_)) => {
+                    return Err(StreamEnd::invalid("headers out of their order"));
+                }
+                Some(other) => stream.send(&unchanged(&other)).await?,
+                None => return Err(StreamEnd::CLOSED),
+            },
+        }
+    }
+}
+
+/// Passes on the phases that come after the last reply, until the proxy closes its side.
+async fn drain(router: &Router, stream: &mut MessageStream<'_>) -> Result<(), StreamEnd> {
+    let drained = async { Ok(pass_remaining(stream).await) };
+    let left_open = Err(StreamEnd::timed_out("the stream was left open"));
+    within(router.limits.patience, drained).await.unwrap_or(left_open)
+}
+
+async fn pass_remaining(stream: &mut MessageStream<'_>) -> Result<(), StreamEnd> {
+    while let Some(phase) = stream.next().await? {
+        if let Phase::RequestHeaders(_) | Phase::ResponseHeaders(_) = phase {
+            return Err(StreamEnd::invalid("headers twice"));
+        }
+        stream.send(&unchanged(&phase)).await?;
+    }
+    Ok(())
+}
+
+/// The reply that passes a phase on unchanged.
+fn unchanged(phase: &Phase) -> ProcessingResponse {
+    let unchanged = HeadersResponse { response: Some(Default::default()) };
+    let reply = match phase {
+        Phase::RequestHeaders(_) => Reply::RequestHeaders(unchanged),
+        Phase::ResponseHeaders(_) => Reply::ResponseHeaders(unchanged),
+        Phase::RequestBody(_) => Reply::RequestBody(unchanged),
+        Phase::ResponseBody(_) => Reply::ResponseBody(unchanged),
+        Phase::RequestTrailers(_) => Reply::RequestTrailers(TrailersResponse {}),
+        Phase::ResponseTrailers(_) => Reply::ResponseTrailers(TrailersResponse {}),
+    };
+    ProcessingResponse { reply: Some(reply), mode_override: None }
+}
+
+/// The headers of a message; a value is in one of two fields, by the proxy's settings.
+fn headers_of(headers: &HttpHeaders) -> Headers<'_> {
+    let list = headers.headers.iter().flat_map(|map| &map.headers);
+    let pairs = list.map(|header| {
+        let is_text = header.raw_value.is_empty();
+        let value = if is_text { header.value.as_bytes() } else { &header.raw_value[..] };
+        (header.key.as_str(), value)
+    });
+    Headers(pairs.collect())
+}
--- /dev/null
+++ b/crates/router/src/external/grpc/mod.rs
@@ -0,0 +1,147 @@
+//! The external processing front: proxies call the router over gRPC for each request, and carry the bytes themselves.
+
+mod exchange;
+mod stream;
+
+use std::future;
+use std::io;
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::Instant;
+
+use async_io::{Async, Timer};
+use bytes::Bytes;
+use futures_lite::future::or;
+use h2::RecvStream;
+use h2::server::{self, SendResponse};
+use http::{HeaderMap, Method, Request, Response};
+use tindoor_extproc::request::HeaderNames;
+use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
+
+use crate::limits::{Limits, within};
+use crate::router::Router;
+use stream::{GrpcStatus, MessageStream, StreamEnd};
+
+const PROCESS_PATH: &str = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
+const CONTENT_TYPE: &str = "application/grpc";
+
+type Connection = server::Connection<Compat<Async<TcpStream>>, Bytes>;
+
+/// Serves one connection until either side ends it.
+pub async fn serve_connection(
+    router: Rc<Router>,
+    stream: Async<TcpStream>,
+    names: Rc<HeaderNames>,
+) -> io::Result<()> {
+    let limits = &router.limits;
+    let builder = connection_builder(limits);
+    let handshake = async { builder.handshake(stream.compat()).await.map_err(io::Error::other) };
+    let mut connection: Connection = within(limits.frame_wait, handshake).await?;
+    // Each open stream holds a clone.
+    let open_streams = Rc::new(());
+    let mut last_used = Instant::now();
+    // One timer for the life of the connection, as setting one costs a system call.
+    let mut idle = Timer::after(limits.proxy_idle);
+    loop {
+        let accepted = or(async { Some(connection.accept().await) }, async {
+            (&mut idle).await;
+            None
+        });
+        let (request, respond) = match accepted.await {
+            Some(None) => return Ok(()),
+            Some(Some(accepted)) => accepted.map_err(io::Error::other)?,
+            None if Rc::strong_count(&open_streams) > 1 || last_used.elapsed() < limits.proxy_idle => {
+                idle.set_after(limits.proxy_idle);
+                continue;
+            }
+            None => return close_idle(connection, limits).await,
+        };
+        last_used = Instant::now();
+        let guard = Rc::clone(&open_streams);
+        let (router, names) = (Rc::clone(&router), Rc::clone(&names));
+        let executor = Rc::clone(&router.executor);
+        let task = async move {
+            serve_stream(&router, request, respond, &names).await;
+            drop(guard);
+        };
+        executor.spawn(task).detach();
+    }
+}
+
+/// Bounds what one proxy may cost: streams, resets before they are accepted, and headers; continuation frames count
+/// as headers.
+fn connection_builder(limits: &Limits) -> server::Builder {
+    let mut builder = server::Builder::new();
+    builder
+        .max_concurrent_streams(limits.streams as u32)
+        .max_header_list_size(limits.header_list as u32)
+        .max_frame_size(limits.read as u32)
+        .max_pending_accept_reset_streams(limits.resets)
+        .max_concurrent_reset_streams(limits.resets)
+        .max_local_error_reset_streams(Some(limits.resets))
+        .data_frame_budget(limits.small_frames)
+        .max_send_buffer_size(limits.unsent)
+        .initial_window_size(limits.message as u32);
+    builder
+}
+
+async fn close_idle(mut connection: Connection, limits: &Limits) -> io::Result<()> {
+    connection.graceful_shutdown();
+    let closed =
+        async { future::poll_fn(|context| connection.poll_closed(context)).await.map_err(io::Error::other) };
+    within(limits.frame_wait, closed).await
+}
+
+/// Serves one call of the service: its messages, and its status at the end.
+async fn serve_stream(
+    router: &Rc<Router>,
+    request: Request<RecvStream>,
+    mut respond: SendResponse<Bytes>,
+    names: &HeaderNames,
+) {
+    if let Some(refusal) = refusal_of(&request) {
+        let _ = respond.send_response(refusal, true);
+        return;
+    }
+    let Ok(sender) = respond.send_response(grpc_response(None), false) else { return };
+    let mut stream = MessageStream::new(router, sender, request.into_body());
+    let status = match exchange::serve(router, &mut stream, names).await {
+        Ok(()) => GrpcStatus::OK,
+        Err(StreamEnd::Status(status)) => status,
+        Err(StreamEnd::Gone) => return,
+    };
+    if status != GrpcStatus::OK
+        && let Some(times) = router.unreadable.told()
+    {
+        let GrpcStatus { code, message } = status;
+        tracing::warn!(code, message, times, "stream of an external proxy ended with an error");
+    }
+    stream.send_trailers(trailers(status));
+}
+
+/// The response to a call of something else than this service.
+fn refusal_of(request: &Request<RecvStream>) -> Option<Response<()>> {
+    let content_type = request.headers().get("content-type").map(http::HeaderValue::as_bytes);
+    let is_grpc = content_type.is_some_and(|kind| kind.starts_with(CONTENT_TYPE.as_bytes()));
+    if !is_grpc || request.method() != Method::POST {
+        return Some(Response::builder().status(415).body(()).expect("a plain response"));
+    }
+    (request.uri().path() != PROCESS_PATH).then(|| grpc_response(Some(GrpcStatus::UNIMPLEMENTED)))
+}
+
+fn grpc_response(status: Option<u16>) -> Response<()> {
+    let mut builder = Response::builder().status(200).header("content-type", CONTENT_TYPE);
+    if let Some(status) = status {
+        builder = builder.header("grpc-status", status);
+    }
+    builder.body(()).expect("a plain response")
+}
+
+fn trailers(status: GrpcStatus) -> HeaderMap {
+    let mut trailers = HeaderMap::new();
+    trailers.insert("grpc-status", status.code.into());
+    if !status.message.is_empty() {
+        trailers.insert("grpc-message", http::HeaderValue::from_static(status.message));
+    }
+    trailers
+}
--- /dev/null
+++ b/crates/router/src/external/grpc/stream.rs
@@ -0,0 +1,157 @@
+//! The messages of one stream, in both directions, and how it ends.
+
+use std::future;
+use std::io;
+
+use bytes::{Bytes, BytesMut};
+use h2::{Reason, RecvStream, SendStream};
+use http::HeaderMap;
+use tindoor_extproc::frames::{self, FrameError};
+use tindoor_extproc::messages::{Phase, ProcessingRequest, ProcessingResponse};
+
+use crate::limits::{Limits, within};
+use crate::router::Router;
+
+/// The status of a call: a code and a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GrpcStatus {
+    pub code: u16,
+    pub message: &'static str,
+}
+
+impl GrpcStatus {
+    pub const OK: Self = Self { code: 0, message: "" };
+    pub const UNIMPLEMENTED: u16 = 12;
+
+    const INVALID_ARGUMENT: u16 = 3;
+    const DEADLINE_EXCEEDED: u16 = 4;
+    const RESOURCE_EXHAUSTED: u16 = 8;
+    const ABORTED: u16 = 10;
+    const UNAVAILABLE: u16 = 14;
+}
+
+/// Why a stream ends early.
+#[derive(Clone, Copy, Debug)]
+pub enum StreamEnd {
+    /// With this status.
+    Status(GrpcStatus),
+    /// It was reset, or its connection closed: nobody reads a status.
+    Gone,
+}
+
+impl StreamEnd {
+    /// The proxy closed its side: nobody waits for the rest.
+    pub const CLOSED: Self = Self::Status(GrpcStatus::OK);
+
+    pub fn invalid(message: &'static str) -> Self {
+        Self::status(GrpcStatus::INVALID_ARGUMENT, message)
+    }
+
+    pub fn timed_out(message: &'static str) -> Self {
+        Self::status(GrpcStatus::DEADLINE_EXCEEDED, message)
+    }
+
+    pub fn aborted(message: &'static str) -> Self {
+        Self::status(GrpcStatus::ABORTED, message)
+    }
+
+    pub fn unavailable(message: &'static str) -> Self {
+        Self::status(GrpcStatus::UNAVAILABLE, message)
+    }
+
+    fn status(code: u16, message: &'static str) -> Self {
+        Self::Status(GrpcStatus { code, message })
+    }
+}
+
+impl From<FrameError> for StreamEnd {
+    fn from(error: FrameError) -> Self {
+        match error {
+            FrameError::TooLong => {
+                Self::status(GrpcStatus::RESOURCE_EXHAUSTED, "a message is over the limit")
+            }
+            FrameError::Compressed => Self::status(GrpcStatus::UNIMPLEMENTED, "compressed"),
+            FrameError::Unreadable => Self::invalid("a message can't be read"),
+        }
+    }
+}
+
+/// The two directions of one stream.
+pub struct MessageStream<'a> {
+    limits: &'a Limits,
+    sender: SendStream<Bytes>,
+    receiver: RecvStream,
+    received: BytesMut,
+}
+
+impl<'a> MessageStream<'a> {
+    pub fn new(router: &'a Router, sender: SendStream<Bytes>, receiver: RecvStream) -> Self {
+        Self { limits: &router.limits, sender, receiver, received: BytesMut::new() }
+    }
+
+    /// The next phase; none at the end of the proxy's side. May be dropped and called again.
+    pub async fn next(&mut self) -> Result<Option<Phase>, StreamEnd> {
+        loop {
+            if let Some(message) = frames::decode(&mut self.received, self.limits.message)? {
+                return phase_of(message).map(Some);
+            }
+            match self.receiver.data().await {
+                Some(Ok(data)) => {
+                    let _ = self.receiver.flow_control().release_capacity(data.len());
+                    self.received.extend_from_slice(&data);
+                }
+                Some(Err(_)) => return Err(StreamEnd::Gone),
+                None if self.received.is_empty() => return Ok(None),
+                None => return Err(StreamEnd::invalid("a message was cut off")),
+            }
+        }
+    }
+
+    /// Sends a message once the proxy's window has capacity for it.
+    pub async fn send(&mut self, message: &ProcessingResponse) -> Result<(), StreamEnd> {
+        let bytes = frames::encode(message);
+        self.reserve(bytes.len()).await?;
+        self.send_reserved(bytes)
+    }
+
+    /// Waits for so much capacity in the proxy's window; resets the stream where it does not come in time.
+    pub async fn reserve(&mut self, bytes: usize) -> Result<(), StreamEnd> {
+        self.sender.reserve_capacity(bytes);
+        let sender = &mut self.sender;
+        let reserved = async {
+            while sender.capacity() < bytes {
+                match future::poll_fn(|context| sender.poll_capacity(context)).await {
+                    Some(Ok(_)) => {}
+                    Some(Err(error)) => return Err(io::Error::other(error)),
+                    None => return Err(io::ErrorKind::BrokenPipe.into()),
+                }
+            }
+            Ok(())
+        };
+        match within(self.limits.untaken, reserved).await {
+            Ok(()) => Ok(()),
+            Err(error) if error.kind() == io::ErrorKind::TimedOut => {
+                self.sender.send_reset(Reason::CANCEL);
+                Err(StreamEnd::Gone)
+            }
+            Err(_) => Err(StreamEnd::Gone),
+        }
+    }
+
+    /// Sends bytes for which [`reserve`](Self::reserve) has reserved capacity.
+    pub fn send_reserved(&mut self, bytes: Bytes) -> Result<(), StreamEnd> {
+        self.sender.send_data(bytes, false).map_err(|_| StreamEnd::Gone)
+    }
+
+    pub fn send_trailers(&mut self, trailers: HeaderMap) {
+        let _ = self.sender.send_trailers(trailers);
+    }
+}
+
+fn phase_of(message: ProcessingRequest) -> Result<Phase, StreamEnd> {
+    if message.observability_mode {
+        let message = "observability mode takes no choice";
+        return Err(StreamEnd::status(GrpcStatus::UNIMPLEMENTED, message));
+    }
+    message.phase.ok_or(StreamEnd::invalid("a message of no known kind"))
+}
--- a/crates/router/src/external/http.rs
+++ b/crates/router/src/external/http.rs
@@ -1,6 +1,7 @@
-//! The plain call: an HTTP/1.1 request that asks for a choice, and one that reports its end, for proxies that
-//! know no more than sub-requests. It is a second, thin codec over the same table as the external processor.
+//! The plain call front: an HTTP/1.1 request asks for a decision, and another reports how it ended, for proxies that
+//! know only sub-requests. A second codec over the same table as external processing.
 
+use std::fmt::Write;
 use std::io;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -8,232 +9,254 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use tindoor_external_requests::{CallId, CallReply};
-use tindoor_extproc::request::{self, HeaderNames, Headers};
-use tindoor_extproc::response::{self, HeaderFields};
+use tindoor_extproc::request::{HeaderNames, Headers, read_report};
+use tindoor_extproc::response::{self, FinalResponse, HeaderField};
 
-use crate::external::Call;
-use crate::external::request::{CheckedRequest, final_reply, read_request, unix_ms};
-use crate::external::target;
+use super::call::Call;
+use super::request::{
+    CheckedRequest, bad_request, final_response, final_response_to_request, read_request, unix_ms,
+};
+use super::target;
 use crate::limits::within;
 use crate::router::Router;
 
-/// A request's head as it was read.
-struct Asked {
+const REPORT_PATH: &str = "/report";
+/// The id of a call, by which it is reported.
+const LEASE: &str = "x-tindoor-lease";
+const MAX_HEADERS: usize = 64;
+const CORRELATION_ID_DIGITS: usize = 16;
+
+/// The head of a request.
+struct RequestHead {
     path: String,
     headers: Vec<(String, Vec<u8>)>,
-    closes: bool,
+    closes_connection: bool,
 }
 
-impl Asked {
-    fn pairs(&self) -> Headers<'_> {
-        let path = (":path", self.path.as_bytes());
-        let headers = self.headers.iter().map(|header| (header.0.as_str(), header.1.as_slice()));
-        Headers(std::iter::once(path).chain(headers).collect())
-    }
-
-    fn number(&self, name: &str) -> Option<u64> {
-        let mut values = self.headers.iter().filter(|header| header.0 == name);
-        let value = values.next().filter(|_| values.next().is_none())?;
-        std::str::from_utf8(&value.1).ok()?.parse().ok()
-    }
-}
-
-fn bad(what: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+/// One connection: each request is answered before the next is read.
+struct Connection {
+    router: Rc<Router>,
+    names: Rc<HeaderNames>,
+    stream: Async<TcpStream>,
+    received: Vec<u8>,
 }
 
-/// One connection: one request after another, each answered before the next is read.
+/// Serves one connection until either side ends it.
 pub async fn serve_connection(
     router: Rc<Router>,
-    mut stream: Async<TcpStream>,
+    stream: Async<TcpStream>,
     names: Rc<HeaderNames>,
 ) -> io::Result<()> {
-    let (router, names) = (&router, &*names);
-    let mut read = Vec::new();
+    let mut connection = Connection { router, names, stream, received: Vec::new() };
     loop {
-        let asked = match next(router, &mut stream, &mut read).await {
-            Ok(Some(asked)) => asked,
+        let head = match connection.next_request().await {
+            Ok(Some(head)) => head,
             Ok(None) => return Ok(()),
             Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                let fields = vec![("x-tindoor-reason", error.to_string())];
-                return give(router, &mut stream, 400, &fields, true).await;
+                return connection.respond(&bad_request(error.to_string()), true).await;
             }
             Err(error) => return Err(error),
         };
-        let closes = asked.closes;
-        match asked.path.as_str() {
-            "/report" => report(router, &mut stream, &asked, names).await?,
-            _ => choose(router, &mut stream, &asked, names).await?,
+        match head.path.as_str() {
+            REPORT_PATH => connection.report(&head).await?,
+            _ => connection.decide(&head).await?,
         }
-        if closes {
+        if head.closes_connection {
             return Ok(());
         }
     }
 }
 
-/// Reads the next request; none where the caller has closed.
-async fn next(
-    router: &Router,
-    stream: &mut Async<TcpStream>,
-    read: &mut Vec<u8>,
-) -> io::Result<Option<Asked>> {
-    let limits = &router.limits;
-    loop {
-        let mut room = [httparse::EMPTY_HEADER; 64];
-        let mut request = httparse::Request::new(&mut room);
-        let size = match request.parse(read) {
-            Ok(httparse::Status::Complete(size)) => size,
-            Ok(httparse::Status::Partial) if read.len() > limits.header_list => {
-                return Err(bad("the head is over the limit"));
+impl Connection {
+    /// Reads the next request; none where the proxy has closed.
+    async fn next_request(&mut self) -> io::Result<Option<RequestHead>> {
+        loop {
+            if let Some((head, size)) = parse_head(&self.received)? {
+                self.received.drain(..size);
+                return Ok(Some(head));
             }
-            Ok(httparse::Status::Partial) => {
-                let wait = if read.is_empty() { limits.proxy_idle } else { limits.frame_wait };
-                let filled = read.len();
-                read.resize(filled + limits.first_read, 0);
-                let more = within(wait, stream.read(&mut read[filled..])).await;
-                read.truncate(filled + more.as_ref().map_or(0, |more| *more));
-                match more {
-                    Ok(0) => return Ok(None),
-                    Ok(_) => continue,
-                    Err(error) => return Err(error),
-                }
+            if self.received.len() > self.router.limits.header_list {
+                return Err(invalid("the head is over the limit"));
+            }
+            if self.receive().await? == 0 {
+                return Ok(None);
             }
-            Err(_) => return Err(bad("the request can't be read")),
-        };
-        let headers: Vec<_> =
-            request.headers.iter().map(|h| (h.name.to_ascii_lowercase(), h.value.to_vec())).collect();
-        let named = |name: &str| headers.iter().find(|header| header.0 == name).map(|header| &header.1[..]);
-        if named("transfer-encoding").is_some() || named("content-length").is_some_and(|size| size != b"0") {
-            return Err(bad("a call has no body"));
         }
-        let closes = named("connection").is_some_and(|words| words.eq_ignore_ascii_case(b"close"));
-        let asked = Asked { path: request.path.unwrap_or_default().to_string(), headers, closes };
-        read.drain(..size);
-        return Ok(Some(asked));
     }
-}
 
-async fn give(
-    router: &Router,
-    stream: &mut Async<TcpStream>,
-    status: u16,
-    fields: &HeaderFields,
-    closes: bool,
-) -> io::Result<()> {
-    let mut head = format!("HTTP/1.1 {status} X\r\n");
-    for (name, value) in fields {
-        head.push_str(&format!("{name}: {value}\r\n"));
-    }
-    if closes {
-        head.push_str("connection: close\r\n");
+    async fn receive(&mut self) -> io::Result<usize> {
+        let limits = &self.router.limits;
+        let wait = if self.received.is_empty() { limits.proxy_idle } else { limits.frame_wait };
+        let filled = self.received.len();
+        self.received.resize(filled + limits.first_read, 0);
+        let received = within(wait, self.stream.read(&mut self.received[filled..])).await;
+        self.received.truncate(filled + received.as_ref().map_or(0, |received| *received));
+        received
     }
-    head.push_str("content-length: 0\r\n\r\n");
-    within(router.limits.untaken, stream.write_all(head.as_bytes())).await
-}
 
-/// A choice, or a final refusal. One that ends its connection before has given the request up.
-async fn choose(
-    router: &Rc<Router>,
-    stream: &mut Async<TcpStream>,
-    asked: &Asked,
-    names: &HeaderNames,
-) -> io::Result<()> {
-    let CheckedRequest { call, path, why, playback } = match read_request(router, &asked.pairs(), names) {
-        Ok(checked) => checked,
-        Err(fault) => {
-            let fields = vec![("x-tindoor-reason", fault.to_string())];
-            return give(router, stream, 400, &fields, asked.closes).await;
+    async fn respond(&mut self, response: &FinalResponse, closes_connection: bool) -> io::Result<()> {
+        let mut head = format!("HTTP/1.1 {} X\r\n", response.status);
+        for HeaderField { name, value } in &response.fields {
+            let _ = write!(head, "{name}: {value}\r\n");
         }
-    };
-    let mut open = router.external.open();
-    router.external.call(&open, call);
-    loop {
-        let said = said_or_gone(&open, stream).await?;
-        match &said {
-            CallReply::Decision { decision, use_within, time_remaining: left }
-                if router.external.confirm_send(&open, &said) =>
-            {
-                let place = target::resolve(router, decision);
-                let mut fields = response::decision_headers(&call, decision, &place, *use_within, *left);
-                fields.push(("x-tindoor-lease", open.stream.0.to_string()));
-                fields.extend(path.clone().map(|path| ("x-tindoor-path", path)));
-                let links = router.links.as_ref().zip(playback.as_ref());
-                let cookie = links.and_then(|(links, playback)| links.renewal(playback, unix_ms(router)));
-                fields.extend(cookie.map(|cookie| ("x-tindoor-set-cookie", cookie)));
-                // From its first byte on it may be used: its report comes as a request of its own, or its
-                // time ends.
-                open.outlives = true;
-                return give(router, stream, 200, &fields, asked.closes).await;
-            }
-            CallReply::Decision { .. } => {}
-            other => {
-                let (status, fields) = final_reply(other, why.as_deref());
-                return give(router, stream, status, &fields, asked.closes).await;
-            }
+        if closes_connection {
+            head.push_str("connection: close\r\n");
         }
+        head.push_str("content-length: 0\r\n\r\n");
+        within(self.router.limits.untaken, self.stream.write_all(head.as_bytes())).await
     }
-}
 
-async fn said_or_gone(open: &Call, stream: &Async<TcpStream>) -> io::Result<CallReply> {
-    let said = async { Ok(open.says.next().await) };
-    let gone = async {
-        stream.readable().await?;
-        match stream.get_ref().peek(&mut [0]) {
-            Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
-            // The next request came early; it is read in its turn.
-            Ok(_) => std::future::pending().await,
-            Err(error) => Err(error),
+    /// Responds with a decision or a final refusal. A proxy that closes its connection before has given the request
+    /// up.
+    async fn decide(&mut self, head: &RequestHead) -> io::Result<()> {
+        let router = Rc::clone(&self.router);
+        let request = match read_request(&router, &head.headers(), &self.names) {
+            Ok(request) => request,
+            Err(error) => {
+                return self.respond(&bad_request(error.to_string()), head.closes_connection).await;
+            }
+        };
+        let mut call = router.external.open_call();
+        router.external.call_received(&call, request.request);
+        loop {
+            let reply = self.next_reply(&call).await?;
+            let response = match reply {
+                CallReply::Decision { .. } if !router.external.confirm_send(&call, &reply) => continue,
+                CallReply::Decision { .. } => {
+                    // The proxy may use the decision once its first byte is sent: the report comes as a request of
+                    // its own, or the decision expires.
+                    call.outlives_connection = true;
+                    decision_response(&router, &call, &request, &reply)
+                }
+                _ => final_response_to_request(&reply, request.denial.as_deref()),
+            };
+            return self.respond(&response, head.closes_connection).await;
         }
-    };
-    future::or(said, gone).await
-}
+    }
 
-/// How a choice ended: 204 has the proxy pass the answer on, 200 has it call again, all others are the
-/// answer.
-async fn report(
-    router: &Rc<Router>,
-    stream: &mut Async<TcpStream>,
-    asked: &Asked,
-    names: &HeaderNames,
-) -> io::Result<()> {
-    let mut pairs = asked.pairs();
-    // The cache's status comes as a header of its own.
-    for pair in &mut pairs.0 {
-        if pair.0 == "x-status" {
-            pair.0 = ":status";
+    /// Takes a report. Status 204 has the proxy pass the endpoint's response on, 200 has it call again, and any other
+    /// is the response to the client.
+    async fn report(&mut self, head: &RequestHead) -> io::Result<()> {
+        let router = Rc::clone(&self.router);
+        let headers = head.report_headers();
+        let lease = head.number(LEASE).map(CallId);
+        let (Some(correlation_id), Some(lease)) = (self.correlation_id(&headers), lease) else {
+            let response = bad_request("x-tindoor-lease or the ticket: missing");
+            return self.respond(&response, head.closes_connection).await;
+        };
+        let report = match read_report(&headers) {
+            Ok(report) => report,
+            Err(error) => {
+                return self.respond(&bad_request(error.to_string()), head.closes_connection).await;
+            }
+        };
+        let call = router.external.open_call();
+        let is_attached = router.external.report_on_earlier_call(&call, lease, correlation_id, report);
+        let reply = self.next_reply(&call).await;
+        // Only where it was attached: a made-up lease must not take another call's reply away.
+        if is_attached {
+            router.external.detach(lease);
         }
+        let response = match reply? {
+            CallReply::PassThrough => FinalResponse { status: 204, fields: Vec::new() },
+            CallReply::AwaitRetry => {
+                FinalResponse { status: 200, fields: vec![HeaderField::new("x-tindoor-again", "1")] }
+            }
+            other => final_response(&other),
+        };
+        self.respond(&response, head.closes_connection).await
     }
-    let correlation_id = pairs.0.iter().find(|pair| pair.0 == names.correlation_id).and_then(|pair| {
-        let text = std::str::from_utf8(pair.1).ok().filter(|text| text.len() == 16)?;
+
+    fn correlation_id(&self, headers: &Headers) -> Option<u64> {
+        let header = headers.0.iter().find(|header| header.0 == self.names.correlation_id)?;
+        let text = std::str::from_utf8(header.1).ok()?;
+        let text = Some(text).filter(|text| text.len() == CORRELATION_ID_DIGITS)?;
         u64::from_str_radix(text, 16).ok()
-    });
-    let lease = asked.number("x-tindoor-lease").map(CallId);
-    let (Some(correlation_id), Some(lease)) = (correlation_id, lease) else {
-        let fields = vec![("x-tindoor-reason", "x-tindoor-lease or the ticket: missing".to_string())];
-        return give(router, stream, 400, &fields, asked.closes).await;
-    };
-    let report = match request::read_report(&pairs) {
-        Ok(report) => report,
-        Err(fault) => {
-            let fields = vec![("x-tindoor-reason", fault.to_string())];
-            return give(router, stream, 400, &fields, asked.closes).await;
-        }
-    };
-    let open = router.external.open();
-    let taken = router.external.report_on(&open, lease, correlation_id, report);
-    let said = said_or_gone(&open, stream).await;
-    // Only what was its own: a number that somebody made up must not take another call's answer away.
-    if taken {
-        router.external.forget(lease);
     }
-    match said? {
-        CallReply::PassThrough => give(router, stream, 204, &Vec::new(), asked.closes).await,
-        CallReply::AwaitRetry => {
-            give(router, stream, 200, &vec![("x-tindoor-again", "1".into())], asked.closes).await
-        }
-        other => {
-            let (status, fields) = response::final_headers(&other).unwrap_or((502, Vec::new()));
-            give(router, stream, status, &fields, asked.closes).await
+
+    /// The next reply to a call; an error where the proxy closes first.
+    async fn next_reply(&self, call: &Call) -> io::Result<CallReply> {
+        let reply = async { Ok(call.replies.next().await) };
+        let closed = async {
+            self.stream.readable().await?;
+            match self.stream.get_ref().peek(&mut [0]) {
+                Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
+                // The next request came early; it is read once this one is answered.
+                Ok(_) => std::future::pending().await,
+                Err(error) => Err(error),
+            }
+        };
+        future::or(reply, closed).await
+    }
+}
+
+impl RequestHead {
+    fn headers(&self) -> Headers<'_> {
+        let path = (":path", self.path.as_bytes());
+        let headers = self.headers.iter().map(|header| (header.0.as_str(), header.1.as_slice()));
+        Headers(std::iter::once(path).chain(headers).collect())
+    }
+
+    /// The same, with the endpoint's status, which has a header of its own here.
+    fn report_headers(&self) -> Headers<'_> {
+        let mut headers = self.headers();
+        for header in headers.0.iter_mut().filter(|header| header.0 == "x-status") {
+            header.0 = ":status";
         }
+        headers
+    }
+
+    /// A header that is given once, as a number.
+    fn number(&self, name: &str) -> Option<u64> {
+        let mut values = self.headers.iter().filter(|header| header.0 == name);
+        let value = values.next().filter(|_| values.next().is_none())?;
+        std::str::from_utf8(&value.1).ok()?.parse().ok()
+    }
+}
+
+/// Parses the head of a request and its size in bytes; none while it is incomplete.
+fn parse_head(received: &[u8]) -> io::Result<Option<(RequestHead, usize)>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
+    let size = match request.parse(received) {
+        Ok(httparse::Status::Complete(size)) => size,
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(_) => return Err(invalid("the request can't be read")),
+    };
+    let headers = request.headers.iter();
+    let headers: Vec<_> =
+        headers.map(|header| (header.name.to_ascii_lowercase(), header.value.to_vec())).collect();
+    let named = |name: &str| headers.iter().find(|header| header.0 == name).map(|header| &header.1[..]);
+    let has_body = named("content-length").is_some_and(|length| length != b"0");
+    if has_body || named("transfer-encoding").is_some() {
+        return Err(invalid("a call has no body"));
     }
+    let closes_connection = named("connection").is_some_and(|words| words.eq_ignore_ascii_case(b"close"));
+    let path = request.path.unwrap_or_default().to_string();
+    Ok(Some((RequestHead { path, headers, closes_connection }, size)))
+}
+
+/// The response that carries a decision.
+fn decision_response(
+    router: &Router,
+    call: &Call,
+    request: &CheckedRequest,
+    reply: &CallReply,
+) -> FinalResponse {
+    let CallReply::Decision { decision, use_within, time_remaining } = reply else {
+        return final_response(reply);
+    };
+    let target = target::resolve(router, decision);
+    let mut fields =
+        response::decision_headers(&request.request, decision, &target, *use_within, *time_remaining);
+    fields.push(HeaderField::new(LEASE, call.id.0.to_string()));
+    fields.extend(request.path.iter().map(|path| HeaderField::new("x-tindoor-path", path)));
+    let links = router.links.as_ref().zip(request.playback.as_ref());
+    let cookie = links.and_then(|(links, playback)| links.renewal(playback, unix_ms(router)));
+    fields.extend(cookie.map(|cookie| HeaderField::new("x-tindoor-set-cookie", cookie)));
+    FinalResponse { status: 200, fields }
+}
+
+fn invalid(problem: &'static str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, problem)
 }
--- a/crates/router/src/external/listener.rs
+++ b/crates/router/src/external/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections of proxies, the same for both fronts that only choose.
+//! Accepts connections of proxies, for both fronts.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -8,36 +8,38 @@
 
 use crate::router::Router;
 
-/// Accepts for as long as the router runs, and has each connection served until `talk` ends.
+/// Accepts connections for as long as the router runs, and spawns `serve` for each of them.
 pub async fn accept_connections<F>(
     router: Rc<Router>,
     listener: Async<TcpListener>,
-    talk: impl Fn(Rc<Router>, Async<TcpStream>) -> F,
+    serve: impl Fn(Rc<Router>, Async<TcpStream>) -> F,
 ) where
     F: Future<Output = io::Result<()>> + 'static,
 {
-    let open = Rc::new(());
+    // Each open connection holds a clone.
+    let open_connections = Rc::new(());
     loop {
-        // What waits costs the others nothing.
-        if Rc::strong_count(&open) > router.limits.proxies {
+        // Connections over the limit wait in the listener's backlog.
+        if Rc::strong_count(&open_connections) > router.limits.proxies {
             Timer::after(router.limits.look_again).await;
             continue;
         }
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.get_ref().set_nodelay(true);
-                let (place, talk) = (Rc::clone(&open), talk(Rc::clone(&router), stream));
-                let served = async move {
-                    if let Err(what) = talk.await {
-                        tracing::debug!(%what, "a proxy's connection ended");
+                let guard = Rc::clone(&open_connections);
+                let served = serve(Rc::clone(&router), stream);
+                let task = async move {
+                    if let Err(error) = served.await {
+                        tracing::debug!(%error, "connection of an external proxy closed");
                     }
-                    drop(place);
+                    drop(guard);
                 };
-                router.executor.spawn(served).detach();
+                router.executor.spawn(task).detach();
             }
             Err(error) => {
                 if let Some(times) = router.no_room.told() {
-                    tracing::warn!(%error, times, "can't accept a proxy");
+                    tracing::warn!(%error, times, "can't accept a connection of an external proxy");
                 }
                 router.caches.sweep();
                 Timer::after(router.limits.look_again).await;
--- a/crates/router/src/external/mod.rs
+++ b/crates/router/src/external/mod.rs
@@ -1,314 +1,173 @@
-//! The table of calls between the fronts that only choose and the routing engine: it carries what either
-//! says to the other, and knows no protocol.
+//! Requests of external proxies: they carry the bytes themselves and ask the router for each request where to send it.
+//! Connects the table of these requests to the routing engine and to the two fronts, gRPC and plain HTTP.
 
+mod call;
+mod checks;
 pub mod grpc;
 pub mod http;
 pub mod listener;
 mod request;
+mod table_host;
 mod target;
 
 use std::cell::RefCell;
-use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use async_executor::{LocalExecutor, Task};
-use tindoor::host::{AttemptStatus, EndpointId, Outcome, OutcomeDetail, RequestMeta, RequestSlot};
+use async_executor::LocalExecutor;
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::{
-    CallId, CallReply, Counters, EnabledChecks, ExternalRequest, ExternalRequestTable, Limits, RefusalReason,
-    Report, RequestNumber, RoutingDecision, TableHost,
-};
-use tindoor_request_runtime::{
-    Action, AdmittedRequest, Attempt, EngineHandle, InFlightId, InFlightIds, Mailbox, WakeTimer,
+    CallId, CallReply, Counters, ExternalRequest, ExternalRequestTable, Limits, RefusalReason, Report,
+    RequestNumber, RoutingDecision,
 };
+use tindoor_request_runtime::{Action, Attempt, EngineHandle, InFlightIds, WakeTimer};
 
-/// A request in hand for a proxy.
-struct InHand {
-    no: RequestSlot,
-    mailbox: Rc<Mailbox>,
-    /// Attempts that are not yet reported.
-    out: Vec<Attempt>,
-    /// For the account of its end; none once that was made.
-    taken: Option<AdmittedRequest>,
-    _id: Option<InFlightId>,
-    _orders: Task<()>,
-}
+use call::Call;
+use table_host::{Host, InFlight};
 
-#[derive(Default)]
-struct Ends {
-    streams: HashMap<CallId, Rc<Mailbox<CallReply>>>,
-    requests: HashMap<RequestNumber, InHand>,
-    next: u64,
-}
-
-/// Calls of proxies, and the requests that they stand for.
+/// The externally processed requests of this router.
 pub struct ExternalProcessing {
     executor: Rc<LocalExecutor<'static>>,
     engine: Rc<EngineHandle>,
     ids: InFlightIds,
-    /// Requests in hand at once, those of all fronts.
-    most: usize,
-    calls: RefCell<ExternalRequestTable>,
-    ends: RefCell<Ends>,
-    alarm: WakeTimer,
-}
-
-/// One call; over when it is dropped.
-pub struct Call {
-    external: Rc<ExternalProcessing>,
-    pub stream: CallId,
-    pub says: Rc<Mailbox<CallReply>>,
-    /// It lives on when its connection ends: the report comes on another.
-    pub outlives: bool,
-}
-
-impl Drop for Call {
-    fn drop(&mut self) {
-        if !self.outlives {
-            self.external.tell(|calls, now, _| calls.call_ended(now, self.stream));
-        }
-        self.external.ends.borrow_mut().streams.remove(&self.stream);
-    }
-}
-
-/// The hands of the table, for as long as one event takes.
-struct Reach<'a> {
-    external: &'a Rc<ExternalProcessing>,
-    ends: &'a mut Ends,
-}
-
-impl TableHost for Reach<'_> {
-    fn request_started(
-        &mut self,
-        serial: RequestNumber,
-        call: &ExternalRequest,
-        first_ran: Option<(Moment, EndpointId)>,
-    ) {
-        let external = Rc::clone(self.external);
-        let (no, mailbox) = external.engine.open_request();
-        let ExternalRequest {
-            object,
-            part,
-            group,
-            class,
-            client_retry,
-            time_remaining: left,
-            authorization,
-            ..
-        } = *call;
-        let asked =
-            RequestMeta { object, part, group, class, size_kb: None, client_retry, first_ran, authorization };
-        let taken = external.engine.admit(no, asked, left);
-        let (id, orders) = (external.ids.reserve(call.correlation_id), Rc::clone(&mailbox));
-        let _orders = self.external.executor.spawn(async move {
-            loop {
-                let order = orders.next().await;
-                external.order(serial, order);
-            }
-        });
-        self.ends.requests.insert(serial, InHand { no, mailbox, out: Vec::new(), taken, _id: id, _orders });
-    }
-
-    fn attempt_ended(&mut self, serial: RequestNumber, nth: u16, end: Outcome, last: bool) {
-        let Some(request) = self.ends.requests.get_mut(&serial) else { return };
-        let Some(at) = request.out.iter().position(|attempt| attempt.index == nth) else { return };
-        let attempt = request.out.swap_remove(at);
-        if end.status == AttemptStatus::Served {
-            self.external.engine.record_outcome(request.taken.take(), true);
-        }
-        self.external.engine.attempt_ended(request.no, &attempt, end, last);
-    }
-
-    fn request_abandoned(&mut self, serial: RequestNumber) {
-        if let Some(request) = self.ends.requests.get_mut(&serial) {
-            // Whose client leaves says nothing of a policy.
-            request.taken = None;
-            self.external.engine.with(|control| control.request_abandoned(request.no));
-        }
-    }
-
-    fn request_finished(&mut self, serial: RequestNumber) {
-        let Some(request) = self.ends.requests.remove(&serial) else { return };
-        self.external.engine.record_outcome(request.taken, false);
-        // What was ordered and never given out is told of as well: else it counts as out for ever.
-        let orders = std::iter::from_fn(|| request.mailbox.try_next());
-        let ordered = orders.filter_map(|order| match order {
-            Action::Send(attempt) => Some(attempt),
-            _ => None,
-        });
-        for attempt in request.out.iter().copied().chain(ordered) {
-            self.external.engine.attempt_ended(
-                request.no,
-                &attempt,
-                Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown),
-                true,
-            );
-        }
-        self.external.engine.close_request(request.no);
-    }
-
-    fn reply(&mut self, stream: CallId, say: CallReply) {
-        if let Some(says) = self.ends.streams.get(&stream) {
-            says.replace(say);
-        }
-    }
-
-    fn retry_after(&mut self) -> Option<Span> {
-        self.external.engine.retry_after()
-    }
+    /// Requests in flight at once, those of all fronts.
+    max_requests: usize,
+    table: RefCell<ExternalRequestTable>,
+    in_flight: RefCell<InFlight>,
+    timer: WakeTimer,
 }
 
 impl ExternalProcessing {
+    /// Nothing is in flight yet.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         engine: Rc<EngineHandle>,
         ids: InFlightIds,
-        most: usize,
+        max_requests: usize,
         limits: Limits,
     ) -> Rc<Self> {
-        let calls = RefCell::new(ExternalRequestTable::new(limits, guards(), engine.clock.now()));
-        let (ends, alarm) = Default::default();
-        Rc::new(Self { executor, engine, ids, most, calls, ends, alarm })
-    }
-
-    /// Tells the table what happened, at the time that it is now. Nothing is awaited inside.
-    fn tell<T>(self: &Rc<Self>, what: impl FnOnce(&mut ExternalRequestTable, Moment, &mut Reach) -> T) -> T {
-        let (mut calls, mut ends) = (self.calls.borrow_mut(), self.ends.borrow_mut());
+        let table = ExternalRequestTable::new(limits, checks::enabled(), engine.clock.now());
+        Rc::new(Self {
+            executor,
+            engine,
+            ids,
+            max_requests,
+            table: RefCell::new(table),
+            in_flight: RefCell::default(),
+            timer: WakeTimer::default(),
+        })
+    }
+
+    /// Applies an event to the table at the present time. Nothing is awaited inside.
+    fn apply<T>(self: &Rc<Self>, event: impl FnOnce(&mut ExternalRequestTable, Moment, &mut Host) -> T) -> T {
+        let mut table = self.table.borrow_mut();
+        let mut in_flight = self.in_flight.borrow_mut();
         let now = self.engine.clock.now();
-        let told = what(&mut calls, now, &mut Reach { external: self, ends: &mut ends });
-        if let Some(next) = calls.next_timer() {
-            self.alarm.set(Instant::now() + Duration::from_micros(next.since(now).as_micros()));
+        let result = event(&mut table, now, &mut Host { external: self, in_flight: &mut in_flight });
+        if let Some(next) = table.next_timer() {
+            self.timer.set(Instant::now() + Duration::from_micros(next.since(now).as_micros()));
         }
-        told
+        result
     }
 
-    /// A new call.
-    pub fn open(self: &Rc<Self>) -> Call {
-        let mut ends = self.ends.borrow_mut();
-        ends.next += 1;
-        let (stream, says) = (CallId(ends.next), Rc::default());
-        ends.streams.insert(stream, Rc::clone(&says));
-        Call { external: Rc::clone(self), stream, says, outlives: false }
+    /// Opens a call of a proxy.
+    fn open_call(self: &Rc<Self>) -> Call {
+        let (id, replies) = self.in_flight.borrow_mut().add_call();
+        Call { external: Rc::clone(self), id, replies, outlives_connection: false }
     }
 
-    pub fn call(self: &Rc<Self>, open: &Call, call: ExternalRequest) {
-        // An id names one request at a time, on whichever front it came.
-        tracing::debug!(
-            stream = open.stream.0,
-            correlation_id = call.correlation_id,
-            attempt = call.attempt,
-            "called"
-        );
-        let mine = self.calls.borrow().contains(call.correlation_id);
-        let full = !self.engine.has_capacity(self.most);
-        if !mine && self.ids.contains(call.correlation_id) {
-            return open.says.replace(CallReply::Failed(RefusalReason::CorrelationIdInUse));
+    /// A proxy asks for a decision; the replies come to the call's mailbox.
+    fn call_received(self: &Rc<Self>, call: &Call, request: ExternalRequest) {
+        let ExternalRequest { correlation_id, attempt, .. } = request;
+        tracing::debug!(call = call.id.0, correlation_id, attempt, "external request received");
+        let is_known = self.table.borrow().contains(correlation_id);
+        let is_full = !self.engine.has_capacity(self.max_requests);
+        // A correlation id names one request at a time, on whichever front it came.
+        if !is_known && self.ids.contains(correlation_id) {
+            return call.replies.replace(CallReply::Failed(RefusalReason::CorrelationIdInUse));
         }
-        if !mine && full {
+        if !is_known && is_full {
             let retry_after = self.engine.retry_after();
-            return open.says.replace(CallReply::Rejected(retry_after, RefusalReason::NoCapacity));
+            return call.replies.replace(CallReply::Rejected(retry_after, RefusalReason::NoCapacity));
         }
-        self.tell(|calls, now, host| calls.call_received(now, host, open.stream, call));
+        self.apply(|table, now, host| table.call_received(now, host, call.id, request));
     }
 
-    /// Whether what was said may leave; false where it was taken back.
-    pub fn confirm_send(&self, open: &Call, say: &CallReply) -> bool {
-        self.calls.borrow_mut().confirm_send(open.stream, say)
+    /// Marks a reply as sent right before it is; false where it was withdrawn.
+    fn confirm_send(&self, call: &Call, reply: &CallReply) -> bool {
+        self.table.borrow_mut().confirm_send(call.id, reply)
     }
 
-    /// A report on the call itself.
-    pub fn report(self: &Rc<Self>, open: &Call, report: Report) {
-        self.tell(|calls, now, host| calls.report_received(now, host, open.stream, None, report));
+    /// A proxy reports on the call itself.
+    fn report_received(self: &Rc<Self>, call: &Call, report: Report) {
+        self.apply(|table, now, host| table.report_received(now, host, call.id, None, report));
     }
 
-    /// A report on an earlier call, by its number and ticket; what is said to that one from now on is for
-    /// whoever reports. Only one whose connection is done with it, and whose choice is out, can be reported
-    /// so: nobody takes over another's call by a number.
-    pub fn report_on(
+    /// A proxy reports on an earlier call, by its id and the correlation id; `call` gets the replies to the earlier one
+    /// from now on. False where that call still has its connection or no decision in flight: a made-up id must not
+    /// take over another's call.
+    fn report_on_earlier_call(
         self: &Rc<Self>,
-        open: &Call,
-        stream: CallId,
+        call: &Call,
+        earlier: CallId,
         correlation_id: u64,
         report: Report,
     ) -> bool {
-        let attached = self.ends.borrow().streams.contains_key(&stream);
-        if attached || !self.calls.borrow().awaits_report(stream, correlation_id) {
-            self.report(open, report);
+        let is_attached = self.in_flight.borrow().has_call(earlier);
+        if is_attached || !self.table.borrow().awaits_report(earlier, correlation_id) {
+            self.report_received(call, report);
             return false;
         }
-        self.ends.borrow_mut().streams.insert(stream, Rc::clone(&open.says));
-        self.tell(|calls, now, host| {
-            calls.report_received(now, host, stream, Some(correlation_id), report);
+        self.in_flight.borrow_mut().attach(earlier, &call.replies);
+        self.apply(|table, now, host| {
+            table.report_received(now, host, earlier, Some(correlation_id), report);
         });
         true
     }
 
-    /// The report's answer was given, or nobody waits for it.
-    pub fn forget(&self, stream: CallId) {
-        self.ends.borrow_mut().streams.remove(&stream);
+    /// The reply to a report on an earlier call was given, or nobody waits for it.
+    fn detach(&self, earlier: CallId) {
+        self.in_flight.borrow_mut().remove_call(earlier);
     }
 
-    fn order(self: &Rc<Self>, serial: RequestNumber, order: Action) {
-        if let Action::Send(attempt) = order
-            && let Some(request) = self.ends.borrow_mut().requests.get_mut(&serial)
-        {
-            request.out.push(attempt);
+    /// Carries out an action of the routing engine.
+    fn act(self: &Rc<Self>, number: RequestNumber, action: Action) {
+        if let Action::Send(attempt) = action {
+            self.in_flight.borrow_mut().add_attempt(number, attempt);
         }
-        self.tell(|calls, now, host| match order {
+        self.apply(|table, now, host| match action {
             Action::Send(Attempt { index, endpoint, timeout, directives, .. }) => {
                 let timeout = Span::micros(timeout.as_micros() as u64);
                 let decision = RoutingDecision { attempt_index: index, endpoint, directives, timeout };
-                calls.decision_made(now, host, serial, decision);
+                table.decision_made(now, host, number, decision);
             }
-            Action::Cancel(nth) => calls.attempt_cancelled(host, serial, nth),
-            Action::Reject(retry_after) => calls.request_rejected(now, host, serial, retry_after),
-            Action::Fail => calls.request_failed(now, host, serial),
-            // The router ends: all at once, as each is one of them.
-            Action::Abandon => calls.shut_down(now, host),
+            Action::Cancel(attempt_index) => table.attempt_cancelled(host, number, attempt_index),
+            Action::Reject(retry_after) => table.request_rejected(now, host, number, retry_after),
+            Action::Fail => table.request_failed(now, host, number),
+            // Every request gets this at the shutdown; the first of them ends all.
+            Action::Abandon => table.shut_down(now, host),
         });
     }
 
-    /// The list or a purge was told: what is no longer the right choice is taken back where it can be.
+    /// The endpoint list changed, or objects were purged: withdraws the decisions that `is_stale` says would now be
+    /// different, where they have not been sent.
     pub fn withdraw_stale_decisions(
         self: &Rc<Self>,
-        stale: impl Fn(&ExternalRequest, &RoutingDecision) -> bool,
+        is_stale: impl Fn(&ExternalRequest, &RoutingDecision) -> bool,
     ) {
-        self.tell(|calls, _, host| calls.withdraw_stale_decisions(host, stale));
+        self.apply(|table, _, host| table.withdraw_stale_decisions(host, is_stale));
     }
 
+    /// What happened so far.
     pub fn counters(&self) -> Counters {
-        self.calls.borrow().counters
+        self.table.borrow().counters
     }
 
-    /// Ends what is due; never ends itself.
+    /// Calls the table whenever its timer fires; never returns.
     pub async fn run_timers(self: &Rc<Self>) {
         loop {
-            self.alarm.fired().await;
-            self.tell(|calls, now, host| calls.timer_fired(now, host));
-        }
-    }
-}
-
-/// All guards stand. An experiment of the lab may name one to take out, in a build for tests only, to see
-/// that its audit notices.
-fn guards() -> EnabledChecks {
-    let mut guards = EnabledChecks::default();
-    if cfg!(debug_assertions)
-        && let Ok(without) = std::env::var("TINDOOR_WITHOUT")
-    {
-        match without.as_str() {
-            "marks" => guards.idempotency_keys = false,
-            "tickets" => guards.correlation_ids = false,
-            "withdraw" => guards.withdrawal = false,
-            "leases" => guards.leases = false,
-            // Those of links are taken out there.
-            "links" | "revoked" | "clock" => {}
-            // Those of a fleet as well.
-            "lease" | "staged" | "compare" | "incarnation" | "synced" | "pinned" => {}
-            other => tracing::error!(guard = other, "no such guard"),
+            self.timer.fired().await;
+            self.apply(|table, now, host| table.timer_fired(now, host));
         }
-        tracing::warn!(without, "a guard is taken out for an experiment");
     }
-    guards
 }
--- a/crates/router/src/external/request.rs
+++ b/crates/router/src/external/request.rs
@@ -1,62 +1,78 @@
-//! What a call asks for, its link checked where links are: the same for both fronts that only choose.
+//! Reads a request of an external proxy and checks its signed URL, for both fronts.
 
 use tindoor::time::Moment;
 use tindoor_external_requests::{CallReply, ExternalRequest};
-use tindoor_extproc::request::{self as extproc_request, HeaderError, HeaderNames, Headers};
-use tindoor_extproc::response::{self, HeaderFields};
+use tindoor_extproc::request::{self as headers_of, HeaderError, HeaderNames, Headers};
+use tindoor_extproc::response::{self, FinalResponse, REASON};
 use tindoor_signed_urls::playback::Playback;
 
 use crate::links::Judged;
 use crate::router::Router;
 
-/// What is asked, read and checked.
+const BAD_GATEWAY: u16 = 502;
+const FORBIDDEN: u16 = 403;
+const BAD_REQUEST: u16 = 400;
+
+/// A request that was read, with the result of the check of its signed URL.
 pub struct CheckedRequest {
-    pub call: ExternalRequest,
-    /// Where links are checked: the path that goes on.
+    pub request: ExternalRequest,
+    /// Where signed URLs are checked: the path as it was checked, to be forwarded.
     pub path: Option<String>,
-    /// Why its link does not pass.
-    pub why: Option<String>,
-    /// What has the next part of a playback pass.
+    /// Why its signed URL is not valid.
+    pub denial: Option<String>,
+    /// What to sign for the next part of a playback.
     pub playback: Option<Playback>,
 }
 
-/// Unix milliseconds, by the one clock of the router.
+/// Unix milliseconds, by the router's clock.
 pub fn unix_ms(router: &Router) -> u64 {
     router.engine.clock.now().since(Moment::default()).as_micros() / 1000
 }
 
-/// Reads a call; names the header that can't be used.
+/// Reads a request and checks its signed URL; an error names the header at fault.
 pub fn read_request(
     router: &Router,
     headers: &Headers,
     names: &HeaderNames,
 ) -> Result<CheckedRequest, HeaderError> {
     let Some(links) = &router.links else {
-        let call = extproc_request::read_request(headers, names, &router.asked)?;
-        return Ok(CheckedRequest { call, path: None, why: None, playback: None });
+        let request = headers_of::read_request(headers, names, &router.asked)?;
+        return Ok(CheckedRequest { request, path: None, denial: None, playback: None });
     };
     let path = headers.one(&names.path).unwrap_or_default();
     let judged = links.judge(path, headers, unix_ms(router));
     let judged = judged.map_err(|_| HeaderError { header: names.path.clone(), problem: "no normal form" })?;
-    let rest = headers.0.iter().copied().filter(|header| header.0 != names.path);
-    let headers = Headers(rest.chain([(names.path.as_str(), judged.path.as_bytes())]).collect());
-    let mut call = extproc_request::read_request(&headers, names, &router.asked)?;
+    let others = headers.0.iter().copied().filter(|header| header.0 != names.path);
+    let headers = Headers(others.chain([(names.path.as_str(), judged.path.as_bytes())]).collect());
+    let mut request = headers_of::read_request(&headers, names, &router.asked)?;
     let Judged { path, authorization, why, playback } = judged;
-    if !links.needs(call.class) {
-        return Ok(CheckedRequest { call, path: Some(path), why: None, playback: None });
+    if !links.needs(request.class) {
+        return Ok(CheckedRequest { request, path: Some(path), denial: None, playback: None });
     }
-    call.authorization = authorization;
-    Ok(CheckedRequest { call, path: Some(path), why, playback })
+    request.authorization = authorization;
+    Ok(CheckedRequest { request, path: Some(path), denial: why, playback })
+}
+
+/// The response to a request that can't be read.
+pub fn bad_request(reason: impl Into<String>) -> FinalResponse {
+    FinalResponse::with_reason(BAD_REQUEST, reason)
+}
+
+/// The response of a final reply.
+pub fn final_response(reply: &CallReply) -> FinalResponse {
+    let none = FinalResponse { status: BAD_GATEWAY, fields: Vec::new() };
+    response::final_response(reply).unwrap_or(none)
 }
 
-/// A final answer; `why` says what is wrong with the client's link.
-pub fn final_reply(say: &CallReply, why: Option<&str>) -> (u16, HeaderFields) {
-    let (mut status, mut fields) = response::final_headers(say).unwrap_or((502, Vec::new()));
-    if let Some(why) = why {
-        // The client's own link is at fault, not the caches.
-        status = if status == 502 { 403 } else { status };
-        let reasons = fields.iter_mut().filter(|field| field.0 == "x-tindoor-reason");
-        reasons.for_each(|field| field.1 = why.to_string());
+/// The response of a final reply to a request; `denial` says why its signed URL is not valid.
+pub fn final_response_to_request(reply: &CallReply, denial: Option<&str>) -> FinalResponse {
+    let mut response = final_response(reply);
+    if let Some(denial) = denial {
+        // The client's own URL is at fault, not the endpoints.
+        response.status = if response.status == BAD_GATEWAY { FORBIDDEN } else { response.status };
+        for field in response.fields.iter_mut().filter(|field| field.name == REASON) {
+            field.value = denial.to_string();
+        }
     }
-    (status, fields)
+    response
 }
--- /dev/null
+++ b/crates/router/src/external/table_host.rs
@@ -0,0 +1,142 @@
+//! What the table of external requests acts through: the routing engine, and the mailboxes of calls.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use async_executor::Task;
+use tindoor::host::{AttemptStatus, EndpointId, Outcome, OutcomeDetail, RequestMeta, RequestSlot};
+use tindoor::time::{Moment, Span};
+use tindoor_external_requests::{CallId, CallReply, ExternalRequest, RequestNumber, TableHost};
+use tindoor_request_runtime::{Action, AdmittedRequest, Attempt, InFlightId, Mailbox};
+
+use super::ExternalProcessing;
+
+/// Requests in flight and open calls.
+#[derive(Default)]
+pub struct InFlight {
+    requests: HashMap<RequestNumber, InFlightRequest>,
+    calls: HashMap<CallId, Rc<Mailbox<CallReply>>>,
+    last_call: u64,
+}
+
+struct InFlightRequest {
+    slot: RequestSlot,
+    mailbox: Rc<Mailbox>,
+    /// Attempts that are not yet reported.
+    attempts: Vec<Attempt>,
+    /// To be counted at its end; none once it was counted.
+    admitted: Option<AdmittedRequest>,
+    _id: Option<InFlightId>,
+    /// Carries out the routing engine's actions.
+    _actor: Task<()>,
+}
+
+impl InFlight {
+    /// Adds a call with a mailbox for its replies.
+    pub fn add_call(&mut self) -> (CallId, Rc<Mailbox<CallReply>>) {
+        self.last_call += 1;
+        let (id, replies) = (CallId(self.last_call), Rc::default());
+        self.calls.insert(id, Rc::clone(&replies));
+        (id, replies)
+    }
+
+    /// Has the replies to a call go to this mailbox.
+    pub fn attach(&mut self, call: CallId, replies: &Rc<Mailbox<CallReply>>) {
+        self.calls.insert(call, Rc::clone(replies));
+    }
+
+    pub fn has_call(&self, call: CallId) -> bool {
+        self.calls.contains_key(&call)
+    }
+
+    pub fn remove_call(&mut self, call: CallId) {
+        self.calls.remove(&call);
+    }
+
+    pub fn add_attempt(&mut self, number: RequestNumber, attempt: Attempt) {
+        if let Some(request) = self.requests.get_mut(&number) {
+            request.attempts.push(attempt);
+        }
+    }
+}
+
+/// The table's host, for as long as one event takes.
+pub struct Host<'a> {
+    pub external: &'a Rc<ExternalProcessing>,
+    pub in_flight: &'a mut InFlight,
+}
+
+impl TableHost for Host<'_> {
+    fn request_started(
+        &mut self,
+        number: RequestNumber,
+        request: &ExternalRequest,
+        first_ran: Option<(Moment, EndpointId)>,
+    ) {
+        let external = Rc::clone(self.external);
+        let (slot, mailbox) = external.engine.open_request();
+        let admitted = external.engine.admit(slot, request_meta(request, first_ran), request.time_remaining);
+        let id = external.ids.reserve(request.correlation_id);
+        let actions = Rc::clone(&mailbox);
+        let actor = self.external.executor.spawn(async move {
+            loop {
+                let action = actions.next().await;
+                external.act(number, action);
+            }
+        });
+        let attempts = Vec::new();
+        let request = InFlightRequest { slot, mailbox, attempts, admitted, _id: id, _actor: actor };
+        self.in_flight.requests.insert(number, request);
+    }
+
+    fn attempt_ended(&mut self, number: RequestNumber, attempt_index: u16, outcome: Outcome, last: bool) {
+        let Some(request) = self.in_flight.requests.get_mut(&number) else { return };
+        let position = request.attempts.iter().position(|attempt| attempt.index == attempt_index);
+        let Some(position) = position else { return };
+        let attempt = request.attempts.swap_remove(position);
+        if outcome.status == AttemptStatus::Served {
+            self.external.engine.record_outcome(request.admitted.take(), true);
+        }
+        self.external.engine.attempt_ended(request.slot, &attempt, outcome, last);
+    }
+
+    fn request_abandoned(&mut self, number: RequestNumber) {
+        if let Some(request) = self.in_flight.requests.get_mut(&number) {
+            // A client that leaves is no sign of a bad policy: the request is not counted.
+            request.admitted = None;
+            self.external.engine.with(|engine| engine.request_abandoned(request.slot));
+        }
+    }
+
+    fn request_finished(&mut self, number: RequestNumber) {
+        let Some(request) = self.in_flight.requests.remove(&number) else { return };
+        let engine = &self.external.engine;
+        engine.record_outcome(request.admitted, false);
+        // Attempts that were ordered and never issued are reported as well: the routing engine would otherwise count
+        // them as in flight for ever.
+        let queued = std::iter::from_fn(|| request.mailbox.try_next()).filter_map(|action| match action {
+            Action::Send(attempt) => Some(attempt),
+            _ => None,
+        });
+        let outcome = Outcome::new(AttemptStatus::Superseded, OutcomeDetail::Unknown);
+        for attempt in request.attempts.iter().copied().chain(queued) {
+            engine.attempt_ended(request.slot, &attempt, outcome, true);
+        }
+        engine.close_request(request.slot);
+    }
+
+    fn reply(&mut self, call: CallId, reply: CallReply) {
+        if let Some(replies) = self.in_flight.calls.get(&call) {
+            replies.replace(reply);
+        }
+    }
+
+    fn retry_after(&mut self) -> Option<Span> {
+        self.external.engine.retry_after()
+    }
+}
+
+fn request_meta(request: &ExternalRequest, first_ran: Option<(Moment, EndpointId)>) -> RequestMeta {
+    let ExternalRequest { object, part, group, class, client_retry, authorization, .. } = *request;
+    RequestMeta { object, part, group, class, size_kb: None, client_retry, first_ran, authorization }
+}
--- a/crates/router/tests/called.rs
+++ b/crates/router/tests/called.rs
@@ -154,7 +154,7 @@
     let second = std::thread::spawn(move || Caller::connect(at).ask(&save("00000000000000b2")));
     // It waits. A report that somebody makes up for its number must not take its answer away.
     world.router.log.wait("the second call", |log| {
-        let calls = log.iter().filter(|line| line.contains("called stream="));
+        let calls = log.iter().filter(|line| line.contains("external request received call="));
         (calls.count() >= 2).then_some(())
     });
     for lease in 1..5 {
