--- a/crates/router/src/external/checks.rs
+++ b/crates/router/src/external/checks.rs
@@ -24,8 +24,8 @@
         "withdraw" => checks.withdrawal = false,
         "leases" => checks.leases = false,
         // Signed URLs and the fleet disable these themselves.
-        "links" | "revoked" | "clock" => {}
-        "lease" | "staged" | "compare" | "incarnation" | "synced" | "pinned" => {}
+        "links" | "revoked" | "clock" | "lease" | "staged" | "compare" | "incarnation" | "synced"
+        | "pinned" => {}
         other => tracing::error!(check = other, "unknown check"),
     }
 }
--- a/crates/router/tests/called.rs
+++ b/crates/router/tests/external_processing.rs
@@ -1,5 +1,5 @@
-//! Proxies that call the router for each request: the experiment with its faults, each guard seen to be
-//! needed, and what a peer may do to the protocol.
+//! External proxies that call the router for each request: the experiment with its faults, each detected once its check
+//! is disabled, and what a proxy may do to the protocol.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,7 +16,7 @@
     called::run(&Plan { seed, requests, seconds: 60, faults, without, clients: 24 }).unwrap()
 }
 
-fn clean(figures: &Figures) {
+fn assert_clean(figures: &Figures) {
     assert_eq!(figures.rules_broken, 0, "{}", figures.table());
     assert!(figures.done > figures.requests / 2, "{}", figures.table());
 }
@@ -24,55 +24,55 @@
 #[test]
 fn a_stock_client_of_the_published_service_gets_every_request_served() {
     let figures = experiment(1, 400, "", None);
-    clean(&figures);
+    assert_clean(&figures);
     assert_eq!(figures.done, figures.requests, "{}", figures.table());
 }
 
 #[test]
-fn with_all_faults_mixed_every_request_has_one_answer_and_no_save_is_repeated() {
-    clean(&experiment(3, 900, "all", None));
+fn with_all_faults_mixed_every_request_has_one_answer_and_no_write_runs_twice() {
+    assert_clean(&experiment(3, 900, "all", None));
 }
 
 #[test]
-fn without_the_guard_on_marks_a_save_is_repeated() {
+fn with_the_idempotency_key_check_disabled_a_repeated_write_is_detected() {
     let figures = experiment(2, 600, "ask-twice", Some("marks"));
     assert!(figures.saves_repeated > 0 && figures.rules_broken > 0, "{}", figures.table());
-    clean(&experiment(2, 600, "ask-twice", None));
+    assert_clean(&experiment(2, 600, "ask-twice", None));
 }
 
 #[test]
-fn without_the_guard_on_tickets_a_request_has_more_than_eight_attempts() {
+fn with_the_correlation_id_check_disabled_more_than_eight_attempts_are_detected() {
     let figures = experiment(2, 600, "fail", Some("tickets"));
     assert!(figures.most_attempts > 8 && figures.rules_broken > 0, "{}", figures.table());
-    clean(&experiment(2, 600, "fail", None));
+    assert_clean(&experiment(2, 600, "fail", None));
 }
 
 #[test]
-fn without_taking_back_what_has_not_left_a_drained_cache_is_still_sent_to() {
+fn with_the_withdrawal_check_disabled_requests_to_a_drained_cache_are_detected() {
     let figures = experiment(2, 1500, "window,drain", Some("withdraw"));
     assert!(figures.sent_after_drain > 0 && figures.rules_broken > 0, "{}", figures.table());
-    clean(&experiment(2, 1500, "window,drain", None));
+    assert_clean(&experiment(2, 1500, "window,drain", None));
 }
 
 #[test]
-fn without_an_end_to_leases_a_stream_on_which_nothing_is_reported_stays() {
+fn with_the_lease_check_disabled_unreported_streams_are_detected() {
     let figures = experiment(2, 300, "silent", Some("leases"));
     assert!(
         figures.more["streams_left"].as_u64() > Some(0) && figures.rules_broken > 0,
         "{}",
         figures.table()
     );
-    clean(&experiment(2, 300, "silent", None));
+    assert_clean(&experiment(2, 300, "silent", None));
 }
 
 /// A router with both fronts, and one cache.
-struct World {
-    _log: ChangeLog,
+struct Fixture {
+    _discovery: ChangeLog,
     cache: Cache,
     router: Router,
 }
 
-fn world() -> World {
+fn fixture() -> Fixture {
     let (cache, log) = (Cache::start(|_| Deed::Say(served(b"x"))), ChangeLog::start());
     let origin = Cache::start(|_| Deed::Hang);
     let members = vec![
@@ -83,21 +83,21 @@
     let fronts = Some(json!({"external_processing": listen, "call": listen}));
     let start = Start { fronts, ..Start::default() };
     let router = Router::start_with(&configuration(log.address, members), &start);
-    World { _log: log, cache, router }
+    Fixture { _discovery: log, cache, router }
 }
 
-/// A caller of the plain call.
-struct Caller(TcpStream);
+/// A client of the plain call front.
+struct PlainCallClient(TcpStream);
 
-impl Caller {
+impl PlainCallClient {
     fn connect(at: SocketAddr) -> Self {
         let stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
         Self(stream)
     }
 
-    /// The head of the answer.
-    fn ask(&mut self, head: &str) -> String {
+    /// The head of the response.
+    fn request(&mut self, head: &str) -> String {
         self.0.write_all(head.as_bytes()).unwrap();
         let (mut answer, mut byte) = (Vec::new(), [0]);
         while !answer.ends_with(b"\r\n\r\n") {
@@ -113,96 +113,100 @@
     Some(line.split_at(name.len() + 2).1)
 }
 
-const SAVE: &str = "x-nonce: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+const IDEMPOTENCY_KEY: &str = "x-nonce: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
 #[test]
-fn the_plain_call_gives_the_same_choice_and_takes_the_report() {
-    let world = world();
-    let mut caller = Caller::connect(world.router.front("call"));
-    let ask = format!("GET /v1/store/pages/{OBJECT}/3 HTTP/1.1\r\nx-ticket: 00000000000000a1\r\n\r\n");
-    let choice = caller.ask(&ask);
-    assert!(choice.starts_with("HTTP/1.1 200"), "{choice}");
-    assert_eq!(header(&choice, "x-tindoor-cache"), Some("c-1"));
-    assert_eq!(header(&choice, "x-tindoor-address"), Some(&*world.cache.address.to_string()));
-    assert_eq!(header(&choice, "x-tindoor-use-within-ms"), Some("200"));
-    assert_eq!(header(&choice, "x-source"), Some("o-1"));
-    let lease = header(&choice, "x-tindoor-lease").unwrap();
-    let report = |ticket: &str, lease: &str, status: &str| {
+fn the_plain_call_returns_the_same_decision_and_accepts_its_report() {
+    let fixture = fixture();
+    let mut client = PlainCallClient::connect(fixture.router.front("call"));
+    let request = format!("GET /v1/store/pages/{OBJECT}/3 HTTP/1.1\r\nx-ticket: 00000000000000a1\r\n\r\n");
+    let decision = client.request(&request);
+    assert!(decision.starts_with("HTTP/1.1 200"), "{decision}");
+    assert_eq!(header(&decision, "x-tindoor-cache"), Some("c-1"));
+    assert_eq!(header(&decision, "x-tindoor-address"), Some(&*fixture.cache.address.to_string()));
+    assert_eq!(header(&decision, "x-tindoor-use-within-ms"), Some("200"));
+    assert_eq!(header(&decision, "x-source"), Some("o-1"));
+    let lease = header(&decision, "x-tindoor-lease").unwrap();
+    let report = |correlation_id: &str, lease: &str, status: &str| {
         format!(
-            "POST /report HTTP/1.1\r\nx-ticket: {ticket}\r\nx-tindoor-lease: {lease}\r\nx-status: {status}\r\n\r\n"
+            "POST /report HTTP/1.1\r\nx-ticket: {correlation_id}\r\nx-tindoor-lease: {lease}\r\nx-status: {status}\r\n\r\n"
         )
     };
-    // Another request's ticket, and a lease that was never given, change nothing.
-    for (ticket, lease) in [("00000000000000a2", lease), ("00000000000000a1", "999999")] {
-        let refused = caller.ask(&report(ticket, lease, "200"));
+    // Another request's correlation id, and a lease that was never issued, change nothing.
+    for (correlation_id, lease) in [("00000000000000a2", lease), ("00000000000000a1", "999999")] {
+        let refused = client.request(&report(correlation_id, lease, "200"));
         assert_eq!(header(&refused, "x-tindoor-reason"), Some("no-choice"), "{refused}");
     }
-    assert!(caller.ask(&report("00000000000000a1", lease, "200")).starts_with("HTTP/1.1 204"));
-    let again = caller.ask(&report("00000000000000a1", lease, "200"));
-    assert_eq!(header(&again, "x-tindoor-reason"), Some("no-choice"), "given twice");
+    assert!(client.request(&report("00000000000000a1", lease, "200")).starts_with("HTTP/1.1 204"));
+    let duplicate = client.request(&report("00000000000000a1", lease, "200"));
+    assert_eq!(header(&duplicate, "x-tindoor-reason"), Some("no-choice"), "a duplicate report");
 }
 
 #[test]
-fn a_save_asked_for_twice_by_the_plain_call_is_answered_from_its_one_run() {
-    let world = world();
-    let at = world.router.front("call");
-    let save =
-        |ticket| format!("GET /v1/store/saves/{OBJECT}/0 HTTP/1.1\r\nx-ticket: {ticket}\r\n{SAVE}\r\n\r\n");
-    let mut first = Caller::connect(at);
-    let choice = first.ask(&save("00000000000000b1"));
-    let lease = header(&choice, "x-tindoor-lease").unwrap().to_string();
-    let second = std::thread::spawn(move || Caller::connect(at).ask(&save("00000000000000b2")));
-    // It waits. A report that somebody makes up for its number must not take its answer away.
-    world.router.log.wait("the second call", |log| {
+fn a_duplicate_write_by_the_plain_call_is_answered_from_its_one_run() {
+    let fixture = fixture();
+    let at = fixture.router.front("call");
+    let write = |correlation_id| {
+        format!(
+            "GET /v1/store/saves/{OBJECT}/0 HTTP/1.1\r\nx-ticket: {correlation_id}\r\n{IDEMPOTENCY_KEY}\r\n\r\n"
+        )
+    };
+    let mut first = PlainCallClient::connect(at);
+    let decision = first.request(&write("00000000000000b1"));
+    let lease = header(&decision, "x-tindoor-lease").unwrap().to_string();
+    let second = std::thread::spawn(move || PlainCallClient::connect(at).request(&write("00000000000000b2")));
+    // It waits. A report with a made-up lease must not take its reply away.
+    fixture.router.log.wait("the second call", |log| {
         let calls = log.iter().filter(|line| line.contains("external request received call="));
         (calls.count() >= 2).then_some(())
     });
     for lease in 1..5 {
         let names = format!("x-ticket: 00000000000000b9\r\nx-tindoor-lease: {lease}\r\nx-status: 200");
-        let refused = Caller::connect(at).ask(&format!("POST /report HTTP/1.1\r\n{names}\r\n\r\n"));
+        let refused =
+            PlainCallClient::connect(at).request(&format!("POST /report HTTP/1.1\r\n{names}\r\n\r\n"));
         assert_eq!(header(&refused, "x-tindoor-reason"), Some("no-choice"));
     }
     let names = format!("x-ticket: 00000000000000b1\r\nx-tindoor-lease: {lease}\r\nx-status: 200");
     let version = "x-version: 4be0c1927d55a6f3";
     assert!(
         first
-            .ask(&format!("POST /report HTTP/1.1\r\n{names}\r\n{version}\r\n\r\n"))
+            .request(&format!("POST /report HTTP/1.1\r\n{names}\r\n{version}\r\n\r\n"))
             .starts_with("HTTP/1.1 204")
     );
-    let known = second.join().unwrap();
-    assert!(known.starts_with("HTTP/1.1 200") && known.contains("x-tindoor-known: 1"), "{known}");
-    assert_eq!(header(&known, "x-version"), Some("4be0c1927d55a6f3"));
+    let replayed = second.join().unwrap();
+    assert!(replayed.starts_with("HTTP/1.1 200") && replayed.contains("x-tindoor-known: 1"), "{replayed}");
+    assert_eq!(header(&replayed, "x-version"), Some("4be0c1927d55a6f3"));
 }
 
 #[test]
-fn what_can_not_be_read_is_refused_with_the_header_at_fault() {
-    let world = world();
-    let page = format!("/v1/store/pages/{OBJECT}/3");
-    let ticket = "x-ticket: 00000000000000c1";
-    for (path, headers, fault) in [
-        ("/elsewhere", ticket, ":path"),
-        ("/v1/store/nothing/7f3a9c21e0b4d655/3", ticket, ":path"),
-        ("/v1/store/pages/7f3a9c21e0b4d655/03", ticket, ":path"),
-        ("/v1/store/pages/7f3a9c21e0b4d655/3/4", ticket, ":path"),
-        (&page, "x-other: 1", "x-ticket"),
-        (&page, "x-ticket: 00000000000000c1\r\nx-ticket: 00000000000000c2", "x-ticket"),
-        (&page, "x-ticket: 00000000000000c1\r\nx-max-ms: +5", "x-max-ms"),
-        (&page, "x-ticket: 00000000000000c1\r\nx-group: 256", "x-group"),
-        ("/v1/store/saves/7f3a9c21e0b4d655/0", ticket, "x-nonce"),
+fn an_unreadable_request_is_refused_with_the_header_at_fault() {
+    let fixture = fixture();
+    let path_of_read = format!("/v1/store/pages/{OBJECT}/3");
+    let correlation_id = "x-ticket: 00000000000000c1";
+    for (path, headers, header_at_fault) in [
+        ("/elsewhere", correlation_id, ":path"),
+        ("/v1/store/nothing/7f3a9c21e0b4d655/3", correlation_id, ":path"),
+        ("/v1/store/pages/7f3a9c21e0b4d655/03", correlation_id, ":path"),
+        ("/v1/store/pages/7f3a9c21e0b4d655/3/4", correlation_id, ":path"),
+        (&path_of_read, "x-other: 1", "x-ticket"),
+        (&path_of_read, "x-ticket: 00000000000000c1\r\nx-ticket: 00000000000000c2", "x-ticket"),
+        (&path_of_read, "x-ticket: 00000000000000c1\r\nx-max-ms: +5", "x-max-ms"),
+        (&path_of_read, "x-ticket: 00000000000000c1\r\nx-group: 256", "x-group"),
+        ("/v1/store/saves/7f3a9c21e0b4d655/0", correlation_id, "x-nonce"),
     ] {
-        let mut caller = Caller::connect(world.router.front("call"));
-        let refused = caller.ask(&format!("GET {path} HTTP/1.1\r\n{headers}\r\n\r\n"));
+        let mut client = PlainCallClient::connect(fixture.router.front("call"));
+        let refused = client.request(&format!("GET {path} HTTP/1.1\r\n{headers}\r\n\r\n"));
         assert!(refused.starts_with("HTTP/1.1 400"), "{path} {headers}: {refused}");
-        assert!(header(&refused, "x-tindoor-reason").unwrap().starts_with(fault), "{refused}");
+        assert!(header(&refused, "x-tindoor-reason").unwrap().starts_with(header_at_fault), "{refused}");
     }
-    for spoilt in ["what?\r\n\r\n", "GET / HTTP/1.1\r\ncontent-length: 5\r\n\r\nabcde"] {
-        let refused = Caller::connect(world.router.front("call")).ask(spoilt);
+    for unreadable in ["what?\r\n\r\n", "GET / HTTP/1.1\r\ncontent-length: 5\r\n\r\nabcde"] {
+        let refused = PlainCallClient::connect(fixture.router.front("call")).request(unreadable);
         assert!(refused.starts_with("HTTP/1.1 400") && refused.contains("connection: close"), "{refused}");
     }
 }
 
 #[test]
-fn a_faulty_fronts_file_is_named_with_line_and_key() {
+fn an_error_in_the_fronts_file_names_line_and_key() {
     let log = ChangeLog::start();
     let configuration = configuration(log.address, Vec::new()).to_string();
     let folder = std::env::temp_dir().join(format!("tindoor-check-{}", std::process::id()));
@@ -232,9 +236,9 @@
 const GRPC: &str = "application/grpc";
 
 #[test]
-fn each_phase_that_comes_all_the_same_is_answered_in_its_order() {
-    let world = world();
-    let front = world.router.front("external_processing");
+fn each_phase_is_replied_to_in_order() {
+    let fixture = fixture();
+    let front = fixture.router.front("external_processing");
     let chunks = vec![peer::page(1, &[]), peer::body(900), peer::answer("200"), peer::trailers()];
     let outcome = peer::call(front, PROCESS, GRPC, chunks);
     assert_eq!(outcome.said, ["request_headers", "request_body", "response_headers", "response_trailers"]);
@@ -242,9 +246,9 @@
 }
 
 #[test]
-fn what_a_peer_says_out_of_order_or_over_a_bound_ends_its_stream_with_a_status() {
-    let world = world();
-    let front = world.router.front("external_processing");
+fn messages_out_of_order_or_over_a_limit_end_their_stream_with_a_status() {
+    let fixture = fixture();
+    let front = fixture.router.front("external_processing");
     let long = [&[0][..], &(1u32 << 30).to_be_bytes()].concat().into();
     let compressed = [&[1][..], &3u32.to_be_bytes(), b"abc"].concat().into();
     let unreadable = [&[0][..], &3u32.to_be_bytes(), &[0xff; 3]].concat().into();
@@ -273,25 +277,25 @@
 }
 
 #[test]
-fn a_flood_of_resets_closes_its_own_connection_and_costs_nobody_else() {
-    let world = world();
-    let front = world.router.front("external_processing");
+fn a_flood_of_resets_closes_only_its_own_connection() {
+    let fixture = fixture();
+    let front = fixture.router.front("external_processing");
     assert!(peer::resets(front, 20_000) < 20_000, "the flood is cut off");
     let outcome = peer::call(front, PROCESS, GRPC, vec![peer::page(1, &[]), peer::answer("200")]);
     assert_eq!((outcome.said.len(), outcome.code), (2, Some(0)));
 }
 
 #[test]
-fn hundreds_that_ask_at_once_on_one_connection_are_all_served() {
-    // Small frames that lay unread closed the connection of a busy proxy.
+fn hundreds_of_concurrent_requests_on_one_connection_are_all_served() {
+    // Small frames that lie unread must not close the connection of a busy proxy.
     let figures = tindoor_testbed::choices::run(1, 2000, 250, Duration::ZERO).unwrap();
     assert_eq!((figures.answered_none, figures.done), (0, 4000), "{}", figures.table());
 }
 
 #[test]
-fn a_flood_of_continued_headers_closes_its_own_connection() {
-    let world = world();
-    let front = world.router.front("external_processing");
+fn a_flood_of_continuation_frames_closes_its_own_connection() {
+    let fixture = fixture();
+    let front = fixture.router.front("external_processing");
     let mut peer = TcpStream::connect(front).unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
     let frame = |kind: u8, flags: u8, stream: u32, body: &[u8]| {
@@ -304,30 +308,30 @@
     let field = [&[0, 1, b'a', 100][..], &[b'b'; 100]].concat();
     peer.write_all(&frame(1, 0, 1, &field)).unwrap();
     let block = field.repeat(80);
-    let cut = (0..20_000).any(|_| peer.write_all(&frame(9, 0, 1, &block)).is_err());
-    assert!(cut, "160 MB of headers were taken");
+    let is_closed = (0..20_000).any(|_| peer.write_all(&frame(9, 0, 1, &block)).is_err());
+    assert!(is_closed, "160 MB of headers were accepted");
     let outcome = peer::call(front, PROCESS, GRPC, vec![peer::page(1, &[]), peer::answer("200")]);
     assert_eq!((outcome.said.len(), outcome.code), (2, Some(0)));
 }
 
 #[test]
-fn a_peer_that_never_opens_a_window_is_given_up_and_its_request_ends() {
-    let world = world();
-    let front = world.router.front("external_processing");
+fn a_peer_that_never_opens_its_window_is_reset_and_its_request_ends() {
+    let fixture = fixture();
+    let front = fixture.router.front("external_processing");
     assert!(peer::shut_window(front), "the stream is reset");
-    world.router.terminate();
-    // Nothing is in hand any more: else the stop would wait for it, and say so.
+    fixture.router.terminate();
+    // Nothing is in flight any more: the shutdown would wait for it, and log it.
     let line =
-        world.router.log.wait("the stop", |log| log.iter().find(|line| line.contains("stopping")).cloned());
+        fixture.router.log.wait("the stop", |log| log.iter().find(|line| line.contains("stopping")).cloned());
     assert!(line.contains("requests=0"), "{line}");
 }
 
 #[test]
-fn a_thousand_streams_that_a_peer_keeps_open_are_all_a_connection_may_hold() {
-    let world = world();
-    let front = world.router.front("external_processing");
-    let held = peer::hold(front, 1100);
-    assert!((1000..=1024).contains(&held), "{held}");
+fn a_connection_may_hold_about_a_thousand_streams() {
+    let fixture = fixture();
+    let front = fixture.router.front("external_processing");
+    let accepted = peer::hold(front, 1100);
+    assert!((1000..=1024).contains(&accepted), "{accepted}");
     let outcome = peer::call(front, PROCESS, GRPC, vec![peer::page(1, &[]), peer::answer("200")]);
     assert_eq!((outcome.said.len(), outcome.code), (2, Some(0)));
 }
