--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -6,13 +6,13 @@
 
 use async_io::{Async, Timer};
 
-use crate::router::Router;
+use crate::state::RouterState;
 
 /// Accepts for as long as the router runs, and has each connection served until `talk` ends.
 pub async fn accept<F>(
-    router: Rc<Router>,
+    router: Rc<RouterState>,
     listener: Async<TcpListener>,
-    talk: impl Fn(Rc<Router>, Async<TcpStream>) -> F,
+    talk: impl Fn(Rc<RouterState>, Async<TcpStream>) -> F,
 ) where
     F: Future<Output = io::Result<()>> + 'static,
 {
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration/file.rs
@@ -9,7 +9,7 @@
 use tindoor::settings::Settings;
 use tindoor_discovery::Event;
 
-use crate::limits::{Limits, Machine};
+use crate::configuration::limits::{Limits, Machine};
 
 /// What this router is told at its start.
 pub struct Deployment {
--- a/crates/router/src/fronts.rs
+++ b/crates/router/src/configuration/fronts.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use tindoor_extproc::ask::Names;
 
-use crate::links::Told;
+use crate::signed_urls::Told;
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/router/src/locate.rs
+++ b/crates/router/src/configuration/line_numbers.rs
@@ -55,5 +55,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/locate.rs"]
+#[path = "../../tests/unit/line_numbers.rs"]
 mod stories;
--- a/crates/router/src/council.rs
+++ b/crates/router/src/council.rs
@@ -20,8 +20,8 @@
 use tindoor_quota::{BudgetKey, Quota, UNIT};
 
 use crate::command::{Fleet as Deed, Proposing};
+use crate::configuration::limits::{PeerLimits, within};
 use crate::fleet::Fleet;
-use crate::limits::{PeerLimits, within};
 
 /// Keys with their new numbers; none where a key is to go.
 type Changes = std::collections::BTreeMap<String, Option<f64>>;
--- /dev/null
+++ b/crates/router/src/discovery/mod.rs
@@ -0,0 +1,3 @@
+//! The watch of the endpoint list and of purges.
+
+pub mod watch;
--- a/crates/router/src/feed.rs
+++ b/crates/router/src/discovery/watch.rs
@@ -14,12 +14,12 @@
 use tindoor_discovery::{Event, Fleet, Line, Phase, Place, Purge};
 use tindoor_request_runtime::Clock;
 
-use crate::limits::{Limits, Seldom, within};
-use crate::router::Router;
+use crate::configuration::limits::{Limits, Seldom, within};
+use crate::state::RouterState;
 
 /// Follows the change stream on from what is known, over one connection after another; never ends. May be
 /// dropped at any time, and another follow in its place.
-pub async fn follow(router: Rc<Router>, address: SocketAddr) -> Infallible {
+pub async fn follow(router: Rc<RouterState>, address: SocketAddr) -> Infallible {
     let ended = Seldom::default();
     loop {
         let Err(what) = listen(&router, address).await;
@@ -34,7 +34,7 @@
 }
 
 /// One connection to the change stream, until it ends.
-async fn listen(router: &Router, address: SocketAddr) -> Result<Infallible> {
+async fn listen(router: &RouterState, address: SocketAddr) -> Result<Infallible> {
     let limits = &router.limits;
     let mut stream = within(limits.feed_connect, Async::<TcpStream>::connect(address)).await?;
     let since = format!("since {}\n", router.told.borrow().seq);
@@ -71,7 +71,7 @@
     })
 }
 
-fn take(router: &Router, place: &mut Place, line: &[u8]) -> Result<()> {
+fn take(router: &RouterState, place: &mut Place, line: &[u8]) -> Result<()> {
     match tindoor_discovery::parse(line) {
         Ok(Line::Beat(seq)) if seq > place.seq + place.unread && place.gap != Some(seq) => {
             place.gap = Some(seq);
@@ -102,7 +102,7 @@
 }
 
 /// Tells connections and module of one event.
-pub fn heed(router: &Router, event: Event) {
+pub fn heed(router: &RouterState, event: Event) {
     tracing::debug!(?event);
     if let Some(fleet) = event.fleet {
         listed(router, &fleet);
@@ -112,7 +112,7 @@
     }
 }
 
-fn listed(router: &Router, fleet: &Fleet) {
+fn listed(router: &RouterState, fleet: &Fleet) {
     let place = |names: &[String], name: &str| {
         let found = names.iter().position(|known| known == name);
         found.and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX)
@@ -157,7 +157,7 @@
     });
 }
 
-fn purged(router: &Router, purge: &Purge) {
+fn purged(router: &RouterState, purge: &Purge) {
     let object = match purge.object_number() {
         Ok(object) => object,
         Err(object) => return tracing::warn!(object, "a purge of no object that can be read"),
--- a/crates/router/src/client.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -14,8 +14,8 @@
 use tindoor_request_runtime::{Action, Mailbox};
 use tindoor_thrift::{Fault, Reply};
 
-use crate::caches::Held;
-use crate::limits::{Limits, within};
+use crate::configuration::limits::{Limits, within};
+use crate::upstream::pool::Held;
 
 /// In how many turns of the tasks a reader has read what has come: one to wake, one to read, one to take it.
 const CATCH_UP_TURNS: usize = 3;
--- a/crates/router/src/accept.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -13,10 +13,10 @@
 use futures_lite::future;
 use socket2::SockRef;
 
-use crate::client::{Client, Phase};
-use crate::clients::converse;
-use crate::limits::Limits;
-use crate::router::Router;
+use crate::configuration::limits::Limits;
+use crate::downstream::connection::{Client, Phase};
+use crate::downstream::session::converse;
+use crate::state::RouterState;
 
 /// Every connection of a client whose descriptor is still held, also those that the router is closing.
 #[derive(Default)]
@@ -115,7 +115,7 @@
 }
 
 /// Accepts connections for as long as the router runs.
-pub async fn accept(router: Rc<Router>, listener: Rc<Async<TcpListener>>) -> Infallible {
+pub async fn accept(router: Rc<RouterState>, listener: Rc<Async<TcpListener>>) -> Infallible {
     loop {
         // Hundreds that connect at once must not keep the connections there are from being served.
         future::yield_now().await;
@@ -139,7 +139,7 @@
 
 /// Accepts what has already come to the listener, as far as there is room; true once nothing more waits there. Closed
 /// with the listener, such a connection would be reset, with the call that it may carry.
-pub fn accept_rest(router: &Rc<Router>, listener: &Async<TcpListener>) -> bool {
+pub fn accept_rest(router: &Rc<RouterState>, listener: &Async<TcpListener>) -> bool {
     while router.clients.has_room(&router.limits) {
         match listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
             Ok(stream) => take(router, stream),
@@ -149,7 +149,7 @@
     false
 }
 
-fn take(router: &Rc<Router>, stream: Async<TcpStream>) {
+fn take(router: &Rc<RouterState>, stream: Async<TcpStream>) {
     let _ = stream.get_ref().set_nodelay(true);
     // What the system buffers for a client that reads slowly counts as memory, too.
     let _ = SockRef::from(stream.get_ref()).set_send_buffer_size(router.limits.send_buffer);
@@ -159,5 +159,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/accept.rs"]
+#[path = "../../tests/unit/downstream_connections.rs"]
 mod tests;
--- a/crates/router/src/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -13,9 +13,9 @@
 use tindoor_request_runtime::{Attempt, AttemptEnd, FinalAnswer, Mailbox, RequestTransport, run_request};
 use tindoor_thrift::{Fields, Reply, aborted, answer, try_later};
 
-use crate::caches::{End, Held};
-use crate::client::Client;
-use crate::router::Router;
+use crate::downstream::connection::Client;
+use crate::state::RouterState;
+use crate::upstream::pool::{End, Held};
 
 /// A call as its client sent it; its texts are slices of the frame.
 pub struct Call {
@@ -37,7 +37,7 @@
 
 /// The client's side of one request: its attempts go to caches, its answer to the client's connection.
 struct Served<'a> {
-    router: &'a Router,
+    router: &'a RouterState,
     client: &'a Client,
     mailbox: &'a Rc<Mailbox>,
     call: &'a Call,
@@ -68,7 +68,7 @@
 
 /// Serves one call: reads it strictly, then lives its request through.
 pub async fn serve(
-    router: Rc<Router>,
+    router: Rc<RouterState>,
     client: Rc<Client>,
     call: Call,
     no: RequestSlot,
@@ -156,7 +156,7 @@
 }
 
 /// Reads the fields of a call; names the one that is missing or can't be used.
-fn wanted<'a>(router: &Router, call: &'a Call) -> Result<Wanted<'a>, &'static str> {
+fn wanted<'a>(router: &RouterState, call: &'a Call) -> Result<Wanted<'a>, &'static str> {
     let text = |name: &'static str| {
         call.fields.get(name).map(|value| plain(value, router.limits.text).ok_or(name)).transpose()
     };
--- a/crates/router/src/clients.rs
+++ b/crates/router/src/downstream/session.rs
@@ -9,10 +9,10 @@
 use futures_lite::{StreamExt, future};
 use tindoor_thrift::{Fault, Message, Objection, aborted, application_exception};
 
-use crate::client::{Client, Phase, frames, unreadable, write};
-use crate::limits::{Limits, within};
-use crate::request::{self, Call};
-use crate::router::Router;
+use crate::configuration::limits::{Limits, within};
+use crate::downstream::connection::{Client, Phase, frames, unreadable, write};
+use crate::downstream::request::{self, Call};
+use crate::state::RouterState;
 use tindoor_request_runtime::Action;
 
 /// Which side of a connection ended first, and how.
@@ -22,7 +22,7 @@
 }
 
 /// One connection until either side closes it; what is still open then has nobody waiting.
-pub async fn converse(router: Rc<Router>, client: Rc<Client>) {
+pub async fn converse(router: Rc<RouterState>, client: Rc<Client>) {
     // Lives on while the connection is closed: an answer that is written in part must be written whole, or what
     // follows it can't be read.
     let mut writing = pin!(write(&router.limits, &client));
@@ -61,7 +61,7 @@
     let _ = within(limits.linger, client.drop_rest(limits.read)).await;
 }
 
-async fn read(router: &Rc<Router>, client: &Rc<Client>) -> io::Result<()> {
+async fn read(router: &Rc<RouterState>, client: &Rc<Client>) -> io::Result<()> {
     let mut frames = pin!(frames(client, router.limits));
     while let Some((frame, arrived)) = frames.try_next().await? {
         client.used.set(arrived);
@@ -75,7 +75,7 @@
 }
 
 /// Takes one frame; an error closes the connection.
-fn take(router: &Rc<Router>, client: &Rc<Client>, frame: Bytes, arrived: Instant) -> io::Result<()> {
+fn take(router: &Rc<RouterState>, client: &Rc<Client>, frame: Bytes, arrived: Instant) -> io::Result<()> {
     let size = frame.len();
     let frame = if size <= router.limits.small_frame { Bytes::copy_from_slice(&frame) } else { frame };
     match tindoor_thrift::parse(frame) {
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -25,8 +25,8 @@
 use tindoor_quota::{BudgetKey, Quota, RetryBudget};
 use tindoor_request_runtime::{AdmissionGate, FillCharge};
 
+use crate::configuration::limits::PeerLimits;
 use crate::folder::Folder;
-use crate::limits::PeerLimits;
 use crate::peers::Peers;
 
 /// What our own file says of a fleet. Its terms must be told alike to all its routers.
--- a/crates/router/src/operate.rs
+++ b/crates/router/src/operate.rs
@@ -16,7 +16,7 @@
 use tindoor_signed_urls::{Format, edit, holds, keys as sets, normal};
 
 use crate::command::{Algorithm, Form, Keys, Link, NewKey, Of};
-use crate::links::read_keys;
+use crate::signed_urls::read_keys;
 
 fn unix() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -13,7 +13,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use tindoor_consensus::Frame;
 
-use crate::limits::{PeerLimits, Seldom, within};
+use crate::configuration::limits::{PeerLimits, Seldom, within};
 
 /// The first line on each connection, with the fleet's and the sender's name after it.
 const HELLO: &str = "tindoor-membership 1";
--- a/crates/router/src/places.rs
+++ b/crates/router/src/places.rs
@@ -3,9 +3,9 @@
 use tindoor_external_requests::RoutingDecision;
 use tindoor_extproc::say::RoutingTarget;
 
-use crate::router::Router;
+use crate::state::RouterState;
 
-pub fn of(router: &Router, decision: &RoutingDecision) -> RoutingTarget {
+pub fn of(router: &RouterState, decision: &RoutingDecision) -> RoutingTarget {
     let address = router.caches.address(decision.cache).map(|address| address.to_string());
     let source =
         decision.directives.map(|directives| directives.source).filter(|source| *source != decision.cache);
--- a/crates/router/src/processor.rs
+++ b/crates/router/src/processor.rs
@@ -21,10 +21,10 @@
 use tindoor_extproc::say;
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 
+use crate::configuration::limits::within;
 use crate::external::Open;
-use crate::limits::within;
 use crate::places;
-use crate::router::Router;
+use crate::state::RouterState;
 use crate::wanted::{Wanted, refused, unix_ms, wanted};
 
 /// How one stream ended, as gRPC's status: a code and words.
@@ -39,7 +39,7 @@
 const UNAVAILABLE: u16 = 14;
 
 /// One connection, until either side ends it.
-pub async fn converse(router: Rc<Router>, stream: Async<TcpStream>, names: Rc<Names>) -> io::Result<()> {
+pub async fn converse(router: Rc<RouterState>, stream: Async<TcpStream>, names: Rc<Names>) -> io::Result<()> {
     let limits = &router.limits;
     let mut builder = h2::server::Builder::new();
     // Guards against one proxy's flood: streams, resets before they are taken, and headers are bounded by
@@ -94,7 +94,7 @@
 
 /// One call of the service: its stream of messages, and its status at the end.
 async fn answer(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
     names: &Names,
@@ -135,7 +135,7 @@
 
 /// The two directions of one stream.
 struct Talk<'a> {
-    router: &'a Router,
+    router: &'a RouterState,
     sender: SendStream<Bytes>,
     reader: RecvStream,
     read: BytesMut,
@@ -203,7 +203,7 @@
 }
 
 /// Serves one request of a proxy, from its headers to the end of its stream.
-async fn serve(router: &Rc<Router>, talk: &mut Talk<'_>, names: &Names) -> Result<(), Over> {
+async fn serve(router: &Rc<RouterState>, talk: &mut Talk<'_>, names: &Names) -> Result<(), Over> {
     // Read strictly, before anybody is asked.
     let first = within(router.limits.frame_wait, async { Ok(talk.next().await) }).await;
     let first = first.map_err(|_| Some((LATE, "no headers came in time")))??;
--- a/crates/router/src/links.rs
+++ b/crates/router/src/signed_urls/mod.rs
@@ -22,7 +22,7 @@
 use tindoor_signed_urls::uri_signing::UriSigning;
 use tindoor_signed_urls::verification_cache::{Bounds, Refused, VerificationCache};
 
-use crate::limits::Seldom;
+use crate::configuration::limits::Seldom;
 
 /// As the fronts file has it.
 #[derive(Debug, Deserialize)]
--- a/crates/router/src/router.rs
+++ b/crates/router/src/state.rs
@@ -9,16 +9,16 @@
 use tindoor_extproc::ask::RequestClass as Asked;
 use tindoor_request_runtime::{EngineHandle, InFlightIds};
 
-use crate::accept::Connections;
-use crate::caches::{Budget, Caches};
-use crate::configuration::RequestClass;
+use crate::configuration::file::RequestClass;
+use crate::configuration::limits::{Limits, Seldom};
+use crate::downstream::listener::Connections;
 use crate::external::ExternalProcessing;
 use crate::fleet::Fleet;
-use crate::limits::{Limits, Seldom};
-use crate::links::Links;
+use crate::signed_urls::Links;
+use crate::upstream::pool::{Budget, Caches};
 
 /// What every task of the router shares.
-pub struct Router {
+pub struct RouterState {
     pub executor: Rc<LocalExecutor<'static>>,
     pub limits: Limits,
     pub classes: Vec<RequestClass>,
--- a/crates/router/src/subrequests.rs
+++ b/crates/router/src/subrequests.rs
@@ -11,10 +11,10 @@
 use tindoor_extproc::ask::{self, Headers, Names};
 use tindoor_extproc::say::{self, Fields};
 
+use crate::configuration::limits::within;
 use crate::external::Open;
-use crate::limits::within;
 use crate::places;
-use crate::router::Router;
+use crate::state::RouterState;
 use crate::wanted::{Wanted, refused, unix_ms, wanted};
 
 /// A request's head as it was read.
@@ -43,7 +43,11 @@
 }
 
 /// One connection: one request after another, each answered before the next is read.
-pub async fn converse(router: Rc<Router>, mut stream: Async<TcpStream>, names: Rc<Names>) -> io::Result<()> {
+pub async fn converse(
+    router: Rc<RouterState>,
+    mut stream: Async<TcpStream>,
+    names: Rc<Names>,
+) -> io::Result<()> {
     let (router, names) = (&router, &*names);
     let mut read = Vec::new();
     loop {
@@ -69,7 +73,7 @@
 
 /// Reads the next request; none where the caller has closed.
 async fn next(
-    router: &Router,
+    router: &RouterState,
     stream: &mut Async<TcpStream>,
     read: &mut Vec<u8>,
 ) -> io::Result<Option<Asked>> {
@@ -110,7 +114,7 @@
 }
 
 async fn give(
-    router: &Router,
+    router: &RouterState,
     stream: &mut Async<TcpStream>,
     status: u16,
     fields: &Fields,
@@ -129,7 +133,7 @@
 
 /// A choice, or a final refusal. One that ends its connection before has given the request up.
 async fn choose(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     stream: &mut Async<TcpStream>,
     asked: &Asked,
     names: &Names,
@@ -185,7 +189,7 @@
 /// How a choice ended: 204 has the proxy pass the answer on, 200 has it call again, all others are the
 /// answer.
 async fn report(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     stream: &mut Async<TcpStream>,
     asked: &Asked,
     names: &Names,
--- /dev/null
+++ b/crates/router/src/upstream/mod.rs
@@ -0,0 +1,3 @@
+//! Connections to endpoints and the exchanges on them.
+
+pub mod pool;
--- a/crates/router/src/caches.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -12,7 +12,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use tindoor::host::{AttemptStatus, EndpointId, EndpointState, OutcomeDetail};
 
-use crate::limits::{Limits, Seldom, within};
+use crate::configuration::limits::{Limits, Seldom, within};
 
 /// A connection that counts against the limit as long as it lives.
 struct Link {
@@ -421,5 +421,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/caches.rs"]
+#[path = "../../tests/unit/upstream_pool.rs"]
 mod tests;
--- a/crates/router/src/wanted.rs
+++ b/crates/router/src/wanted.rs
@@ -6,8 +6,8 @@
 use tindoor_extproc::say::{self, Fields};
 use tindoor_signed_urls::playback::Playback;
 
-use crate::links::Judged;
-use crate::router::Router;
+use crate::signed_urls::Judged;
+use crate::state::RouterState;
 
 /// What is asked, read and checked.
 pub struct Wanted {
@@ -21,12 +21,12 @@
 }
 
 /// Unix milliseconds, by the one clock of the router.
-pub fn unix_ms(router: &Router) -> u64 {
+pub fn unix_ms(router: &RouterState) -> u64 {
     router.engine.clock.now().since(Moment::default()).as_micros() / 1000
 }
 
 /// Reads a call; names the header that can't be used.
-pub fn wanted(router: &Router, headers: &Headers, names: &Names) -> Result<Wanted, ask::Fault> {
+pub fn wanted(router: &RouterState, headers: &Headers, names: &Names) -> Result<Wanted, ask::Fault> {
     let Some(links) = &router.links else {
         let call = ask::call(headers, names, &router.asked)?;
         return Ok(Wanted { call, path: None, why: None, playback: None });
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -229,7 +229,7 @@
     client.0.shutdown(std::net::Shutdown::Write).unwrap();
     gate.let_go();
     // The one attempt ends, and so do those that follow, without having been sent.
-    let ended = |log: &mut Vec<String>| log.iter().filter(|line| line.contains("Moot")).count();
+    let ended = |log: &mut Vec<String>| log.iter().filter(|line| line.contains("Superseded")).count();
     world.router.log.wait("a further attempt to be left", |log| (ended(log) > 0).then_some(()));
     assert_eq!(world.cache.count(), 1);
 }
--- a/crates/router/tests/unit/accept.rs
+++ b/crates/router/tests/unit/downstream_connections.rs
@@ -8,8 +8,8 @@
 use tindoor_thrift::aborted;
 
 use super::*;
-use crate::client::frames;
-use crate::limits::Machine;
+use crate::configuration::limits::Machine;
+use crate::downstream::connection::frames;
 
 /// Both ends of a connection.
 fn connection() -> (Rc<Client>, TcpStream) {
--- a/crates/router/tests/unit/caches.rs
+++ b/crates/router/tests/unit/upstream_pool.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::*;
-use crate::limits::Machine;
+use crate::configuration::limits::Machine;
 
 const LONG: Duration = Duration::from_secs(3600);
 
