--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -7,7 +7,10 @@
 
 use golden::Recording;
 use serde_json::error::Category;
-use tindoor_discovery::{Event, Fleet, Line, Member, Phase, Purge, object_number, parse, take_line};
+use tindoor_discovery::{
+    EndpointEntry, EndpointList, EndpointPhase, InvalidObjectId, Purge, WatchEvent, WatchMessage, parse_line,
+    parse_object_id, take_line,
+};
 
 fn recordings() -> Vec<Recording> {
     vec![("lines.txt", lines()), ("taken.txt", taken()), ("objects.txt", objects())]
@@ -24,47 +27,47 @@
     golden::record(&recordings());
 }
 
-fn phase_name(phase: Phase) -> &'static str {
+fn phase_name(phase: EndpointPhase) -> &'static str {
     match phase {
-        Phase::Active => "active",
-        Phase::Leaving => "leaving",
-        Phase::Left => "left",
-        Phase::Unknown => "unknown",
+        EndpointPhase::Active => "active",
+        EndpointPhase::Draining => "leaving",
+        EndpointPhase::Removed => "left",
+        EndpointPhase::Unknown => "unknown",
     }
 }
 
-fn member_text(member: &Member) -> String {
-    let Member { id, host_port, locality, flavor, cell, phase, size, up_since_ms } = member;
+fn entry_text(entry: &EndpointEntry) -> String {
+    let EndpointEntry { id, address, location, kind, cell, phase, size, started_unix_ms } = entry;
     format!(
-        "    endpoint {id:?} at {host_port:?}, locality {locality:?}, flavor {flavor:?}, cell {cell}, \
-         phase {}, size {size}, up since {up_since_ms}\n",
+        "    endpoint {id:?} at {address:?}, locality {location:?}, flavor {kind:?}, cell {cell}, \
+         phase {}, size {size}, up since {started_unix_ms}\n",
         phase_name(*phase)
     )
 }
 
-fn fleet_text(fleet: &Fleet) -> String {
-    let members: String = fleet.members.iter().map(member_text).collect();
-    format!("    endpoints, complete {}\n{members}", fleet.complete)
+fn list_text(list: &EndpointList) -> String {
+    let entries: String = list.entries.iter().map(entry_text).collect();
+    format!("    endpoints, complete {}\n{entries}", list.complete)
 }
 
 fn purge_text(purge: &Purge) -> String {
-    let number = match purge.object_number() {
+    let number = match purge.object_id() {
         Ok(Some(number)) => format!("{number:016x}"),
         Ok(None) => "none".to_string(),
-        Err(text) => format!("not a number: {text:?}"),
+        Err(InvalidObjectId(text)) => format!("not a number: {text:?}"),
     };
-    let Purge { object, bucket, time } = purge;
-    format!("    purge of object {object:?} ({number}), group {bucket:?}, time {time}\n")
+    let Purge { object, group, unix_ms } = purge;
+    format!("    purge of object {object:?} ({number}), group {group:?}, time {unix_ms}\n")
 }
 
-fn event_text(Event { seq, fleet, invalidate }: &Event) -> String {
-    let fleet = fleet.as_ref().map_or(String::new(), fleet_text);
-    let purge = invalidate.as_ref().map_or(String::new(), purge_text);
-    format!("    event {seq}\n{fleet}{purge}")
+fn event_text(WatchEvent { sequence, endpoints, purge }: &WatchEvent) -> String {
+    let list = endpoints.as_ref().map_or(String::new(), list_text);
+    let purge = purge.as_ref().map_or(String::new(), purge_text);
+    format!("    event {sequence}\n{list}{purge}")
 }
 
-/// The kind and place of a fault; its words name the program's own types.
-fn fault_text(error: &serde_json::Error) -> String {
+/// The kind and place of an error; its words name the program's own types.
+fn error_text(error: &serde_json::Error) -> String {
     let kind = match error.classify() {
         Category::Io => "input",
         Category::Syntax => "syntax",
@@ -75,10 +78,10 @@
 }
 
 fn line_text(line: &str) -> String {
-    let read = match parse(line.as_bytes()) {
-        Ok(Line::Beat(number)) => format!("    heartbeat {number}\n"),
-        Ok(Line::Event(event)) => event_text(&event),
-        Err(error) => format!("    fault: {}\n", fault_text(&error)),
+    let read = match parse_line(line.as_bytes()) {
+        Ok(WatchMessage::Heartbeat(number)) => format!("    heartbeat {number}\n"),
+        Ok(WatchMessage::Event(event)) => event_text(&event),
+        Err(error) => format!("    fault: {}\n", error_text(&error)),
     };
     format!("{line:?}\n{read}")
 }
@@ -164,7 +167,7 @@
         "+f3a9c21e0b4d655",
         "",
     ];
-    let number = |text: &str| object_number(text.as_bytes());
+    let number = |text: &str| parse_object_id(text.as_bytes());
     let dump = |text: &&str| {
         format!("{text:?}: {}\n", number(text).map_or("-".to_string(), |number| number.to_string()))
     };
--- a/crates/http/src/outcome.rs
+++ b/crates/http/src/outcome.rs
@@ -1,10 +1,11 @@
-//! What an answer of a cache says of the attempt.
+//! What an endpoint's response says about the attempt.
 
 use tindoor::host::{AttemptStatus, OutcomeDetail};
 
-/// The verdict that a status stands for, with whether `X-Shed` is set; none for one that no page names.
-pub fn attempt_status(status: u16, shed: bool) -> Option<AttemptStatus> {
-    match (status, shed) {
+/// The attempt status for a status code, with whether `X-Shed` is set; `None` for codes that the protocol does not
+/// name.
+pub fn attempt_status(status: u16, rejected: bool) -> Option<AttemptStatus> {
+    match (status, rejected) {
         (200 | 304, _) => Some(AttemptStatus::Served),
         (404, _) => Some(AttemptStatus::Miss),
         (503, true) => Some(AttemptStatus::Overloaded),
@@ -14,7 +15,7 @@
     }
 }
 
-/// The note that a remark stands for; none for one that no page names.
+/// The detail for an `X-Remark`; `None` for words that the protocol does not name.
 pub fn outcome_detail(remark: &str) -> Option<OutcomeDetail> {
     Some(match remark {
         "" => OutcomeDetail::Unknown,
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -8,7 +8,9 @@
 
 use golden::Recording;
 use tindoor::host::{AttemptStatus, OutcomeDetail};
-use tindoor_http::{Ask, Fault, Head, attempt_status, head, outcome_detail};
+use tindoor_http::{
+    EndpointRequest, ParseError, ResponseHead, attempt_status, outcome_detail, parse_response_head,
+};
 
 fn recordings() -> Vec<Recording> {
     vec![
@@ -35,26 +37,26 @@
 }
 
 /// What a read of a class that may be filled has at least.
-fn read<'a>() -> Ask<'a> {
-    Ask {
+fn read<'a>() -> EndpointRequest<'a> {
+    EndpointRequest {
         class: "pages",
         object: "7f3a9c21e0b4d655",
         part: "3",
         correlation_id: "9b1f03aa5c7e2d41",
-        wait_ms: 1200,
-        ..Ask::default()
+        timeout_ms: 1200,
+        ..EndpointRequest::default()
     }
 }
 
-fn request(title: &str, ask: Ask) -> String {
-    section(title, &shown(ask.head().as_bytes()))
+fn request(title: &str, request: EndpointRequest) -> String {
+    section(title, &shown(request.encode_head().as_bytes()))
 }
 
 fn requests() -> String {
     let key = Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-    let write = Ask { class: "saves", nonce: key, body: 48_000, ..read() };
-    let every = Ask {
-        source: Some("p-1"),
+    let write = EndpointRequest { class: "saves", idempotency_key: key, body_length: 48_000, ..read() };
+    let every = EndpointRequest {
+        fill_source: Some("p-1"),
         retention_rank: 2,
         max_age_ms: Some(8000),
         join_fill: true,
@@ -65,55 +67,63 @@
     };
     let mut out = [
         request("read", read()),
-        request("read with a source", Ask { source: Some("p-1"), ..read() }),
-        request("read with a rank", Ask { retention_rank: 1, ..read() }),
-        request("read with the highest rank", Ask { retention_rank: u8::MAX, ..read() }),
-        request("read with an age", Ask { max_age_ms: Some(1), ..read() }),
-        request("read with the age 0", Ask { max_age_ms: Some(0), ..read() }),
-        request("read with the client's version", Ask { client_tag: Some("4be0c1927d55a6f3"), ..read() }),
-        request("read without time left", Ask { wait_ms: 0, ..read() }),
-        request("read with the longest time left", Ask { wait_ms: u64::MAX, ..read() }),
+        request("read with a source", EndpointRequest { fill_source: Some("p-1"), ..read() }),
+        request("read with a rank", EndpointRequest { retention_rank: 1, ..read() }),
+        request("read with the highest rank", EndpointRequest { retention_rank: u8::MAX, ..read() }),
+        request("read with an age", EndpointRequest { max_age_ms: Some(1), ..read() }),
+        request("read with the age 0", EndpointRequest { max_age_ms: Some(0), ..read() }),
+        request(
+            "read with the client's version",
+            EndpointRequest { client_tag: Some("4be0c1927d55a6f3"), ..read() },
+        ),
+        request("read without time left", EndpointRequest { timeout_ms: 0, ..read() }),
+        request("read with the longest time left", EndpointRequest { timeout_ms: u64::MAX, ..read() }),
         request("write with idempotency key", write),
-        request("write with idempotency key, without body", Ask { body: 0, ..write }),
-        request("write that is not idempotent", Ask { class: "orders", nonce: None, ..write }),
+        request("write with idempotency key, without body", EndpointRequest { body_length: 0, ..write }),
+        request(
+            "write that is not idempotent",
+            EndpointRequest { class: "orders", idempotency_key: None, ..write },
+        ),
         request("with every field", every),
     ]
     .concat();
     for bits in 0..8 {
         let [join, only_if_cached, refresh] = [1, 2, 4].map(|bit| bits & bit > 0);
         let title = format!("modes: join {join}, from cache only {only_if_cached}, renew {refresh}");
-        out +=
-            &request(&title, Ask { join_fill: join, only_if_cached, refresh, source: Some("p-1"), ..read() });
+        out += &request(
+            &title,
+            EndpointRequest { join_fill: join, only_if_cached, refresh, fill_source: Some("p-1"), ..read() },
+        );
     }
     out
 }
 
-fn head_text(head: &Head) -> String {
-    let Head { size, status, length, shed, remark, closes } = head;
+fn head_text(head: &ResponseHead) -> String {
+    let ResponseHead { head_length, status, body_length, rejected, remark, closes_connection } = head;
     format!(
-        "status {status}, head of {size} bytes, body of {length} bytes, rejected {shed}, remark {remark:?}, \
-         closes {closes}, interim {}",
+        "status {status}, head of {head_length} bytes, body of {body_length} bytes, rejected {rejected}, remark {remark:?}, \
+         closes {closes_connection}, interim {}",
         head.is_interim()
     )
 }
 
-/// The kind of a fault; its words are for the log alone.
-fn fault_name(fault: Fault) -> &'static str {
-    match fault {
-        Fault::LongHead => "long head",
-        Fault::Status => "status",
-        Fault::Header => "header",
-        Fault::Length => "length",
-        Fault::LongBody => "long body",
+/// The kind of an error; its words are for the log alone.
+fn error_name(error: ParseError) -> &'static str {
+    match error {
+        ParseError::HeadTooLong => "long head",
+        ParseError::InvalidStatusLine => "status",
+        ParseError::InvalidHeader => "header",
+        ParseError::InvalidLength => "length",
+        ParseError::BodyTooLong => "long body",
     }
 }
 
 /// What is read from these bytes with a limit of 200 bytes of head and 100 of body.
 fn response(bytes: &[u8]) -> String {
-    let read = match head(bytes, 200, 100) {
+    let read = match parse_response_head(bytes, 200, 100) {
         Ok(Some(head)) => head_text(&head),
         Ok(None) => "not whole yet".to_string(),
-        Err(fault) => format!("fault: {}", fault_name(fault)),
+        Err(error) => format!("fault: {}", error_name(error)),
     };
     let title = if bytes.len() > 200 { format!("({} bytes)", bytes.len()) } else { shown(bytes) };
     section(&title, &read)
--- a/crates/router/src/callers.rs
+++ b/crates/router/src/callers.rs
@@ -19,8 +19,8 @@
     let open = Rc::new(());
     loop {
         // What waits costs the others nothing.
-        if Rc::strong_count(&open) > router.limits.proxies {
-            Timer::after(router.limits.look_again).await;
+        if Rc::strong_count(&open) > router.limits.proxy.max_connections {
+            Timer::after(router.limits.poll_interval).await;
             continue;
         }
         match listener.accept().await {
@@ -36,11 +36,11 @@
                 router.executor.spawn(served).detach();
             }
             Err(error) => {
-                if let Some(times) = router.no_room.told() {
+                if let Some(times) = router.overload_log.record() {
                     tracing::warn!(%error, times, "can't accept a proxy");
                 }
-                router.caches.sweep();
-                Timer::after(router.limits.look_again).await;
+                router.endpoints.sweep_idle();
+                Timer::after(router.limits.poll_interval).await;
             }
         }
     }
--- a/crates/router/src/configuration/file.rs
+++ b/crates/router/src/configuration/file.rs
@@ -1,183 +1,188 @@
-//! The one place where configuration is read, checked and given defaults.
+//! The router's configuration file: reads, checks and completes it with defaults.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use anyhow::{Context, Result, anyhow, ensure};
 use serde_json::{Map, Value};
 use tindoor::settings::Settings;
-use tindoor_discovery::Event;
-
-use crate::configuration::limits::{Limits, Machine};
-
-/// What this router is told at its start.
-pub struct Deployment {
+use tindoor_discovery::WatchEvent;
+
+use super::ConfigurationError;
+use super::limits::{LimitInputs, Limits};
+use super::request_classes::{RequestClass, parse_request_classes};
+use super::section::{List, Section};
+
+type Result<T> = std::result::Result<T, ConfigurationError>;
+
+/// The longest time that may be configured, in microseconds: an hour.
+const MAX_TIME_US: u64 = 3_600_000_000;
+/// The shortest connection timeouts, in microseconds.
+const MIN_CONNECTION_TIME_US: u64 = 1_000;
+const DEFAULT_CONNECT_TIMEOUT_US: u64 = 400_000;
+const DEFAULT_ENDPOINT_IDLE_TIMEOUT_US: u64 = 30_000_000;
+const DEFAULT_WARM_UP_US: u64 = 20_000_000;
+const DEFAULT_MEMORY_MB: u64 = 192;
+const DEFAULT_DESCRIPTORS: u64 = 1024;
+const MAX_OPEN_REQUESTS: u64 = 1 << 12;
+/// The most that may be configured of memory, descriptors or requests.
+const MAX_COUNT: u64 = 1 << 20;
+/// Keys that a reload applies, or that have no meaning after the start.
+const RELOADABLE_KEYS: [&str; 3] = ["changelog", "known", "seed"];
+
+/// The checked configuration of one router.
+pub struct Configuration {
+    /// The router's name.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The seed of random numbers.
     pub seed: u64,
+    /// Where the change stream is.
     pub discovery: SocketAddr,
-    /// The change stream up to the start.
-    pub known: Vec<Event>,
-    pub known_seq: u64,
+    /// Events of the change stream up to the start.
+    pub initial_events: Vec<WatchEvent>,
+    /// The number of the last of them.
+    pub initial_sequence: u64,
+    /// Settings of the routing engine.
     pub engine_settings: Settings,
-    /// Request classes, locations and kinds of caches by their names, in the order of the settings.
+    /// Request classes, in the order of the settings.
     pub classes: Vec<RequestClass>,
+    /// The names of the locations, in the order of the settings.
     pub locations: Vec<String>,
-    pub kinds: Vec<String>,
+    /// The names of the kinds of endpoints, in the order of the settings.
+    pub endpoint_kinds: Vec<String>,
+    /// The limits that follow from it.
     pub limits: Limits,
-    /// The shorter of the drain grace and the purge grace.
+    /// The shorter of the grace periods after a drain and after a purge.
     pub grace: Duration,
-    /// The longest window of an request class whose repeats are told by marks.
-    pub window: Duration,
-    pub fixed: Fixed,
+    /// The longest time in which an idempotency key may be used again.
+    pub idempotency_window: Duration,
+    /// The settings that a reload does not apply.
+    pub fixed: FixedSettings,
 }
 
-/// What holds from the start to the end of the process, by its keys.
-pub struct Fixed(Map<String, Value>);
+/// The settings that hold from the start to the end of the process, by top-level key.
+pub struct FixedSettings(Map<String, Value>);
+
+impl FixedSettings {
+    fn of(file: &Value) -> Self {
+        let entries = file.as_object().into_iter().flatten();
+        let fixed = entries.filter(|(key, _)| !RELOADABLE_KEYS.contains(&key.as_str()));
+        Self(fixed.map(|(key, value)| (key.clone(), value.clone())).collect())
+    }
 
-impl Fixed {
-    /// The keys whose values are not the same in both.
-    pub fn differ<'a>(&'a self, other: &'a Self) -> BTreeSet<&'a str> {
+    /// The keys whose values differ.
+    pub fn changed_keys<'a>(&'a self, other: &'a Self) -> BTreeSet<&'a str> {
         let keys = self.0.keys().chain(other.0.keys()).map(String::as_str);
         keys.filter(|key| self.0.get(*key) != other.0.get(*key)).collect()
     }
 }
 
-pub struct RequestClass {
-    pub name: String,
-    /// A repeat is told by its nonce.
-    pub tagged: bool,
-    pub cut_off: Duration,
+/// What the router itself reads of the settings; the engine's own are read by `tindoor_settings`.
+struct DeploymentSettings<'a> {
+    classes: Vec<RequestClass>,
+    grace: Duration,
+    idempotency_window: Duration,
+    warm_up: Duration,
+    locations: Vec<String>,
+    engine_limits: Section<'a>,
 }
 
-/// The JSON object, and where in the configuration it stands, for messages.
-struct Place<'a>(&'a Value, String);
-
-impl<'a> Place<'a> {
-    fn find(&self, key: &str) -> (Option<&'a Value>, String) {
-        let path = if self.1.is_empty() { key.to_string() } else { format!("{}.{key}", self.1) };
-        (self.0.get(key).filter(|value| !value.is_null()), path)
-    }
-
-    fn at(&self, key: &str) -> Result<Place<'a>> {
-        let (value, path) = self.find(key);
-        let value = value.with_context(|| format!("{path}: missing"))?;
-        ensure!(value.is_object(), "{path}: not an object");
-        Ok(Place(value, path))
-    }
-
-    fn word(&self, key: &str) -> Result<&'a str> {
-        let (value, path) = self.find(key);
-        let value = value.with_context(|| format!("{path}: missing"))?;
-        value.as_str().filter(|word| !word.is_empty()).with_context(|| format!("{path}: not a string"))
-    }
-
-    fn list(&self, key: &str) -> Result<(&'a [Value], String)> {
-        let (value, path) = self.find(key);
-        let value = value.with_context(|| format!("{path}: missing"))?;
-        Ok((value.as_array().with_context(|| format!("{path}: not a list"))?, path))
+impl<'a> DeploymentSettings<'a> {
+    fn parse(settings: &Section<'a>) -> Result<Self> {
+        let class_list = settings.list("request_classes")?;
+        let classes = parse_request_classes(&class_list)?;
+        let rules = settings.object("rules")?;
+        let drain_grace = rules.number("drain_grace", 0..=u64::MAX)?;
+        let family_info = settings.optional_object("family_info")?;
+        let purge_grace = family_info.number_or("heed_within", 0..=u64::MAX, drain_grace)?;
+        let warm_up = rules.number_or("warm_within", 0..=MAX_TIME_US, DEFAULT_WARM_UP_US)?;
+        let locations = settings.texts("zones")?;
+        settings.number("zone", 0..=locations.len().saturating_sub(1) as u64)?;
+        Ok(Self {
+            classes,
+            grace: Duration::from_micros(drain_grace.min(purge_grace)),
+            idempotency_window: longest_window(&class_list),
+            warm_up: Duration::from_micros(warm_up),
+            locations,
+            engine_limits: settings.object("limits")?,
+        })
     }
 
-    fn words(&self, key: &str) -> Result<Vec<String>> {
-        let (list, path) = self.list(key)?;
-        let word = |(i, value): (usize, &Value)| {
-            value.as_str().map(str::to_string).with_context(|| format!("{path}[{i}]: not a string"))
+    /// The limits of a process with these bounds on what it may use.
+    fn limits(&self, process: &Section, descriptors_allowed: usize) -> Result<Limits> {
+        let memory_mb = process.number_or("memory_mb", 32..=MAX_COUNT, DEFAULT_MEMORY_MB)?;
+        let descriptors = process.number_or("sockets", 64..=MAX_COUNT, DEFAULT_DESCRIPTORS)?;
+        let connection_time = |key, default| {
+            let time = self.engine_limits.number_or(key, MIN_CONNECTION_TIME_US..=MAX_TIME_US, default);
+            time.map(Duration::from_micros)
         };
-        list.iter().enumerate().map(word).collect()
+        let connect_timeout = connection_time("connect_timeout", DEFAULT_CONNECT_TIMEOUT_US)?;
+        let endpoint_idle_timeout = connection_time("conn_idle", DEFAULT_ENDPOINT_IDLE_TIMEOUT_US)?;
+        let max_open_requests = self.engine_limits.number_or("open_cap", 1..=MAX_COUNT, MAX_OPEN_REQUESTS)?;
+        Ok(Limits::new(LimitInputs {
+            memory_mb,
+            descriptors: descriptors_allowed.min(descriptors as usize),
+            connect_timeout,
+            endpoint_idle_timeout,
+            longest_deadline: self.classes.iter().map(|class| class.deadline).max().unwrap_or_default(),
+            warm_up: self.warm_up,
+            max_open_requests: max_open_requests.min(MAX_OPEN_REQUESTS) as usize,
+        }))
     }
+}
 
-    /// A whole number within bounds; the default where the key is missing, if there is one.
-    fn number(&self, key: &str, [least, most]: [u64; 2], default: Option<u64>) -> Result<u64> {
-        let (value, path) = self.find(key);
-        let Some(value) = value else { return default.with_context(|| format!("{path}: missing")) };
-        let number = value.as_f64().filter(|n| *n >= 0.0).with_context(|| format!("{path}: not a number"))?;
-        let number = number as u64;
-        ensure!((least..=most).contains(&number), "{path}: {number} is not from {least} to {most}");
-        Ok(number)
-    }
+fn longest_window(classes: &List) -> Duration {
+    let windows = classes.items.iter().filter_map(|class| class.get("window").and_then(Value::as_u64));
+    Duration::from_micros(windows.max().unwrap_or_default().min(MAX_TIME_US))
+}
 
-    fn address(&self, key: &str) -> Result<SocketAddr> {
-        let word = self.word(key)?;
-        word.parse().map_err(|_| anyhow!("{}: {word:?} is no address with a port", self.find(key).1))
-    }
+fn parse_events(list: &List) -> Result<Vec<WatchEvent>> {
+    let parse = |item: Section| {
+        let event = serde_json::from_value(item.value.clone());
+        event.map_err(|error| ConfigurationError::new(item.path, error.to_string()))
+    };
+    list.sections().map(parse).collect()
 }
 
-/// Reads the configuration from its JSON text, for a process that the system allows so many descriptors.
-pub fn read(text: &[u8], descriptors_allowed: usize) -> Result<Deployment> {
-    let value: Value = serde_json::from_slice(text).context("not JSON")?;
-    ensure!(value.is_object(), "not a JSON object");
-    let top = Place(&value, String::new());
-    let seed = top.word("seed")?;
-    let settings = top.at("settings")?;
-    let (classes, path) = settings.list("request_classes")?;
-    let class = |(i, class): (usize, &Value)| {
-        let class = Place(class, format!("{path}[{i}]"));
-        class.number("objective", [1, u64::MAX], None)?;
-        let cut_off = Duration::from_micros(class.number("deadline", [1, u64::MAX], None)?);
-        let effect = class.word("effect")?;
-        let known = ["read_like", "idempotency_key", "non_idempotent"].contains(&effect);
-        ensure!(known, "{}.effect: {effect:?} is not known", class.1);
-        Ok(RequestClass {
-            name: class.word("name")?.to_string(),
-            tagged: effect == "idempotency_key",
-            cut_off,
+impl Configuration {
+    /// Parses the file's text, for a process that the system allows this many descriptors.
+    ///
+    /// # Errors
+    ///
+    /// A value is missing or can't be used.
+    pub fn parse(text: &[u8], descriptors_allowed: usize) -> Result<Self> {
+        let file: Value = serde_json::from_slice(text)
+            .map_err(|error| ConfigurationError::in_file(format!("not JSON: {error}")))?;
+        if !file.is_object() {
+            return Err(ConfigurationError::in_file("not a JSON object"));
+        }
+        let top = Section { value: &file, path: String::new() };
+        let seed = top.text("seed")?;
+        let settings = top.object("settings")?;
+        let deployment = DeploymentSettings::parse(&settings)?;
+        let limits = deployment.limits(&top.optional_object("limits")?, descriptors_allowed)?;
+        let known = top.object("known")?;
+        let events = known.list("results")?;
+        let engine_settings = tindoor_settings::from_json(settings.value)
+            .map_err(|error| ConfigurationError::new("settings", format!("{error:#}")))?;
+        Ok(Self {
+            name: top.text("name")?.to_string(),
+            listen: top.address("listen")?,
+            seed: u64::from_str_radix(seed, 16)
+                .map_err(|_| ConfigurationError::new("seed", format!("{seed:?} is not hex digits")))?,
+            discovery: top.address("changelog")?,
+            initial_events: parse_events(&events)?,
+            initial_sequence: known.number("seq", 0..=u64::MAX)?,
+            engine_settings,
+            classes: deployment.classes,
+            locations: deployment.locations,
+            endpoint_kinds: settings.texts("flavors")?,
+            limits,
+            grace: deployment.grace,
+            idempotency_window: deployment.idempotency_window,
+            fixed: FixedSettings::of(&file),
         })
-    };
-    let request_classes: Vec<RequestClass> = classes.iter().enumerate().map(class).collect::<Result<_>>()?;
-    ensure!(!request_classes.is_empty(), "{path}: empty");
-    let rules = settings.at("rules")?;
-    let drain_grace = rules.number("drain_grace", [0, u64::MAX], None)?;
-    let purge_grace = match settings.find("family_info").0 {
-        Some(_) => settings.at("family_info")?.number("heed_within", [0, u64::MAX], Some(drain_grace))?,
-        None => drain_grace,
-    };
-    let windows = classes.iter().filter_map(|class| class.get("window").and_then(Value::as_u64));
-    let window = Duration::from_micros(windows.max().unwrap_or_default().min(3_600_000_000));
-    let warm_within = rules.number("warm_within", [0, 3_600_000_000], Some(20_000_000))?;
-    let locations = settings.words("zones")?;
-    settings.number("zone", [0, locations.len().saturating_sub(1) as u64], None)?;
-    let allowed = settings.at("limits")?;
-    let micros = |key, default| {
-        let span = allowed.number(key, [1_000, 3_600_000_000], Some(default));
-        span.map(Duration::from_micros)
-    };
-    let bounds = match top.find("limits").0 {
-        Some(_) => top.at("limits")?,
-        None => Place(&Value::Null, "limits".to_string()),
-    };
-    let machine = Machine {
-        memory_mb: bounds.number("memory_mb", [32, 1 << 20], Some(192))?,
-        descriptors: descriptors_allowed.min(bounds.number("sockets", [64, 1 << 20], Some(1024))? as usize),
-        connect: micros("connect_timeout", 400_000)?,
-        cache_idle: micros("conn_idle", 30_000_000)?,
-        cut_off: request_classes.iter().map(|class| class.cut_off).max().unwrap_or_default(),
-        warm_within: Duration::from_micros(warm_within),
-        open_requests: allowed.number("open_cap", [1, 1 << 20], Some(1 << 12))?.min(1 << 12) as usize,
-    };
-    let known = top.at("known")?;
-    let (results, path) = known.list("results")?;
-    let event = |(i, value): (usize, &Value)| {
-        serde_json::from_value(value.clone()).with_context(|| format!("{path}[{i}]"))
-    };
-    let engine_settings = tindoor_settings::from_json(settings.0).context("settings")?;
-    // The change stream moves; where it stood at some start is of no more use than that start's seed.
-    let moves = ["changelog", "known", "seed"];
-    let fixed = value.as_object().into_iter().flatten().filter(|(key, _)| !moves.contains(&key.as_str()));
-    Ok(Deployment {
-        name: top.word("name")?.to_string(),
-        listen: top.address("listen")?,
-        seed: u64::from_str_radix(seed, 16).map_err(|_| anyhow!("seed: {seed:?} is not hex digits"))?,
-        discovery: top.address("changelog")?,
-        known: results.iter().enumerate().map(event).collect::<Result<_>>()?,
-        known_seq: known.number("seq", [0, u64::MAX], None)?,
-        engine_settings,
-        classes: request_classes,
-        locations,
-        kinds: settings.words("flavors")?,
-        limits: Limits::of(machine),
-        grace: Duration::from_micros(drain_grace.min(purge_grace)),
-        window,
-        fixed: Fixed(fixed.map(|(key, value)| (key.clone(), value.clone())).collect()),
-    })
+    }
 }
--- a/crates/router/src/configuration/fronts.rs
+++ b/crates/router/src/configuration/fronts.rs
@@ -1,44 +1,73 @@
-//! Our own file: the fronts beside the platform's, and where they listen. Nothing in it decides anything.
+//! The fronts file: what this router offers besides the listener for clients.
 
 use std::net::SocketAddr;
 
-use anyhow::{Result, anyhow};
 use serde::Deserialize;
 use tindoor_extproc::ask::Names;
 
-use crate::signed_urls::Told;
+use super::SignedUrlSettings;
 
+/// The content of the fronts file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fronts {
+    /// The external processor that proxies call over gRPC.
     #[serde(default)]
     pub external_processing: Option<Front>,
+    /// The plain HTTP interface for proxies that know sub-requests only.
     #[serde(default)]
     pub call: Option<Front>,
     /// The fleet that this router belongs to.
     #[serde(default)]
     pub fleet: Option<crate::fleet::Told>,
-    /// Links that are checked on the fronts of this file.
-    #[serde(default)]
-    pub links: Option<Told>,
+    /// Signed URLs that are checked on the fronts of this file.
+    #[serde(default, rename = "links")]
+    pub signed_urls: Option<SignedUrlSettings>,
 }
 
+/// One listener for proxies.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Front {
+    /// Where proxies connect.
     pub listen: SocketAddr,
-    /// Which headers say what.
+    /// The names of the headers that carry a request's fields.
     #[serde(default)]
     pub headers: Names,
 }
 
-/// Reads the file from its JSON text; an error names the line and the key at fault.
-pub fn read(text: &[u8]) -> Result<Fronts> {
-    let mut reader = serde_json::Deserializer::from_slice(text);
-    let fronts: Fronts = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
-        let (path, inner) = (error.path().to_string(), error.into_inner());
-        anyhow!("line {}: {path}: {inner}", inner.line())
-    })?;
-    reader.end().map_err(|error| anyhow!("line {}: {error}", error.line()))?;
-    Ok(fronts)
+/// What is wrong with a fronts file.
+#[derive(Debug, thiserror::Error)]
+pub enum FrontsError {
+    /// A value can't be used.
+    #[error("line {line}: {path}: {problem}", line = problem.line())]
+    Value {
+        /// The path of the value.
+        path: String,
+        /// What is wrong with it.
+        problem: serde_json::Error,
+    },
+    /// There is more behind the JSON object.
+    #[error("line {line}: {problem}", line = problem.line())]
+    TrailingText {
+        /// What is wrong with it.
+        problem: serde_json::Error,
+    },
+}
+
+impl Fronts {
+    /// Parses the file's text.
+    ///
+    /// # Errors
+    ///
+    /// The text is not JSON, or a value can't be used.
+    pub fn parse(text: &[u8]) -> Result<Self, FrontsError> {
+        let mut deserializer = serde_json::Deserializer::from_slice(text);
+        let fronts: Self = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+            let path = error.path().to_string();
+            FrontsError::Value { path, problem: error.into_inner() }
+        })?;
+        deserializer.end().map_err(|problem| FrontsError::TrailingText { problem })?;
+        Ok(fronts)
+    }
 }
--- a/crates/router/src/configuration/limits.rs
+++ b/crates/router/src/configuration/limits.rs
@@ -1,290 +1,386 @@
-//! Every size, count and time that the router keeps to, in one type that is filled at start.
+//! Sizes, counts and times that the router keeps to, derived from the configuration at start.
 
-use std::cell::Cell;
-use std::io;
-use std::pin::pin;
 use std::time::Duration;
 
-use async_io::Timer;
-use futures_lite::future;
 use tindoor::time::Span;
 use tindoor_external_requests::Bounds;
 
-/// How many descriptors are kept for what is neither a client's nor a cache's: about a dozen are in use.
-const KEPT_AT_LEAST: usize = 16;
-const KEPT_AT_MOST: usize = 32;
+/// The fewest descriptors set aside for the listener, the watch, signals, timers and logs.
+const MIN_RESERVED_DESCRIPTORS: usize = 16;
+/// The most descriptors set aside for them.
+const MAX_RESERVED_DESCRIPTORS: usize = 32;
+/// The share of the descriptors that clients get.
+const CLIENT_DESCRIPTORS_DIVISOR: usize = 3;
+/// Time from the first byte of a frame or request head to its last.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for a client or proxy to take an answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The least upper bound of a request's timeout.
+const MIN_MAX_REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Bytes that are read at a time.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Bytes that are read first where the length of a message is unknown.
+const INITIAL_READ_BYTES: usize = 2 << 10;
+/// The longest deadline that a shutdown waits for: the process may be killed 0.7 s after it.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
+/// Time after the longest deadline in which requests are still answered during a shutdown.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(400);
 
-/// What the configuration says of the machine and of the connections.
+/// What the configuration says about the machine and about connections.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Machine {
+pub struct LimitInputs {
+    /// Memory of the process, in megabytes.
     pub memory_mb: u64,
+    /// File descriptors of the process.
     pub descriptors: usize,
-    pub connect: Duration,
-    pub cache_idle: Duration,
-    pub open_requests: usize,
+    /// Time for a connection to an endpoint to be established.
+    pub connect_timeout: Duration,
+    /// Time after which endpoints close an idle connection.
+    pub endpoint_idle_timeout: Duration,
+    /// Requests in flight.
+    pub max_open_requests: usize,
     /// The longest deadline of any request class.
-    pub cut_off: Duration,
-    /// How long a cache that starts takes to be warm.
-    pub warm_within: Duration,
+    pub longest_deadline: Duration,
+    /// Time that an endpoint takes to warm up.
+    pub warm_up: Duration,
 }
 
+/// All limits of the router.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections of clients at once.
-    pub client_connections: usize,
-    /// How many of them are kept free, or on their way to be closed, for those that come.
-    pub clients_closing: usize,
-    /// Connections to caches at once, idle ones included.
-    pub cache_connections: usize,
-    /// Requests in hand at once.
-    pub open_requests: usize,
+    /// Requests in flight, of all listeners together.
+    pub max_open_requests: usize,
+    /// Bytes of frames and bodies held at once.
+    pub max_buffered_bytes: usize,
+    /// Time between two checks of a condition that has no event.
+    pub poll_interval: Duration,
+    /// Time for another process to release the listen address.
+    pub bind_timeout: Duration,
+    /// Retry-After of requests that are rejected for want of a lease.
+    pub no_lease_retry_after: Duration,
+    /// Clients' connections and calls.
+    pub client: ClientLimits,
+    /// Connections to endpoints.
+    pub upstream: UpstreamLimits,
+    /// The discovery watch.
+    pub watch: WatchLimits,
+    /// Graceful shutdown.
+    pub shutdown: ShutdownLimits,
+    /// Proxies that ask for routing decisions.
+    pub proxy: ProxyLimits,
+    /// Requests that proxies carry out.
+    pub external: ExternalRequestLimits,
+}
+
+/// Limits of clients' connections and calls.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientLimits {
+    /// Connections, those being closed included.
+    pub max_connections: usize,
+    /// Connections of these that are kept free, or are being closed, for new clients.
+    pub reserved_connections: usize,
     /// Open calls on one connection.
-    pub open_calls: usize,
-    /// Answers that may wait on one connection before no more is read from it.
-    pub replies: usize,
-    /// Bytes of bodies and frames held at once.
-    pub buffered: usize,
-    /// The longest frame of a client, without its length.
-    pub frame: usize,
-    /// Frames up to this size are copied out of what was read: a request outlives it, and would pin all of it.
-    pub small_frame: usize,
-    /// The longest text of a field.
-    pub text: usize,
-    /// The longest body of a write.
-    pub write: usize,
-    /// The longest body of an object.
-    pub body: usize,
-    /// The longest head of a cache's answer.
-    pub head: usize,
-    /// How much of an answer is read at first, before its length is known.
-    pub first_read: usize,
-    /// The longest line of the change stream.
-    pub line: usize,
-    /// What the system may buffer of a client's answers: about one of the longest.
-    pub send_buffer: usize,
-    /// How much is read at a time.
-    pub read: usize,
-    /// How long a connection may take to come up.
-    pub connect: Duration,
-    /// How long a connection to a cache may lie idle; well before the cache closes it.
-    pub cache_idle: Duration,
-    /// How long the first call of a new connection may be on its way before others that rest make room for
-    /// it.
-    pub first_call: Duration,
-    /// How long a client may take to its first frame, and from the first byte of a frame to its last.
-    pub frame_wait: Duration,
-    /// How long a client may wait at most; what it says beyond that is cut to it.
-    pub patience: Duration,
-    /// How long a connection to a cache lies idle before its next use: a second answer, which would pass for that of the
-    /// next request, may come some milliseconds after the first.
-    pub settle: Duration,
-    /// How long the number of a cache that has gone stays its own: the routing engine counts it by what it did for
-    /// two warm-ups.
-    pub gone_kept: Duration,
-    /// How long an answer may wait for its client to take it, from when it was given.
-    pub untaken: Duration,
-    /// How long the change stream may say nothing: it beats each second, and a new connection, though the first
-    /// connect hangs, must be there within 4 s.
-    pub feed_silence: Duration,
-    /// How long its connection may take to come up.
-    pub feed_connect: Duration,
-    /// The least pause before the next connection to it; up to twice as long by chance.
-    pub feed_pause: Duration,
-    /// How long one line of it may take to come whole, however its bytes trickle.
-    pub feed_line: Duration,
-    /// How long requests may still come after SIGTERM.
-    pub last_calls: Duration,
-    /// How long after SIGTERM what is open is answered at the latest: it may be killed from the longest
-    /// deadline on, but 3 s at most, and 0.7 s more.
-    pub stop: Duration,
-    /// How long the last answers may take to be written, at the end and on a connection that can't be read.
-    pub farewell: Duration,
-    /// How long what comes is still read on a connection whose router's side is closed: a call that crossed the close
-    /// would reset it, and destroy an answer that was not yet read.
-    pub linger: Duration,
-    /// The least of that time, where the places of connections run out: what a client sent before the close reached it
-    /// has come by then.
-    pub crossing: Duration,
-    /// How long there may be ever more to read of a client before nothing is sent on for it: a close may lie behind.
-    pub unheard: Duration,
-    /// How long the address to listen at may be in use at the start.
-    pub listen_wait: Duration,
-    /// How long to wait before looking again whether a connection can be accepted, or the router can end.
-    pub look_again: Duration,
-    /// How often idle connections are looked through.
-    pub sweep: Duration,
-    /// Connections of proxies that call for each request, at once.
-    pub proxies: usize,
-    /// Calls open on one of them.
-    pub streams: usize,
-    /// The longest list of headers on it, and the longest message.
-    pub header_list: usize,
-    pub message: usize,
-    /// How many calls a proxy may reset before they are taken, and how many reset ones are remembered.
-    pub resets: usize,
-    /// What small frames that wait to be read may cost on one connection, by the library's reckoning: two of
-    /// them for each stream.
-    pub small_frames: usize,
-    /// What may wait on one call for its proxy to open a window.
-    pub unsent: usize,
-    /// When a client may come again whose request could not be taken for want of a lease: once the router has had a
-    /// beat or two to find out.
-    pub no_lease: Duration,
-    /// How long a connection of a proxy may rest.
-    pub proxy_idle: Duration,
-    /// How long a choice may lie at a proxy before its use, at most.
-    pub use_within: Duration,
-    /// How long after its time a choice may be reported.
-    pub report_within: Duration,
-    /// How long a request is kept for the next call of it.
-    pub again_within: Duration,
-    /// Marks of writes, and tickets of requests that are over, known at once.
-    pub idempotency_keys: usize,
-    pub over: usize,
-    /// Calls that wait for the end of one mark.
-    pub waiters: usize,
+    pub max_open_calls: usize,
+    /// Unwritten replies of one connection, above which no more is read from it.
+    pub max_unwritten_replies: usize,
+    /// Bytes of one frame, without its length.
+    pub max_frame_bytes: usize,
+    /// Bytes up to which a frame is copied, so that a request does not pin the whole read buffer.
+    pub max_copied_frame_bytes: usize,
+    /// Bytes of a text field of a call.
+    pub max_field_bytes: usize,
+    /// Bytes of the body of a call.
+    pub max_body_bytes: usize,
+    /// Bytes that are read at a time.
+    pub read_chunk_bytes: usize,
+    /// Bytes that the system may buffer for a client that reads slowly.
+    pub send_buffer_bytes: usize,
+    /// Age from which a new connection without a complete frame makes room for others.
+    pub first_call_timeout: Duration,
+    /// Time to the first complete frame, and from the first byte of a frame to its last.
+    pub frame_timeout: Duration,
+    /// The longest timeout of a request; longer ones are cut to it.
+    pub max_request_timeout: Duration,
+    /// Time for a client to take a reply.
+    pub write_timeout: Duration,
+    /// Time for the last replies of a connection that is being closed.
+    pub final_write_timeout: Duration,
+    /// Time in which what still arrives is read and dropped once the router has closed its side: unread bytes would
+    /// reset the connection and destroy replies on their way.
+    pub linger_timeout: Duration,
+    /// The least of that time where connections run out.
+    pub min_linger: Duration,
+    /// Time for which there may be more to read from a client without a pause: after it nothing is forwarded for the
+    /// client, as its close may lie behind the unread bytes.
+    pub max_read_backlog: Duration,
+}
+
+/// Limits of connections to endpoints.
+#[derive(Clone, Copy, Debug)]
+pub struct UpstreamLimits {
+    /// Connections, idle ones and those being established included.
+    pub max_connections: usize,
+    /// Bytes of a response head, with the interim responses before it.
+    pub max_head_bytes: usize,
+    /// Bytes of a response body.
+    pub max_body_bytes: usize,
+    /// Bytes that are read of a response before its length is known.
+    pub initial_read_bytes: usize,
+    /// Time for a connection to be established.
+    pub connect_timeout: Duration,
+    /// Time for which a connection may stay idle; shorter than the endpoint's own.
+    pub idle_timeout: Duration,
+    /// Idle time before a connection is used again: a surplus response, which would be taken for that of the next
+    /// request, may arrive after the first one.
+    pub reuse_delay: Duration,
+    /// Time for which the id of a removed endpoint is not given to another.
+    pub removed_endpoint_retention: Duration,
+    /// Time between two sweeps of idle connections.
+    pub sweep_interval: Duration,
+}
+
+/// Limits of the discovery watch.
+#[derive(Clone, Copy, Debug)]
+pub struct WatchLimits {
+    /// Bytes of one line.
+    pub max_line_bytes: usize,
+    /// Bytes that are read at a time.
+    pub read_chunk_bytes: usize,
+    /// Time for the connection to be established.
+    pub connect_timeout: Duration,
+    /// Time without a byte; the stream has a heartbeat each second.
+    pub read_timeout: Duration,
+    /// Time for a complete line, however its bytes arrive.
+    pub line_timeout: Duration,
+    /// The least pause before the next connection; jitter adds up to as much again.
+    pub backoff: Duration,
+}
+
+/// Limits of a graceful shutdown.
+#[derive(Clone, Copy, Debug)]
+pub struct ShutdownLimits {
+    /// Time for which new requests are taken at least.
+    pub min_duration: Duration,
+    /// Time after which requests in flight are abandoned.
+    pub timeout: Duration,
+    /// Time for the last replies after that.
+    pub final_write_timeout: Duration,
+}
+
+/// Limits of connections from proxies.
+#[derive(Clone, Copy, Debug)]
+pub struct ProxyLimits {
+    /// Connections.
+    pub max_connections: usize,
+    /// Open streams on one connection.
+    pub max_streams: usize,
+    /// Bytes of a header list.
+    pub max_header_list_bytes: usize,
+    /// Bytes of a message.
+    pub max_message_bytes: usize,
+    /// Streams that a proxy may reset before they are accepted, and reset streams that are remembered.
+    pub max_reset_streams: usize,
+    /// The cost of small frames that wait to be read on one connection, by the reckoning of the HTTP/2 library.
+    pub data_frame_budget: usize,
+    /// Bytes that may wait on one stream for its flow-control window.
+    pub max_unsent_bytes: usize,
+    /// Bytes that are read at a time.
+    pub read_chunk_bytes: usize,
+    /// Bytes that are read of a request before its length is known.
+    pub initial_read_bytes: usize,
+    /// Time for which a connection may stay idle.
+    pub idle_timeout: Duration,
+    /// Time for a complete request head or message.
+    pub frame_timeout: Duration,
+    /// Time for a proxy to take an answer.
+    pub write_timeout: Duration,
+    /// The longest timeout of a request.
+    pub max_request_timeout: Duration,
+}
+
+/// Limits of requests that proxies carry out.
+#[derive(Clone, Copy, Debug)]
+pub struct ExternalRequestLimits {
+    /// Time within which a routing decision is to be used.
+    pub decision_timeout: Duration,
+    /// Time after the end of an attempt within which it is to be reported.
+    pub report_timeout: Duration,
+    /// Time for which a request waits for the proxy's next call.
+    pub retry_timeout: Duration,
+    /// Idempotency keys that are remembered.
+    pub max_idempotency_keys: usize,
+    /// Correlation ids of finished requests that are remembered.
+    pub max_finished_requests: usize,
+    /// Calls that wait for the outcome of one idempotency key.
+    pub max_waiters_per_key: usize,
 }
 
 impl Limits {
-    pub fn of(machine: Machine) -> Self {
-        // Clients get a third; a few are kept for listener, change stream, signals, timers and logs: fewer where the
-        // system allows few, as caches must be reached still.
-        let kept = (machine.descriptors / 4).clamp(KEPT_AT_LEAST, KEPT_AT_MOST);
-        let client_connections = machine.descriptors / 3;
-        let memory = machine.memory_mb as usize * 1_000_000;
+    /// The limits of a process with this machine and these connections.
+    pub fn new(inputs: LimitInputs) -> Self {
+        let client_connections = inputs.descriptors / CLIENT_DESCRIPTORS_DIVISOR;
+        let memory = inputs.memory_mb as usize * 1_000_000;
+        let max_request_timeout = inputs.longest_deadline.max(MIN_MAX_REQUEST_TIMEOUT);
+        let final_write_timeout = Duration::from_millis(200);
         Self {
-            client_connections,
-            clients_closing: client_connections / 8,
-            cache_connections: machine.descriptors.saturating_sub(client_connections + kept).max(1),
-            open_requests: machine.open_requests,
-            open_calls: 32,
-            replies: 128,
-            buffered: memory / 2,
-            frame: 64 << 10,
-            small_frame: 4 << 10,
-            text: 128,
-            write: 48_000,
-            body: 240_000,
-            head: 8 << 10,
-            first_read: 2 << 10,
-            line: 1 << 20,
-            send_buffer: 256 << 10,
-            read: 16 << 10,
-            connect: machine.connect,
-            cache_idle: machine.cache_idle / 2,
-            first_call: Duration::from_millis(250),
-            frame_wait: Duration::from_secs(2),
-            patience: machine.cut_off.max(Duration::from_secs(60)),
-            settle: Duration::from_millis(30),
-            gone_kept: machine.warm_within * 3,
-            untaken: Duration::from_secs(5),
-            feed_silence: Duration::from_millis(1800),
-            feed_connect: Duration::from_secs(1),
-            feed_pause: Duration::from_millis(100),
-            feed_line: Duration::from_millis(2500),
-            last_calls: Duration::from_millis(800),
-            stop: machine.cut_off.min(Duration::from_secs(3)) + Duration::from_millis(400),
-            farewell: Duration::from_millis(200),
-            linger: Duration::from_secs(1),
-            crossing: Duration::from_millis(60),
-            unheard: Duration::from_millis(80),
-            listen_wait: Duration::from_secs(8),
-            look_again: Duration::from_millis(10),
-            sweep: Duration::from_secs(1),
-            proxies: (client_connections / 4).max(1),
-            streams: 1 << 10,
-            header_list: 16 << 10,
-            message: 64 << 10,
-            resets: 64,
-            small_frames: 2 * 256 * (1 << 10),
-            unsent: 16 << 10,
-            no_lease: Duration::from_millis(400),
-            proxy_idle: Duration::from_secs(60),
-            use_within: Duration::from_millis(200),
-            report_within: Duration::from_millis(250),
-            again_within: Duration::from_millis(250),
-            idempotency_keys: 1 << 17,
-            over: 1 << 17,
-            waiters: 8,
+            max_open_requests: inputs.max_open_requests,
+            max_buffered_bytes: memory / 2,
+            poll_interval: Duration::from_millis(10),
+            bind_timeout: Duration::from_secs(8),
+            no_lease_retry_after: Duration::from_millis(400),
+            client: ClientLimits::new(client_connections, max_request_timeout, final_write_timeout),
+            upstream: UpstreamLimits::new(&inputs, client_connections),
+            watch: WatchLimits::new(),
+            shutdown: ShutdownLimits {
+                min_duration: Duration::from_millis(800),
+                timeout: inputs.longest_deadline.min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_MARGIN,
+                final_write_timeout,
+            },
+            proxy: ProxyLimits::new(client_connections, max_request_timeout),
+            external: ExternalRequestLimits::new(),
         }
     }
 
-    /// Those of the table of calls, with the shortest grace and the longest window of the deployment. A
-    /// choice that is given just before a drain or purge is told must be used within half the grace: the
-    /// other half is for what is told to reach this router.
-    pub fn calls(&self, grace: Duration, window: Duration) -> Bounds {
+    /// Bounds of the table of externally processed requests, by the shortest grace period and the longest retry window
+    /// of the deployment. A decision is to be used within half the grace period; the other half is for the drain or
+    /// purge to reach this router.
+    pub fn external_request_bounds(&self, grace: Duration, window: Duration) -> Bounds {
         let span = |time: Duration| Span::micros(time.as_micros() as u64);
         Bounds {
-            requests: self.open_requests,
-            idempotency_keys: self.idempotency_keys,
-            over: self.over,
-            waiters: self.waiters,
-            use_within: span(self.use_within.min(grace / 2)),
-            report_within: span(self.report_within),
-            again_within: span(self.again_within),
+            requests: self.max_open_requests,
+            idempotency_keys: self.external.max_idempotency_keys,
+            over: self.external.max_finished_requests,
+            waiters: self.external.max_waiters_per_key,
+            use_within: span(self.external.decision_timeout.min(grace / 2)),
+            report_within: span(self.external.report_timeout),
+            again_within: span(self.external.retry_timeout),
             window: span(window),
-            longest: span(self.patience),
+            longest: span(self.client.max_request_timeout),
         }
     }
 }
 
-/// Those of what passes between routers of a fleet.
-#[derive(Clone, Copy, Debug)]
-pub struct PeerLimits {
-    /// Connections to peers, and as many from them.
-    pub connections: usize,
-    /// The longest message.
-    pub frame: usize,
-    /// The longest first line.
-    pub hello: usize,
-    /// Messages that wait for one peer.
-    pub queue: usize,
-    pub connect: Duration,
-    /// How long a message may take to be written, or to come whole.
-    pub write: Duration,
-    /// How long a connection may rest.
-    pub idle: Duration,
-    /// The pause after one that failed.
-    pub pause: Duration,
+impl ClientLimits {
+    fn new(max_connections: usize, max_request_timeout: Duration, final_write_timeout: Duration) -> Self {
+        Self {
+            max_connections,
+            reserved_connections: max_connections / 8,
+            max_open_calls: 32,
+            max_unwritten_replies: 128,
+            max_frame_bytes: 64 << 10,
+            max_copied_frame_bytes: 4 << 10,
+            max_field_bytes: 128,
+            max_body_bytes: 48_000,
+            read_chunk_bytes: READ_CHUNK_BYTES,
+            send_buffer_bytes: 256 << 10,
+            first_call_timeout: Duration::from_millis(250),
+            frame_timeout: FRAME_TIMEOUT,
+            max_request_timeout,
+            write_timeout: WRITE_TIMEOUT,
+            final_write_timeout,
+            linger_timeout: Duration::from_secs(1),
+            min_linger: Duration::from_millis(60),
+            max_read_backlog: Duration::from_millis(80),
+        }
+    }
 }
 
-impl Default for PeerLimits {
-    fn default() -> Self {
+impl UpstreamLimits {
+    fn new(inputs: &LimitInputs, client_connections: usize) -> Self {
+        let reserved = (inputs.descriptors / 4).clamp(MIN_RESERVED_DESCRIPTORS, MAX_RESERVED_DESCRIPTORS);
+        let max_connections = inputs.descriptors.saturating_sub(client_connections + reserved).max(1);
+        Self {
+            max_connections,
+            max_head_bytes: 8 << 10,
+            max_body_bytes: 240_000,
+            initial_read_bytes: INITIAL_READ_BYTES,
+            connect_timeout: inputs.connect_timeout,
+            idle_timeout: inputs.endpoint_idle_timeout / 2,
+            reuse_delay: Duration::from_millis(30),
+            removed_endpoint_retention: inputs.warm_up * 3,
+            sweep_interval: Duration::from_secs(1),
+        }
+    }
+}
+
+impl WatchLimits {
+    fn new() -> Self {
+        Self {
+            max_line_bytes: 1 << 20,
+            read_chunk_bytes: READ_CHUNK_BYTES,
+            connect_timeout: Duration::from_secs(1),
+            read_timeout: Duration::from_millis(1800),
+            line_timeout: Duration::from_millis(2500),
+            backoff: Duration::from_millis(100),
+        }
+    }
+}
+
+impl ProxyLimits {
+    fn new(client_connections: usize, max_request_timeout: Duration) -> Self {
         Self {
-            connections: 96,
-            frame: 1 << 20,
-            hello: 256,
-            queue: 128,
-            connect: Duration::from_millis(400),
-            write: Duration::from_secs(2),
-            idle: Duration::from_secs(10),
-            pause: Duration::from_millis(50),
+            max_connections: (client_connections / 4).max(1),
+            max_streams: 1 << 10,
+            max_header_list_bytes: 16 << 10,
+            max_message_bytes: 64 << 10,
+            max_reset_streams: 64,
+            data_frame_budget: 2 * 256 * (1 << 10),
+            max_unsent_bytes: 16 << 10,
+            read_chunk_bytes: READ_CHUNK_BYTES,
+            initial_read_bytes: INITIAL_READ_BYTES,
+            idle_timeout: Duration::from_secs(60),
+            frame_timeout: FRAME_TIMEOUT,
+            write_timeout: WRITE_TIMEOUT,
+            max_request_timeout,
         }
     }
 }
 
-/// What comes of it within its time; an error of kind `TimedOut` after that. A timer costs a system call, so
-/// there is none for what is ready at once.
-pub async fn within<T>(time: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let mut work = pin!(work);
-    if let Some(done) = future::poll_once(work.as_mut()).await {
-        return done;
+impl ExternalRequestLimits {
+    fn new() -> Self {
+        Self {
+            decision_timeout: Duration::from_millis(200),
+            report_timeout: Duration::from_millis(250),
+            retry_timeout: Duration::from_millis(250),
+            max_idempotency_keys: 1 << 17,
+            max_finished_requests: 1 << 17,
+            max_waiters_per_key: 8,
+        }
     }
-    let late = async {
-        Timer::after(time).await;
-        Err(io::Error::new(io::ErrorKind::TimedOut, "not in time"))
-    };
-    future::or(work, late).await
 }
 
-/// Counts what would flood the log: the first of a kind is told, then each time that their number doubled.
-#[derive(Default)]
-pub struct Seldom(Cell<u64>);
+/// Limits of connections between the routers of a fleet.
+#[derive(Clone, Copy, Debug)]
+pub struct PeerLimits {
+    /// Connections to peers, and as many from them.
+    pub max_connections: usize,
+    /// Bytes of a message.
+    pub max_message_bytes: usize,
+    /// Bytes of the first line of a connection.
+    pub max_hello_bytes: usize,
+    /// Messages that wait for one peer.
+    pub max_queued_messages: usize,
+    /// Time for a connection to be established.
+    pub connect_timeout: Duration,
+    /// Time for a message to be written, or to arrive completely.
+    pub write_timeout: Duration,
+    /// Time for which a connection may stay idle.
+    pub idle_timeout: Duration,
+    /// Pause after a connection that failed.
+    pub backoff: Duration,
+}
 
-impl Seldom {
-    /// How many there were, if this one is to be told.
-    pub fn told(&self) -> Option<u64> {
-        self.0.set(self.0.get() + 1);
-        Some(self.0.get()).filter(|count| count.is_power_of_two())
+impl Default for PeerLimits {
+    fn default() -> Self {
+        Self {
+            max_connections: 96,
+            max_message_bytes: 1 << 20,
+            max_hello_bytes: 256,
+            max_queued_messages: 128,
+            connect_timeout: Duration::from_millis(400),
+            write_timeout: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(10),
+            backoff: Duration::from_millis(50),
+        }
     }
 }
--- a/crates/router/src/configuration/line_numbers.rs
+++ b/crates/router/src/configuration/line_numbers.rs
@@ -1,20 +1,20 @@
-//! The line of a JSON text at which a key stands, for messages about what it says.
+//! Finds the line of a JSON text on which a value stands, for error messages.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-/// The line, from 1, of the value at `path` as messages write it (`settings.request_classes[2].name`); where
-/// a part of it is missing, the line where the object ends in which it should stand. None for a text that is
-/// no JSON.
-pub fn line(text: &[u8], path: &str) -> Option<usize> {
+/// The line, from 1, of the value at `path`, as in `settings.request_classes[2].name`; where a part of the path is
+/// missing, the line on which the enclosing object or list ends. `None` for a text that is not JSON.
+pub fn line_of_value(text: &[u8], path: &str) -> Option<usize> {
     let steps: Vec<&str> = path.split(['.', '[', ']']).filter(|step| !step.is_empty()).collect();
-    // The library says where it stands when a visitor objects: so one objects at the place that is sought.
-    let error = At(&steps).deserialize(&mut serde_json::Deserializer::from_slice(text)).err()?;
+    // serde_json reports the line at which a visitor fails, so the visitor fails at the value.
+    let error = Descent(&steps).deserialize(&mut serde_json::Deserializer::from_slice(text)).err()?;
     (error.is_data() && error.line() > 0).then(|| error.line())
 }
 
-struct At<'a>(&'a [&'a str]);
+/// Follows these steps from a value downwards.
+struct Descent<'a>(&'a [&'a str]);
 
-impl<'de> DeserializeSeed<'de> for At<'_> {
+impl<'de> DeserializeSeed<'de> for Descent<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -22,38 +22,38 @@
     }
 }
 
-impl<'de> Visitor<'de> for At<'_> {
+impl<'de> Visitor<'de> for Descent<'_> {
     type Value = ();
 
-    fn expecting(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
-        out.write_str("the place that is sought")
+    fn expecting(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+        formatter.write_str("the value of the path")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
-        let Some((step, rest)) = self.0.split_first() else { return Err(A::Error::custom("here")) };
+        let Some((step, rest)) = self.0.split_first() else { return Err(A::Error::custom("found")) };
         while let Some(key) = map.next_key::<String>()? {
             if key == *step {
-                map.next_value_seed(At(rest))?;
+                map.next_value_seed(Descent(rest))?;
             } else {
                 map.next_value::<IgnoredAny>()?;
             }
         }
-        Err(A::Error::custom("it should stand here"))
+        Err(A::Error::custom("missing"))
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<(), A::Error> {
-        let Some((step, rest)) = self.0.split_first() else { return Err(A::Error::custom("here")) };
-        let nth = step.parse().unwrap_or(usize::MAX);
-        for _ in 0..nth {
+        let Some((step, rest)) = self.0.split_first() else { return Err(A::Error::custom("found")) };
+        let index = step.parse().unwrap_or(usize::MAX);
+        for _ in 0..index {
             if list.next_element::<IgnoredAny>()?.is_none() {
-                return Err(A::Error::custom("it should stand here"));
+                return Err(A::Error::custom("missing"));
             }
         }
-        list.next_element_seed(At(rest))?;
-        Err(A::Error::custom("it should stand here"))
+        list.next_element_seed(Descent(rest))?;
+        Err(A::Error::custom("missing"))
     }
 }
 
 #[cfg(test)]
 #[path = "../../tests/unit/line_numbers.rs"]
-mod stories;
+mod tests;
--- a/crates/router/src/configuration/mod.rs
+++ b/crates/router/src/configuration/mod.rs
@@ -1,6 +1,17 @@
-//! The configuration files and the limits that are derived from them.
+//! The configuration files and the limits that are derived from them. No other module reads configuration.
 
-pub mod file;
-pub mod fronts;
+mod error;
+mod file;
+mod fronts;
 pub mod limits;
-pub mod line_numbers;
+mod line_numbers;
+mod request_classes;
+mod section;
+mod signed_urls;
+
+pub use error::ConfigurationError;
+pub use file::{Configuration, FixedSettings};
+pub use fronts::Fronts;
+pub use line_numbers::line_of_value;
+pub use request_classes::RequestClass;
+pub use signed_urls::{SignedUrlSettings, TokenFormat, TokenSource};
--- /dev/null
+++ b/crates/router/src/configuration/section.rs
@@ -0,0 +1,117 @@
+//! Typed reads from the objects of a JSON file, with the path of a value in each error.
+
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+
+use serde_json::Value;
+
+use super::ConfigurationError;
+
+type Result<T> = std::result::Result<T, ConfigurationError>;
+
+/// A value of the file and its path in it.
+pub struct Section<'a> {
+    pub value: &'a Value,
+    pub path: String,
+}
+
+/// A list of the file and its path in it.
+pub struct List<'a> {
+    pub items: &'a [Value],
+    pub path: String,
+}
+
+impl<'a> List<'a> {
+    /// Each item with its path.
+    pub fn sections(&self) -> impl Iterator<Item = Section<'a>> {
+        let path = self.path.clone();
+        let items = self.items.iter().enumerate();
+        items.map(move |(index, value)| Section { value, path: format!("{path}[{index}]") })
+    }
+}
+
+impl<'a> Section<'a> {
+    /// The path of the value of this key.
+    pub fn path_of(&self, key: &str) -> String {
+        if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) }
+    }
+
+    /// The value of this key; `None` where it is missing or null.
+    pub fn get(&self, key: &str) -> Option<&'a Value> {
+        self.value.get(key).filter(|value| !value.is_null())
+    }
+
+    fn error(&self, key: &str, problem: impl Into<String>) -> ConfigurationError {
+        ConfigurationError::new(self.path_of(key), problem)
+    }
+
+    fn required(&self, key: &str) -> Result<&'a Value> {
+        self.get(key).ok_or_else(|| self.error(key, "missing"))
+    }
+
+    /// The object at this key.
+    pub fn object(&self, key: &str) -> Result<Section<'a>> {
+        let value = self.required(key)?;
+        if !value.is_object() {
+            return Err(self.error(key, "not an object"));
+        }
+        Ok(Section { value, path: self.path_of(key) })
+    }
+
+    /// The object at this key, if there is one.
+    pub fn optional_object(&self, key: &str) -> Result<Section<'a>> {
+        match self.get(key) {
+            Some(_) => self.object(key),
+            None => Ok(Section { value: &Value::Null, path: self.path_of(key) }),
+        }
+    }
+
+    /// The string at this key, which is not empty.
+    pub fn text(&self, key: &str) -> Result<&'a str> {
+        let text = self.required(key)?.as_str().filter(|text| !text.is_empty());
+        text.ok_or_else(|| self.error(key, "not a string"))
+    }
+
+    /// The list at this key.
+    pub fn list(&self, key: &str) -> Result<List<'a>> {
+        let items = self.required(key)?.as_array().ok_or_else(|| self.error(key, "not a list"))?;
+        Ok(List { items, path: self.path_of(key) })
+    }
+
+    /// The list of strings at this key.
+    pub fn texts(&self, key: &str) -> Result<Vec<String>> {
+        let mut texts = Vec::new();
+        for item in self.list(key)?.sections() {
+            let text = item.value.as_str().ok_or(ConfigurationError::new(item.path, "not a string"))?;
+            texts.push(text.to_string());
+        }
+        Ok(texts)
+    }
+
+    /// The whole number at this key.
+    pub fn number(&self, key: &str, range: RangeInclusive<u64>) -> Result<u64> {
+        self.optional_number(key, range)?.ok_or_else(|| self.error(key, "missing"))
+    }
+
+    /// The whole number at this key, or the default where the key is missing.
+    pub fn number_or(&self, key: &str, range: RangeInclusive<u64>, default: u64) -> Result<u64> {
+        Ok(self.optional_number(key, range)?.unwrap_or(default))
+    }
+
+    fn optional_number(&self, key: &str, range: RangeInclusive<u64>) -> Result<Option<u64>> {
+        let Some(value) = self.get(key) else { return Ok(None) };
+        let number = value.as_f64().filter(|number| *number >= 0.0);
+        let number = number.ok_or_else(|| self.error(key, "not a number"))? as u64;
+        if !range.contains(&number) {
+            let problem = format!("{number} is not from {} to {}", range.start(), range.end());
+            return Err(self.error(key, problem));
+        }
+        Ok(Some(number))
+    }
+
+    /// The address with port at this key.
+    pub fn address(&self, key: &str) -> Result<SocketAddr> {
+        let text = self.text(key)?;
+        text.parse().map_err(|_| self.error(key, format!("{text:?} is no address with a port")))
+    }
+}
--- a/crates/router/src/council.rs
+++ b/crates/router/src/council.rs
@@ -20,8 +20,9 @@
 use tindoor_quota::{BudgetKey, Quota, UNIT};
 
 use crate::command::{Fleet as Deed, Proposing};
-use crate::configuration::limits::{PeerLimits, within};
+use crate::configuration::limits::PeerLimits;
 use crate::fleet::Fleet;
+use crate::timeout::with_timeout;
 
 /// Keys with their new numbers; none where a key is to go.
 type Changes = std::collections::BTreeMap<String, Option<f64>>;
@@ -81,7 +82,7 @@
     tracing::info!(path = %path.display(), "the operator is heard");
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
-            async_io::Timer::after(limits.pause).await;
+            async_io::Timer::after(limits.backoff).await;
             continue;
         };
         let fleet = Rc::clone(&fleet);
@@ -89,7 +90,7 @@
             let mut line = Vec::new();
             let read = async {
                 let mut bytes = [0; 4096];
-                while line.last() != Some(&b'\n') && line.len() < limits.frame {
+                while line.last() != Some(&b'\n') && line.len() < limits.max_message_bytes {
                     match stream.read(&mut bytes).await? {
                         0 => break,
                         size => line.extend(&bytes[..size]),
@@ -97,14 +98,15 @@
                 }
                 Ok(())
             };
-            if within(limits.write, read).await.is_err() {
+            if with_timeout(limits.write_timeout, read).await.is_err() {
                 return;
             }
             let answer = match serde_json::from_slice::<Ask>(&line) {
                 Ok(ask) => answer(&fleet, ask).unwrap_or_else(|what| json!({"error": what})),
                 Err(what) => json!({"error": format!("not understood: {what}")}),
             };
-            let _ = within(limits.write, stream.write_all(format!("{answer}\n").as_bytes())).await;
+            let _ =
+                with_timeout(limits.write_timeout, stream.write_all(format!("{answer}\n").as_bytes())).await;
         };
         executor.spawn(talk).detach();
     }
--- /dev/null
+++ b/crates/router/src/discovery/apply.rs
@@ -0,0 +1,107 @@
+//! Applies watch events.
+
+use tindoor::host::{EndpointId, EndpointState, EndpointUpdate, ListUpdateKind};
+use tindoor::time::Moment;
+use tindoor_discovery::{EndpointEntry, EndpointList, EndpointPhase, Purge, WatchEvent};
+use tindoor_request_runtime::Clock;
+
+use crate::state::RouterState;
+
+/// The index that the routing engine takes for an unknown location or kind.
+const UNKNOWN_INDEX: u8 = u8::MAX;
+/// The participant that the change stream is to the estimate of the clock's offset.
+const CHANGE_STREAM_CLOCK: u64 = 0;
+
+/// Applies one event to the connections, the routing engine and the requests that proxies carry out.
+pub fn apply_event(state: &RouterState, event: WatchEvent) {
+    tracing::debug!(?event);
+    if let Some(list) = event.endpoints {
+        apply_endpoint_list(state, &list);
+    }
+    if let Some(purge) = event.purge {
+        apply_purge(state, &purge);
+    }
+}
+
+fn apply_endpoint_list(state: &RouterState, list: &EndpointList) {
+    let updates: Vec<_> = list.entries.iter().filter_map(|entry| apply_entry(state, entry)).collect();
+    if list.complete {
+        let listed: Vec<_> = updates.iter().map(|update| update.cache).collect();
+        state.endpoints.retain_endpoints(&listed);
+    }
+    let kind = if list.complete { ListUpdateKind::Full } else { ListUpdateKind::Delta };
+    state.engine.with(|engine| engine.endpoints_changed(kind, &updates));
+    let is_ready = |endpoint| state.endpoints.is_ready(endpoint);
+    state.external.told(|_, decision| {
+        let source = decision.directives.map(|directives| directives.source);
+        !is_ready(decision.cache) || source.is_some_and(|source| !is_ready(source))
+    });
+}
+
+/// Applies one entry to the connections and translates it for the routing engine.
+fn apply_entry(state: &RouterState, entry: &EndpointEntry) -> Option<EndpointUpdate> {
+    let endpoint_state = state_of(entry);
+    let address = entry.address.parse().ok();
+    if address.is_none() {
+        tracing::warn!(id = entry.id, address = entry.address, "endpoint without a usable address");
+    }
+    let is_referenced = |endpoint: EndpointId| state.engine.is_referenced(endpoint);
+    let cache = state.endpoints.apply_update(&entry.id, address, endpoint_state, is_referenced)?;
+    let started = Some(entry.started_unix_ms).filter(|unix_ms| *unix_ms > 0);
+    Some(EndpointUpdate {
+        cache,
+        stable: stable_id(&entry.id),
+        standing: endpoint_state,
+        started: started.map(Clock::unix_ms),
+        location: index_of(&state.locations, &entry.location),
+        size: entry.size,
+        kind: index_of(&state.endpoint_kinds, &entry.kind),
+        cell: entry.cell,
+    })
+}
+
+fn state_of(entry: &EndpointEntry) -> EndpointState {
+    match entry.phase {
+        EndpointPhase::Active => EndpointState::Ready,
+        EndpointPhase::Draining => EndpointState::Draining,
+        EndpointPhase::Removed => EndpointState::Removed,
+        EndpointPhase::Unknown => {
+            tracing::warn!(id = entry.id, "endpoint in an unknown phase; treated as draining");
+            EndpointState::Draining
+        }
+    }
+}
+
+fn index_of(names: &[String], name: &str) -> u8 {
+    let index = names.iter().position(|known| known == name);
+    index.and_then(|index| u8::try_from(index).ok()).unwrap_or(UNKNOWN_INDEX)
+}
+
+fn apply_purge(state: &RouterState, purge: &Purge) {
+    let object = match purge.object_id() {
+        Ok(object) => object,
+        Err(error) => return tracing::warn!(%error, "purge ignored"),
+    };
+    let Some(group) = purge.group.or(object.map(|_| 0)) else {
+        return tracing::warn!("purge of neither object nor group ignored");
+    };
+    state.endpoints.record_purge();
+    let now = state.engine.clock.now();
+    let age = now.since(Clock::unix_ms(purge.unix_ms));
+    if let Some(signed_urls) = &state.signed_urls {
+        let now_unix_ms = now.since(Moment::default()).as_micros() / 1000;
+        signed_urls.observe_clock(CHANGE_STREAM_CLOCK, purge.unix_ms, now_unix_ms);
+    }
+    state.engine.with(|engine| engine.purged(object, group, age));
+    state.external.told(|request, _| match object {
+        Some(object) => request.object == object,
+        None => request.group == group,
+    });
+}
+
+/// A number for an endpoint's name that is the same at every router: FNV-1a.
+fn stable_id(name: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x100_0000_01b3;
+    name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+}
--- a/crates/router/src/discovery/mod.rs
+++ b/crates/router/src/discovery/mod.rs
@@ -1,3 +1,8 @@
-//! The watch of the endpoint list and of purges.
+//! The discovery watch: follows the change stream and applies its events to the connections, the routing engine and
+//! the requests that proxies carry out.
 
-pub mod watch;
+mod apply;
+mod watch;
+
+pub use apply::apply_event;
+pub use watch::watch;
--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -1,87 +1,84 @@
-//! One connection of a client: the frames that it sends, the answers that it is owed, and their writer.
+//! One connection of a client: its phase, the calls that are open on it, and the replies that it owes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
-use std::io::{self, IoSlice, Read};
+use std::io;
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 use std::time::{Duration, Instant};
 
 use async_io::Async;
-use bytes::{Buf, Bytes, BytesMut};
-use futures_lite::{AsyncReadExt, AsyncWriteExt, Stream, future, stream};
+use futures_lite::{AsyncReadExt, future};
 use tindoor_request_runtime::{Action, Mailbox};
-use tindoor_thrift::{Fault, Reply};
+use tindoor_thrift::Reply;
 
-use crate::configuration::limits::{Limits, within};
-use crate::upstream::pool::Held;
+use crate::upstream::MemoryReservation;
 
-/// In how many turns of the tasks a reader has read what has come: one to wake, one to read, one to take it.
+/// Turns of the tasks in which the reader has taken what has arrived: one to wake, one to read, one to dispatch.
 const CATCH_UP_TURNS: usize = 3;
 
-/// An answer on its way to the client, with the memory that it stands for.
-pub struct Given {
-    reply: Reply,
-    at: Instant,
-    _held: Option<Held>,
+/// A reply on its way to the client, with the memory that it takes.
+pub struct QueuedReply {
+    pub reply: Reply,
+    pub queued: Instant,
+    _memory: Option<MemoryReservation>,
 }
 
 /// How far the life of a connection has come; it only goes forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Calls are taken and answered.
+    /// Calls are accepted and answered.
     Open,
-    /// No further call is taken; what is owed is still answered and written.
+    /// No further call is accepted; replies that are owed are still written.
     Closing,
-    /// The router has closed its side. What still comes is read and dropped.
+    /// The router has closed its side. What still arrives is read and dropped.
     HalfClosed,
-    /// Nobody waits on it any more.
+    /// The connection is over.
     Ended,
 }
 
 /// One connection of a client.
-pub struct Client {
+pub struct Connection {
     pub stream: Async<TcpStream>,
-    /// The requests whose answers are owed, by sequence number.
-    pub open: RefCell<HashMap<i32, Rc<Mailbox>>>,
-    pub replies: RefCell<VecDeque<Given>>,
-    writer: Cell<Option<Waker>>,
+    /// The calls whose replies are owed, by sequence id.
+    open_calls: RefCell<HashMap<i32, Rc<Mailbox>>>,
+    replies: RefCell<VecDeque<QueuedReply>>,
     phase: Cell<Phase>,
+    /// The writer; once the router has closed its side, the reader that drops the rest.
+    writer_waker: Cell<Option<Waker>>,
+    /// The reader, while too many replies wait to be written.
+    reader_waker: Cell<Option<Waker>>,
     /// Bytes lie in the system's buffer that are not yet read.
-    unread: Cell<bool>,
-    /// Bytes have been read that make no whole frame yet, or frames that are not yet taken.
-    unfinished: Cell<bool>,
-    /// An answer is being written.
-    writing: Cell<bool>,
-    /// Since when there has been more to read at each read: a close may lie behind it.
-    behind: Cell<Option<Instant>>,
-    /// The reader, while too many answers wait to be taken.
-    reader: Cell<Option<Waker>>,
-    /// It has sent a whole frame.
-    pub asked: Cell<bool>,
-    /// When something was last read or written; at first, when it came up.
-    pub used: Cell<Instant>,
-    /// Answers of all connections that are not yet written.
-    pub unwritten: Rc<Cell<usize>>,
+    has_unread_bytes: Cell<bool>,
+    /// Bytes have been read that make no complete frame yet, or frames that are not yet dispatched.
+    has_unparsed_bytes: Cell<bool>,
+    is_writing: Cell<bool>,
+    /// Since when each read has found more to read.
+    backlog_since: Cell<Option<Instant>>,
+    has_sent_frame: Cell<bool>,
+    /// When a frame was last read or a reply last written; at first, when it was accepted.
+    last_activity: Cell<Instant>,
+    /// Replies on all connections that are not yet written.
+    unwritten_replies: Rc<Cell<usize>>,
 }
 
-impl Client {
-    pub fn new(stream: Async<TcpStream>, unwritten: Rc<Cell<usize>>) -> Self {
+impl Connection {
+    pub fn new(stream: Async<TcpStream>, unwritten_replies: Rc<Cell<usize>>) -> Self {
         Self {
             stream,
-            open: RefCell::default(),
+            open_calls: RefCell::default(),
             replies: RefCell::default(),
-            writer: Cell::default(),
             phase: Cell::new(Phase::Open),
-            unread: Cell::new(false),
-            unfinished: Cell::new(false),
-            writing: Cell::new(false),
-            behind: Cell::new(None),
-            reader: Cell::default(),
-            asked: Cell::new(false),
-            used: Cell::new(Instant::now()),
-            unwritten,
+            writer_waker: Cell::default(),
+            reader_waker: Cell::default(),
+            has_unread_bytes: Cell::new(false),
+            has_unparsed_bytes: Cell::new(false),
+            is_writing: Cell::new(false),
+            backlog_since: Cell::new(None),
+            has_sent_frame: Cell::new(false),
+            last_activity: Cell::new(Instant::now()),
+            unwritten_replies,
         }
     }
 
@@ -89,279 +86,264 @@
         self.phase.get()
     }
 
-    /// The final answer of a call, unless nobody waits for it any more. A client may use the number of a call
-    /// that it has cancelled again: the slot tells the two apart.
-    pub fn answer(&self, seq: i32, mailbox: &Rc<Mailbox>, reply: Reply, held: Option<Held>) {
-        let waits = self.open.borrow().get(&seq).is_some_and(|open| Rc::ptr_eq(open, mailbox));
-        if waits {
-            self.open.borrow_mut().remove(&seq);
-            self.send(reply, held);
-        }
+    pub fn last_activity(&self) -> Instant {
+        self.last_activity.get()
     }
 
-    pub fn send(&self, reply: Reply, held: Option<Held>) {
-        if matches!(self.phase.get(), Phase::Open | Phase::Closing) {
-            self.unwritten.set(self.unwritten.get() + 1);
-            self.replies.borrow_mut().push_back(Given { reply, at: Instant::now(), _held: held });
-            self.wake_writer();
-        }
+    pub fn has_sent_frame(&self) -> bool {
+        self.has_sent_frame.get()
     }
 
-    fn wake_writer(&self) {
-        if let Some(writer) = self.writer.take() {
-            writer.wake();
-        }
+    /// Notes that a complete frame has arrived.
+    pub fn record_frame(&self, arrived: Instant) {
+        self.last_activity.set(arrived);
+        self.has_sent_frame.set(true);
     }
 
-    /// An answer is open or not yet written.
-    fn is_owed(&self) -> bool {
-        !self.open.borrow().is_empty() || !self.replies.borrow().is_empty() || self.writing.get()
+    /// Notes that a reply has been written.
+    pub fn record_write(&self) {
+        self.last_activity.set(Instant::now());
     }
 
-    /// Nothing is owed, and nothing of a next call is known to have come.
+    /// Nothing is owed, and nothing of a next call is known to have arrived.
     pub fn is_idle(&self) -> bool {
-        self.is_quiet() && !self.unfinished.get()
+        self.is_quiet() && !self.has_unparsed_bytes.get()
     }
 
-    /// It never sent a whole frame, and has had its time: half a frame does not keep its place then.
-    pub fn is_stalled(&self, first_call: Duration) -> bool {
-        self.is_quiet() && !self.asked.get() && self.used.get().elapsed() >= first_call
+    /// No complete frame has arrived within this time of the accept; a part of one does not count.
+    pub fn is_stalled(&self, first_call_timeout: Duration) -> bool {
+        let age = self.last_activity.get().elapsed();
+        self.is_quiet() && !self.has_sent_frame.get() && age >= first_call_timeout
     }
 
     fn is_quiet(&self) -> bool {
-        self.phase.get() == Phase::Open && !self.is_owed() && !self.unread.get()
+        self.phase.get() == Phase::Open && !self.owes_replies() && !self.has_unread_bytes.get()
     }
 
-    /// The one way to close a connection on which nothing is owed: the router's side is shut in the same step in
-    /// which nothing is found unread, and the reader drops what comes from then on. Closed as a whole, a
-    /// connection on which a call arrives meanwhile is reset, and the last answer may be destroyed with it. False
-    /// where something has come.
-    pub fn close_unless_unread(&self) -> bool {
-        if self.has_unread() {
-            self.unread.set(true);
-            return false;
+    fn owes_replies(&self) -> bool {
+        !self.open_calls.borrow().is_empty() || !self.replies.borrow().is_empty() || self.is_writing.get()
+    }
+
+    fn wake_writer(&self) {
+        if let Some(waker) = self.writer_waker.take() {
+            waker.wake();
         }
-        self.half_close();
-        self.wake_writer();
-        true
     }
+}
 
-    fn has_unread(&self) -> bool {
-        self.stream.get_ref().peek(&mut [0]).is_ok_and(|size| size > 0)
+/// Calls and replies.
+impl Connection {
+    /// How many calls are open.
+    pub fn open_call_count(&self) -> usize {
+        self.open_calls.borrow().len()
     }
 
-    /// Takes no further call; what is open is left, which answers it.
-    pub fn stop_taking(&self) {
-        if self.phase.get() == Phase::Open {
-            self.phase.set(Phase::Closing);
-        }
-        self.open.borrow().values().for_each(|mailbox| mailbox.put(Action::Abandon));
-        self.wake_writer();
+    /// Whether a call with this sequence id is open.
+    pub fn is_open_call(&self, sequence_id: i32) -> bool {
+        self.open_calls.borrow().contains_key(&sequence_id)
     }
 
-    /// Closes the router's side; the client reads what was written, and then the end.
-    pub fn half_close(&self) {
-        if matches!(self.phase.get(), Phase::Open | Phase::Closing) {
-            self.phase.set(Phase::HalfClosed);
-            self.used.set(Instant::now());
-            // One that is gone already has no side left to close.
-            let _ = self.stream.get_ref().shutdown(Shutdown::Write);
-        }
+    /// Adds a call whose reply is owed from now on.
+    pub fn add_call(&self, sequence_id: i32, mailbox: &Rc<Mailbox>) {
+        self.open_calls.borrow_mut().insert(sequence_id, Rc::clone(mailbox));
     }
 
-    /// Nobody waits on it any more: what is open is left, what is not yet written is dropped.
-    pub fn end(&self) {
-        self.phase.set(Phase::Ended);
-        let unwritten = self.replies.borrow_mut().drain(..).count();
-        self.unwritten.set(self.unwritten.get() - unwritten);
-        for (_, mailbox) in self.open.borrow_mut().drain() {
+    /// Abandons a call, whose reply is not owed any more.
+    pub fn cancel_call(&self, sequence_id: i32) {
+        if let Some(mailbox) = self.open_calls.borrow_mut().remove(&sequence_id) {
             mailbox.put(Action::Abandon);
         }
     }
 
-    /// Ends a connection whose client did not close its side within `least` of the router's close.
-    pub fn cut(&self, least: Duration) -> bool {
-        let cut = self.phase.get() == Phase::HalfClosed && self.used.get().elapsed() >= least;
-        if cut {
-            self.phase.set(Phase::Ended);
-            self.wake_writer();
+    /// Sends the final reply of a call, unless it was cancelled. The mailbox identifies the call, as clients may use the
+    /// sequence id of a cancelled call again.
+    pub fn finish_call(
+        &self,
+        sequence_id: i32,
+        mailbox: &Rc<Mailbox>,
+        reply: Reply,
+        memory: Option<MemoryReservation>,
+    ) {
+        let is_open =
+            self.open_calls.borrow().get(&sequence_id).is_some_and(|open| Rc::ptr_eq(open, mailbox));
+        if is_open {
+            self.open_calls.borrow_mut().remove(&sequence_id);
+            self.send(reply, memory);
         }
-        cut
     }
 
-    /// Waits until the connection is cut.
-    async fn is_cut(&self) -> io::Result<()> {
-        future::poll_fn(|context| {
-            if self.phase.get() == Phase::Ended {
-                return Poll::Ready(Ok(()));
-            }
-            self.writer.set(Some(context.waker().clone()));
-            Poll::Pending
-        })
-        .await
-    }
-
-    /// Has the task that reads take what has come, a withdrawal perhaps, before something is sent on; one that sends
-    /// without end is not waited for.
-    pub async fn caught_up(&self) {
-        for _ in 0..CATCH_UP_TURNS {
-            if self.has_unread() {
-                future::yield_now().await;
-            }
+    /// Queues a reply.
+    pub fn send(&self, reply: Reply, memory: Option<MemoryReservation>) {
+        if matches!(self.phase.get(), Phase::Open | Phase::Closing) {
+            self.unwritten_replies.set(self.unwritten_replies.get() + 1);
+            let reply = QueuedReply { reply, queued: Instant::now(), _memory: memory };
+            self.replies.borrow_mut().push_back(reply);
+            self.wake_writer();
         }
     }
 
-    /// Whether its client can be taken to wait still: it has not closed its side, and what it sent was read to the end
-    /// within `longest`; else a close or a withdrawal may lie behind the rest. Asked right before a request is sent on,
-    /// as the task that reads may not have run since the close came.
-    pub fn still_waits(&self, longest: Duration) -> bool {
-        let heard = self.behind.get().is_none_or(|since| since.elapsed() <= longest);
-        let here = match self.stream.get_ref().peek(&mut [0]) {
-            Ok(size) => size > 0,
-            Err(error) => error.kind() == io::ErrorKind::WouldBlock,
-        };
-        heard && here && matches!(self.phase.get(), Phase::Open | Phase::Closing)
-    }
-
-    /// The next answer to write; none once the connection is to be closed and nothing more is owed.
-    pub async fn next_reply(&self) -> Option<Given> {
+    /// The next reply to write; `None` once the connection is to be closed and nothing more is owed.
+    pub async fn next_reply(&self) -> Option<QueuedReply> {
         future::poll_fn(|context| {
-            let next = self.replies.borrow_mut().pop_front();
-            self.writing.set(next.is_some());
-            if let Some(reader) = self.reader.take() {
+            let reply = self.replies.borrow_mut().pop_front();
+            self.is_writing.set(reply.is_some());
+            if let Some(reader) = self.reader_waker.take() {
                 reader.wake();
             }
-            match next {
-                Some(reply) => Poll::Ready(Some(reply)),
-                None if self.phase.get() != Phase::Open && self.open.borrow().is_empty() => Poll::Ready(None),
-                None => {
-                    self.writer.set(Some(context.waker().clone()));
-                    Poll::Pending
-                }
+            if reply.is_some() {
+                return Poll::Ready(reply);
+            }
+            if self.phase.get() != Phase::Open && self.open_calls.borrow().is_empty() {
+                return Poll::Ready(None);
             }
+            self.writer_waker.set(Some(context.waker().clone()));
+            Poll::Pending
         })
         .await
     }
 
-    /// Waits until so few answers are left to be taken that more may be read.
-    pub async fn drained(&self, most: usize) {
+    /// Waits until fewer replies than this wait to be written.
+    pub async fn wait_for_reply_capacity(&self, max_unwritten: usize) {
         future::poll_fn(|context| {
-            if self.replies.borrow().len() < most {
+            if self.replies.borrow().len() < max_unwritten {
                 return Poll::Ready(());
             }
-            self.reader.set(Some(context.waker().clone()));
+            self.reader_waker.set(Some(context.waker().clone()));
             Poll::Pending
         })
         .await;
     }
 
-    /// Reads and drops what comes, to the client's own close or until the connection is cut.
-    pub async fn drop_rest(&self, size: usize) -> io::Result<()> {
-        let mut dropped = vec![0; size];
-        let mut reader = &self.stream;
-        let to_end = async {
-            while reader.read(&mut dropped).await? > 0 {
+    /// Counts a reply as written, or as given up.
+    pub fn reply_written(&self) {
+        self.unwritten_replies.set(self.unwritten_replies.get() - 1);
+    }
+}
+
+/// What the client has sent.
+impl Connection {
+    /// Notes whether bytes have been read that are not dispatched.
+    pub fn set_unparsed_bytes(&self, has_unparsed_bytes: bool) {
+        self.has_unparsed_bytes.set(has_unparsed_bytes);
+    }
+
+    /// A read begins: it takes all that is known to be unread.
+    pub fn begin_read(&self) {
+        self.has_unread_bytes.set(false);
+    }
+
+    /// A read has found bytes: there may be more.
+    pub fn record_backlog(&self, now: Instant) {
+        self.backlog_since.set(self.backlog_since.get().or(Some(now)));
+    }
+
+    /// A read has found nothing: everything has been read.
+    pub fn clear_backlog(&self) {
+        self.backlog_since.set(None);
+    }
+
+    fn has_bytes_in_system_buffer(&self) -> bool {
+        self.stream.get_ref().peek(&mut [0]).is_ok_and(|size| size > 0)
+    }
+
+    /// Lets the reader take what has arrived, a cancel perhaps, before something is forwarded. A client that sends
+    /// without end is not waited for.
+    pub async fn let_reader_catch_up(&self) {
+        for _ in 0..CATCH_UP_TURNS {
+            if self.has_bytes_in_system_buffer() {
                 future::yield_now().await;
             }
-            Ok(())
+        }
+    }
+
+    /// Whether the client still waits: it has not closed its side, and was read to the end within this time, as a close
+    /// or a cancel may lie behind unread bytes. Checked right before a request is forwarded, as the reader may not have
+    /// run since the close arrived.
+    pub fn is_client_waiting(&self, max_read_backlog: Duration) -> bool {
+        let is_read = self.backlog_since.get().is_none_or(|since| since.elapsed() <= max_read_backlog);
+        let is_connected = match self.stream.get_ref().peek(&mut [0]) {
+            Ok(size) => size > 0,
+            Err(error) => error.kind() == io::ErrorKind::WouldBlock,
         };
-        future::or(to_end, self.is_cut()).await
+        is_read && is_connected && matches!(self.phase.get(), Phase::Open | Phase::Closing)
     }
 }
 
-/// The frames that a client sends, each with when its last byte was read.
-pub fn frames<'a>(
-    client: &'a Client,
-    limits: Limits,
-) -> impl Stream<Item = io::Result<(Bytes, Instant)>> + use<'a> {
-    // A connection that never asked, and one with half a frame, has so long from then on; others may rest.
-    let first = (BytesMut::new(), Instant::now(), Some(Instant::now()));
-    stream::try_unfold(first, move |(mut read, mut arrived, mut begun)| async move {
-        loop {
-            let frame = tindoor_thrift::take_frame(&mut read, limits.frame).map_err(unreadable)?;
-            client.unfinished.set(!read.is_empty());
-            if let Some(frame) = frame {
-                let begun = Some(arrived).filter(|_| !read.is_empty());
-                return Ok(Some(((frame, arrived), (read, arrived, begun))));
-            }
-            // One that sends at full speed gets its turn as the others do.
-            future::yield_now().await;
-            // Nothing is taken on a connection that is to be closed: its answer could not be given.
-            if client.phase() != Phase::Open {
-                return Ok(None);
-            }
-            let filled = read.len();
-            read.resize(filled + limits.read, 0);
-            client.unread.set(false);
-            let more = match client.stream.get_ref().read(&mut read[filled..]) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    read.truncate(filled);
-                    client.behind.set(None);
-                    if read.is_empty() {
-                        // One that rests holds no memory.
-                        read = BytesMut::new();
-                    }
-                    match begun {
-                        Some(begun) => {
-                            let left = limits.frame_wait.saturating_sub(begun.elapsed());
-                            within(left, client.stream.readable()).await.map_err(|_| silent())?;
-                        }
-                        None => client.stream.readable().await?,
-                    }
-                    continue;
-                }
-                more => more?,
-            };
-            read.truncate(filled + more);
-            if more == 0 {
-                return Ok(None);
-            }
-            arrived = Instant::now();
-            client.behind.set(client.behind.get().or(Some(arrived)));
-            begun = begun.or(Some(arrived));
+/// How the connection is closed.
+impl Connection {
+    /// Closes the router's side of an idle connection, unless bytes have arrived. Check and close are one step: a
+    /// connection closed with bytes unread is reset, which may destroy the last reply.
+    pub fn close_unless_unread(&self) -> bool {
+        if self.has_bytes_in_system_buffer() {
+            self.has_unread_bytes.set(true);
+            return false;
         }
-    })
-}
+        self.half_close();
+        self.wake_writer();
+        true
+    }
 
-fn silent() -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, "no whole frame came in time")
-}
+    /// Accepts no further call and abandons the open ones, which answers them.
+    pub fn stop_accepting_calls(&self) {
+        if self.phase.get() == Phase::Open {
+            self.phase.set(Phase::Closing);
+        }
+        self.open_calls.borrow().values().for_each(|mailbox| mailbox.put(Action::Abandon));
+        self.wake_writer();
+    }
 
-pub fn unreadable(fault: Fault) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("{fault:?}"))
-}
+    /// Closes the router's side: the client reads what was written, and then the end.
+    pub fn half_close(&self) {
+        if matches!(self.phase.get(), Phase::Open | Phase::Closing) {
+            self.phase.set(Phase::HalfClosed);
+            self.last_activity.set(Instant::now());
+            // Fails where the client has reset the connection.
+            let _ = self.stream.get_ref().shutdown(Shutdown::Write);
+        }
+    }
 
-/// Writes the client's answers until the connection is to be closed.
-pub async fn write(limits: &Limits, client: &Client) -> io::Result<()> {
-    let mut stream = &client.stream;
-    while let Some(Given { reply: Reply { mut head, mut body, mut tail }, at, _held }) =
-        client.next_reply().await
-    {
-        // One that takes its answers too slowly is given up: they must not hold memory for others.
-        let left = limits.untaken.saturating_sub(at.elapsed());
-        // Counted until it is written, whatever happens to this connection.
-        let _unwritten = Unwritten(&client.unwritten);
-        while !(head.is_empty() && body.is_empty() && tail.is_empty()) {
-            let slices = [IoSlice::new(&head), IoSlice::new(&body), IoSlice::new(&tail)];
-            let mut written = within(left, stream.write_vectored(&slices)).await?;
-            if written == 0 {
-                return Err(io::ErrorKind::WriteZero.into());
-            }
-            for part in [&mut head, &mut body, &mut tail] {
-                let taken = written.min(part.len());
-                part.advance(taken);
-                written -= taken;
-            }
+    /// Abandons the open calls and drops the unwritten replies.
+    pub fn end(&self) {
+        self.phase.set(Phase::Ended);
+        let dropped = self.replies.borrow_mut().drain(..).count();
+        self.unwritten_replies.set(self.unwritten_replies.get() - dropped);
+        for (_, mailbox) in self.open_calls.borrow_mut().drain() {
+            mailbox.put(Action::Abandon);
         }
-        client.used.set(Instant::now());
     }
-    Ok(())
-}
 
-struct Unwritten<'a>(&'a Cell<usize>);
+    /// Ends a connection whose client has not closed its side within this time of the router's close.
+    pub fn cut(&self, min_linger: Duration) -> bool {
+        let is_due =
+            self.phase.get() == Phase::HalfClosed && self.last_activity.get().elapsed() >= min_linger;
+        if is_due {
+            self.phase.set(Phase::Ended);
+            self.wake_writer();
+        }
+        is_due
+    }
+
+    async fn wait_until_cut(&self) -> io::Result<()> {
+        future::poll_fn(|context| {
+            if self.phase.get() == Phase::Ended {
+                return Poll::Ready(Ok(()));
+            }
+            self.writer_waker.set(Some(context.waker().clone()));
+            Poll::Pending
+        })
+        .await
+    }
 
-impl Drop for Unwritten<'_> {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
+    /// Reads and drops what arrives until the client closes its side or the connection is cut.
+    pub async fn discard_until_closed(&self, chunk_bytes: usize) -> io::Result<()> {
+        let mut chunk = vec![0; chunk_bytes];
+        let mut reader = &self.stream;
+        let read_to_end = async {
+            while reader.read(&mut chunk).await? > 0 {
+                future::yield_now().await;
+            }
+            Ok(())
+        };
+        future::or(read_to_end, self.wait_until_cut()).await
     }
 }
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -1,6 +1,13 @@
-//! Clients' connections and the requests on them.
+//! Clients: the listener, their connections, and the requests on them.
 
-pub mod connection;
-pub mod listener;
+mod connection;
+mod connections;
+mod frame_reader;
+mod listener;
 mod request;
+mod request_fields;
 mod session;
+mod writer;
+
+pub use connections::Connections;
+pub use listener::{Listener, bind};
--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! The life of one call of a client, from top to bottom.
+//! The life of one request of a client, from its call to its reply.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,217 +7,195 @@
 use async_io::Timer;
 use bytes::Bytes;
 use futures_lite::future;
-use tindoor::host::{AttemptStatus, Authorization, RequestMeta, RequestSlot};
+use tindoor::host::{AttemptStatus, RequestSlot};
 use tindoor::time::Span;
-use tindoor_http::Ask;
+use tindoor_http::EndpointRequest;
 use tindoor_request_runtime::{Attempt, AttemptEnd, FinalAnswer, Mailbox, RequestTransport, run_request};
-use tindoor_thrift::{Fields, Reply, aborted, answer, try_later};
+use tindoor_thrift::{Answer, Fields, Reply, aborted, answer, try_later};
 
-use crate::downstream::connection::Client;
+use super::connection::Connection;
+use super::request_fields::{InvalidField, REQUEST_ID, RequestFields, read_fields};
 use crate::state::RouterState;
-use crate::upstream::pool::{End, Held};
+use crate::upstream::{AttemptResult, PendingRequest, RoutingSnapshot};
 
 /// A call as its client sent it; its texts are slices of the frame.
 pub struct Call {
-    pub seq: i32,
+    pub sequence_id: i32,
     pub fields: Fields,
     pub body: Bytes,
     pub arrived: Instant,
-    /// The memory that the frame stands for.
-    pub _held: Held,
+    /// The memory that the frame takes.
+    pub _memory: crate::upstream::MemoryReservation,
 }
 
-/// What the call asks for, checked; the texts go on to caches unchanged.
-struct Wanted<'a> {
-    id: u64,
-    asked: RequestMeta,
-    patience: Span,
-    ask: Ask<'a>,
+/// A call whose request is in flight.
+pub struct OpenCall {
+    pub call: Call,
+    pub slot: RequestSlot,
+    pub mailbox: Rc<Mailbox>,
 }
 
-/// The client's side of one request: its attempts go to caches, its answer to the client's connection.
-struct Served<'a> {
-    router: &'a RouterState,
-    client: &'a Client,
-    mailbox: &'a Rc<Mailbox>,
-    call: &'a Call,
-    wanted: &'a Wanted<'a>,
+/// Carries one request: its attempts go to endpoints, its answer to the client's connection.
+struct ClientTransport<'a> {
+    state: &'a RouterState,
+    connection: &'a Connection,
+    open_call: &'a OpenCall,
+    fields: &'a RequestFields<'a>,
 }
 
-impl RequestTransport for Served<'_> {
-    type Payload = (End, Option<Held>);
+impl RequestTransport for ClientTransport<'_> {
+    type Payload = AttemptResult;
 
-    async fn carry(&self, attempt: Attempt) -> AttemptEnd<Self::Payload> {
-        let (end, held) = exchange(self, attempt).await;
-        AttemptEnd { verdict: end.verdict, note: end.note, payload: (end, held) }
+    async fn carry(&self, attempt: Attempt) -> AttemptEnd<AttemptResult> {
+        let result = self.run_attempt(attempt).await;
+        AttemptEnd { verdict: result.status, note: result.detail, payload: result }
     }
 
-    fn answer(&self, given: FinalAnswer<Self::Payload>) {
-        let seq = self.call.seq;
-        let (reply, held) = match given {
-            FinalAnswer::Done((end, held)) => {
-                let fields: &[_] = if end.valid { &[("valid", "1")] } else { &[] };
-                (answer("call", seq, end.body, fields, true), held)
+    fn answer(&self, final_answer: FinalAnswer<AttemptResult>) {
+        let sequence_id = self.open_call.call.sequence_id;
+        let (reply, memory) = match final_answer {
+            FinalAnswer::Done(AttemptResult { body, not_modified, memory, .. }) => {
+                let fields: &[_] = if not_modified { &[("valid", "1")] } else { &[] };
+                (answer("call", sequence_id, Answer { body, fields, good: true }), memory)
             }
-            FinalAnswer::TurnedBack(retry_after) => (rejected(seq, retry_after), None),
-            FinalAnswer::WrittenOff | FinalAnswer::Left => (aborted(seq, &[]), None),
+            FinalAnswer::TurnedBack(retry_after) => (rejected(sequence_id, retry_after), None),
+            FinalAnswer::WrittenOff | FinalAnswer::Left => (aborted(sequence_id, &[]), None),
         };
-        self.client.answer(seq, self.mailbox, reply, held);
+        self.connection.finish_call(sequence_id, &self.open_call.mailbox, reply, memory);
     }
 }
 
-/// Serves one call: reads it strictly, then lives its request through.
-pub async fn serve(
-    router: Rc<RouterState>,
-    client: Rc<Client>,
-    call: Call,
-    no: RequestSlot,
-    mailbox: Rc<Mailbox>,
-) {
-    let seq = call.seq;
-    let wanted = match wanted(&router, &call) {
-        Ok(wanted) => wanted,
-        Err(field) => {
-            if let Some(times) = router.unreadable.told() {
-                tracing::warn!(field, times, "a call with a field that can't be used");
-            }
-            client.answer(seq, &mailbox, aborted(seq, &[("reason", field)]), None);
-            return router.engine.close_request(no);
+impl ClientTransport<'_> {
+    /// Runs one attempt within its timeout.
+    async fn run_attempt(&self, attempt: Attempt) -> AttemptResult {
+        let request = AttemptRequest::new(self, attempt);
+        let exchange = self.state.endpoints.exchange(attempt.cache, &request, &self.state.memory);
+        let finished = async { Some(exchange.await) };
+        let timeout = async {
+            Timer::at(request.deadline).await;
+            None
+        };
+        match future::or(finished, timeout).await {
+            Some(result) => result,
+            None if request.is_sent.get() => AttemptResult::without_response(AttemptStatus::TimedOut),
+            None => AttemptResult::without_response(AttemptStatus::Unreachable),
         }
-    };
-    // Hundreds may be withdrawn in the same breath in which they are sent: those never come to the routing engine.
-    // And an id names one request at a time: caches tell requests apart by it.
-    if mailbox.has_orders() {
-        // Owed still where it was not withdrawn, but its connection is being closed.
-        client.answer(seq, &mailbox, aborted(seq, &[]), None);
-        return router.engine.close_request(no);
     }
-    let Some(_id) = router.ids.take(wanted.id) else {
-        client.answer(seq, &mailbox, aborted(seq, &[("reason", "trace")]), None);
-        return router.engine.close_request(no);
-    };
-    let gone = Span::micros(call.arrived.elapsed().as_micros() as u64);
-    // What comes while the router stops is given up in time before it ends.
-    let stop = router.stopping.get().map(|end| end.saturating_duration_since(Instant::now()));
-    let stop = stop.map_or(wanted.patience, |stop| Span::micros(stop.as_micros() as u64));
-    // Nor is one kept in mind for as long as its client likes.
-    let longest = Span::micros(router.limits.patience.as_micros() as u64);
-    let left = (wanted.patience - gone).min(stop).min(longest);
-    let hand = Served { router: &router, client: &client, mailbox: &mailbox, call: &call, wanted: &wanted };
-    run_request(&router.engine, no, &mailbox, (wanted.asked, left), &hand).await;
-    router.engine.close_request(no);
 }
 
-/// Trying again is harmless, best after `retry_after`.
-pub fn rejected(seq: i32, retry_after: Option<Span>) -> Reply {
-    let pause = retry_after.map(|span| (span.as_micros() / 1000).to_string());
-    let fields: Vec<_> = pause.iter().map(|pause| ("pause", pause.as_str())).collect();
-    try_later(seq, &fields)
+/// The request of one attempt.
+struct AttemptRequest<'a> {
+    transport: &'a ClientTransport<'a>,
+    attempt: Attempt,
+    /// What the attempt was decided by.
+    snapshot: RoutingSnapshot,
+    /// The name of the endpoint to fill from, where it is another one.
+    fill_source: Option<String>,
+    deadline: Instant,
+    is_sent: Cell<bool>,
 }
 
-/// One attempt, within its own time.
-async fn exchange(served: &Served<'_>, attempt: Attempt) -> (End, Option<Held>) {
-    let Served { router, client, call, wanted, .. } = *served;
-    let Attempt { cache, wait, directives, ordered, .. } = attempt;
-    let source = directives.map(|directives| directives.source);
-    let outlook = router.caches.outlook(cache, source);
-    let source_id = source.filter(|source| *source != cache).map(|source| router.caches.id(source));
-    let due = ordered + wait;
-    let head = async || {
-        // Its client may have left while a connection came up, and its close or withdrawal not have been read yet.
-        client.caught_up().await;
-        let waits = client.still_waits(router.limits.unheard);
-        let left_ms = due.saturating_duration_since(Instant::now()).as_millis() as u64;
-        let same = router.caches.outlook(cache, source) == outlook;
-        let ask = Ask {
-            wait_ms: left_ms,
-            source: source_id.as_deref(),
+impl<'a> AttemptRequest<'a> {
+    fn new(transport: &'a ClientTransport<'a>, attempt: Attempt) -> Self {
+        let endpoints = &transport.state.endpoints;
+        let source = attempt.directives.map(|directives| directives.source);
+        let other_source = source.filter(|source| *source != attempt.cache);
+        Self {
+            transport,
+            attempt,
+            snapshot: endpoints.snapshot(attempt.cache, source),
+            fill_source: other_source.map(|source| endpoints.name(source)),
+            deadline: attempt.ordered + attempt.wait,
+            is_sent: Cell::new(false),
+        }
+    }
+
+    fn endpoint_request(&self, timeout_ms: u64) -> EndpointRequest<'_> {
+        let directives = self.attempt.directives;
+        let max_age = directives.and_then(|directives| directives.max_age);
+        EndpointRequest {
+            timeout_ms,
+            fill_source: self.fill_source.as_deref(),
             retention_rank: directives.map_or(0, |directives| directives.retention_rank),
-            // Rounded down; 0 would mean that any fresh copy will do.
-            max_age_ms: directives.and_then(|t| t.max_age).map(|span| (span.as_micros() / 1000).max(1)),
+            // Rounded down, but not to 0, which would accept any fresh copy.
+            max_age_ms: max_age.map(|max_age| (max_age.as_micros() / 1000).max(1)),
             join_fill: directives.is_some_and(|directives| directives.join_fill),
             only_if_cached: directives.is_some_and(|directives| directives.only_if_cached),
             refresh: directives.is_some_and(|directives| directives.refresh),
-            ..wanted.ask
-        };
-        (same && waits && left_ms > 0).then(|| ask.head())
-    };
-    let sent = Cell::new(false);
-    let whole = async { Some(router.caches.exchange(cache, head, &call.body, &router.budget, &sent).await) };
-    let late = async {
-        Timer::at(due).await;
-        None
-    };
-    match future::or(whole, late).await {
-        Some(end) => end,
-        None if sent.get() => (End::without(AttemptStatus::TimedOut), None),
-        None => (End::without(AttemptStatus::Unreachable), None),
+            ..self.transport.fields.endpoint_request
+        }
     }
 }
 
-/// Reads the fields of a call; names the one that is missing or can't be used.
-fn wanted<'a>(router: &RouterState, call: &'a Call) -> Result<Wanted<'a>, &'static str> {
-    let text = |name: &'static str| {
-        call.fields.get(name).map(|value| plain(value, router.limits.text).ok_or(name)).transpose()
-    };
-    let needed = |name: &'static str| text(name)?.ok_or(name);
-    // Digits alone, as a parser would let a sign pass, and none before them that mean nothing.
-    let number = |name: &'static str| {
-        let text = needed(name)?;
-        let plain = text.bytes().all(|byte| byte.is_ascii_digit()) && (text == "0" || !text.starts_with('0'));
-        text.parse::<u32>().ok().filter(|_| plain).ok_or(name)
-    };
-    let hex = |name: &'static str| {
-        let text = needed(name)?;
-        tindoor_discovery::object_number(text.as_bytes()).map(|number| (text, number)).ok_or(name)
-    };
-    let digits = |text: &str, count| text.len() == count && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let route = needed("route")?;
-    let class = router.classes.iter().position(|class| class.name == route).ok_or("route")?;
-    let nonce = text("nonce")?;
-    if nonce.map_or(router.classes[class].tagged, |nonce| !digits(nonce, 32)) {
-        return Err("nonce");
+impl PendingRequest for AttemptRequest<'_> {
+    async fn encode_head(&self) -> Option<String> {
+        let ClientTransport { state, connection, .. } = self.transport;
+        // The client may have left, or the list may have changed, while a connection was established.
+        connection.let_reader_catch_up().await;
+        let is_client_waiting = connection.is_client_waiting(state.limits.client.max_read_backlog);
+        let time_remaining = self.deadline.saturating_duration_since(Instant::now());
+        let timeout_ms = time_remaining.as_millis() as u64;
+        let source = self.attempt.directives.map(|directives| directives.source);
+        let is_current = state.endpoints.snapshot(self.attempt.cache, source) == self.snapshot;
+        let may_send = is_current && is_client_waiting && timeout_ms > 0;
+        may_send.then(|| self.endpoint_request(timeout_ms).encode_head())
     }
-    let client_tag = text("known")?;
-    if client_tag.is_some_and(|tag| !digits(tag, 16)) {
-        return Err("known");
+
+    fn body(&self) -> &Bytes {
+        &self.transport.open_call.call.body
     }
-    let client_retry = text("redo")?;
-    if client_retry.is_some_and(|client_retry| client_retry != "1") {
-        return Err("redo");
+
+    fn mark_sent(&self) {
+        self.is_sent.set(true);
     }
-    let patience = number("patience").ok().filter(|patience| *patience > 0).ok_or("patience")?;
-    let group = number("tag").ok().filter(|group| *group <= 255).ok_or("tag")?;
-    if call.body.len() > router.limits.write {
-        return Err("body");
+}
+
+/// Serves one call: checks its fields, then runs its request to the final answer.
+pub async fn serve_call(state: Rc<RouterState>, connection: Rc<Connection>, open_call: OpenCall) {
+    if let Err(reply) = run_call(&state, &connection, &open_call).await {
+        connection.finish_call(open_call.call.sequence_id, &open_call.mailbox, reply, None);
     }
-    let (object_text, object) = hex("entity")?;
-    let (ticket, id) = hex("trace")?;
-    let asked = RequestMeta {
-        object,
-        part: number("chunk")?,
-        group,
-        class: class as u16,
-        size_kb: None,
-        client_retry: client_retry.is_some(),
-        first_ran: None,
-        authorization: Authorization::Granted,
-    };
-    let ask = Ask {
-        class: route,
-        object: object_text,
-        part: needed("chunk")?,
-        correlation_id: ticket,
-        nonce,
-        client_tag,
-        body: call.body.len(),
-        ..Ask::default()
-    };
-    Ok(Wanted { id, asked, patience: Span::millis(patience.into()), ask })
+    state.engine.close_request(open_call.slot);
+}
+
+/// Runs a call's request; the error is the reply to a call that can't be run.
+async fn run_call(state: &RouterState, connection: &Connection, open_call: &OpenCall) -> Result<(), Reply> {
+    let OpenCall { call, slot, mailbox } = open_call;
+    let fields = read_fields(&call.fields, &call.body, &state.classes, &state.limits.client);
+    let fields = fields.map_err(|InvalidField(field)| {
+        if let Some(occurrences) = state.malformed_log.record() {
+            tracing::warn!(field, occurrences, "call with a missing or invalid field");
+        }
+        aborted(call.sequence_id, &[("reason", field)])
+    })?;
+    // Cancelled, or its connection is being closed: it never reaches the routing engine.
+    if mailbox.has_orders() {
+        return Err(aborted(call.sequence_id, &[]));
+    }
+    // Endpoints tell requests apart by their ids.
+    let _id = state
+        .in_flight_ids
+        .take(fields.id)
+        .ok_or_else(|| aborted(call.sequence_id, &[("reason", REQUEST_ID)]))?;
+    let time_remaining = time_remaining(state, call, fields.timeout);
+    let transport = ClientTransport { state, connection, open_call, fields: &fields };
+    run_request(&state.engine, *slot, mailbox, (fields.meta, time_remaining), &transport).await;
+    Ok(())
+}
+
+/// The time that is left for a request: the client's timeout, bounded by the limit and by a shutdown.
+fn time_remaining(state: &RouterState, call: &Call, timeout: Span) -> Span {
+    let span = |duration: std::time::Duration| Span::micros(duration.as_micros() as u64);
+    let elapsed = span(call.arrived.elapsed());
+    let shutdown = state.shutdown_deadline.get();
+    let until_shutdown = shutdown.map(|deadline| span(deadline.saturating_duration_since(Instant::now())));
+    let max_timeout = span(state.limits.client.max_request_timeout);
+    (timeout - elapsed).min(until_shutdown.unwrap_or(timeout)).min(max_timeout)
 }
 
-/// Text that can stand in a header or a path as it is.
-fn plain(value: &[u8], longest: usize) -> Option<&str> {
-    let graphic = !value.is_empty() && value.len() <= longest && value.iter().all(u8::is_ascii_graphic);
-    std::str::from_utf8(value).ok().filter(|_| graphic)
+/// The reply to a call that never ran, and may be retried after this time.
+pub fn rejected(sequence_id: i32, retry_after: Option<Span>) -> Reply {
+    let retry_after_ms = retry_after.map(|span| (span.as_micros() / 1000).to_string());
+    let fields: Vec<_> = retry_after_ms.iter().map(|text| ("pause", text.as_str())).collect();
+    try_later(sequence_id, &fields)
 }
--- a/crates/router/src/downstream/session.rs
+++ b/crates/router/src/downstream/session.rs
@@ -1,128 +1,147 @@
-//! One connection of a client from its first byte to its close, and what each frame on it leads to.
+//! One connection of a client from its accept to its close, and what each message on it leads to.
 
 use std::io;
 use std::pin::pin;
 use std::rc::Rc;
-use std::time::Instant;
 
 use bytes::Bytes;
-use futures_lite::{StreamExt, future};
-use tindoor_thrift::{Fault, Message, Objection, aborted, application_exception};
+use futures_lite::future;
+use tindoor_thrift::{
+    Answer, ApplicationExceptionKind, Fields, Message, ParseError, aborted, answer, application_exception,
+};
 
-use crate::configuration::limits::{Limits, within};
-use crate::downstream::connection::{Client, Phase, frames, unreadable, write};
-use crate::downstream::request::{self, Call};
+use super::connection::{Connection, Phase};
+use super::frame_reader::{Frame, FrameError, FrameReader};
+use super::request::{Call, OpenCall, rejected, serve_call};
+use super::writer::write_replies;
+use crate::configuration::limits::ClientLimits;
 use crate::state::RouterState;
-use tindoor_request_runtime::Action;
+use crate::timeout::with_timeout;
 
 /// Which side of a connection ended first, and how.
-enum Ended {
-    Reading(io::Result<()>),
-    Writing(io::Result<()>),
+enum SessionEnd {
+    Reader(Result<(), FrameError>),
+    Writer(io::Result<()>),
 }
 
-/// One connection until either side closes it; what is still open then has nobody waiting.
-pub async fn converse(router: Rc<RouterState>, client: Rc<Client>) {
-    // Lives on while the connection is closed: an answer that is written in part must be written whole, or what
-    // follows it can't be read.
-    let mut writing = pin!(write(&router.limits, &client));
-    let reading = async { Ended::Reading(read(&router, &client).await) };
-    let written = async { Ended::Writing(writing.as_mut().await) };
-    let open = || client.open.borrow().len();
-    match future::or(reading, written).await {
-        Ended::Reading(Ok(())) if client.phase() == Phase::Open => {
-            tracing::debug!(open = open(), "a client closed its connection");
+/// Serves one connection until either side closes it; calls that are still open then are abandoned.
+pub async fn serve_connection(state: Rc<RouterState>, connection: Rc<Connection>) {
+    let limits = &state.limits.client;
+    // The writer lives on while the connection is closed, as a reply that is written in part must be completed.
+    let mut writer = pin!(write_replies(limits, &connection));
+    let reading = async { SessionEnd::Reader(read_calls(&state, &connection).await) };
+    let writing = async { SessionEnd::Writer(writer.as_mut().await) };
+    match future::or(reading, writing).await {
+        SessionEnd::Reader(Ok(())) if connection.phase() == Phase::Open => {
+            tracing::debug!(open = connection.open_call_count(), "client closed its connection");
         }
-        Ended::Reading(Err(what)) if what.kind() == io::ErrorKind::InvalidData => {
-            if let Some(times) = router.unreadable.told() {
-                tracing::warn!(%what, times, "a client's connection is closed: it can't be read");
-            }
-            close(&router.limits, &client, writing).await;
+        SessionEnd::Reader(Ok(())) => close(limits, &connection, writer).await,
+        SessionEnd::Reader(Err(FrameError::Io(error))) | SessionEnd::Writer(Err(error)) => {
+            tracing::debug!(%error, open = connection.open_call_count(), "client connection failed");
         }
-        Ended::Reading(Ok(())) => close(&router.limits, &client, writing).await,
-        Ended::Writing(Ok(())) => close(&router.limits, &client, future::ready(Ok(()))).await,
-        Ended::Reading(Err(what)) | Ended::Writing(Err(what)) => {
-            tracing::debug!(%what, open = open(), "a client's connection broke");
+        SessionEnd::Reader(Err(error)) => {
+            if let Some(occurrences) = state.malformed_log.record() {
+                tracing::warn!(%error, occurrences, "client connection closed: malformed or incomplete frame");
+            }
+            close(limits, &connection, writer).await;
         }
+        SessionEnd::Writer(Ok(())) => close(limits, &connection, future::ready(Ok(()))).await,
     }
-    client.end();
+    connection.end();
 }
 
-/// Has the last answers and the close reach a client that may still be sending: a close with bytes unread
-/// resets the connection, which destroys what the client has not read. What comes meanwhile is read and
-/// dropped, for a bounded time.
-async fn close(limits: &Limits, client: &Client, writing: impl Future<Output = io::Result<()>>) {
-    client.stop_taking();
-    if within(limits.farewell, writing).await.is_err() {
+/// Writes the last replies, closes the router's side, and drops what still arrives for a bounded time: unread bytes
+/// would reset the connection and destroy replies that the client has not read.
+async fn close(limits: &ClientLimits, connection: &Connection, writer: impl Future<Output = io::Result<()>>) {
+    connection.stop_accepting_calls();
+    if with_timeout(limits.final_write_timeout, writer).await.is_err() {
         return;
     }
-    client.half_close();
-    tracing::debug!("a client's connection is closed");
-    let _ = within(limits.linger, client.drop_rest(limits.read)).await;
+    connection.half_close();
+    tracing::debug!("client connection closed");
+    let discard = connection.discard_until_closed(limits.read_chunk_bytes);
+    let _ = with_timeout(limits.linger_timeout, discard).await;
 }
 
-async fn read(router: &Rc<RouterState>, client: &Rc<Client>) -> io::Result<()> {
-    let mut frames = pin!(frames(client, router.limits));
-    while let Some((frame, arrived)) = frames.try_next().await? {
-        client.used.set(arrived);
-        client.asked.set(true);
-        take(router, client, frame, arrived)?;
-        // Refusals and `health` stand for no memory in the budget: one that asks and never reads is not
-        // heard.
-        client.drained(router.limits.replies).await;
+/// Reads and dispatches messages until the connection is to be closed.
+async fn read_calls(state: &Rc<RouterState>, connection: &Rc<Connection>) -> Result<(), FrameError> {
+    let limits = state.limits.client;
+    let mut frames = FrameReader::new(connection, limits);
+    while let Some(frame) = frames.next_frame().await? {
+        connection.record_frame(frame.arrived);
+        dispatch(state, connection, frame, &limits)?;
+        // Rejections and health replies reserve no memory, so their number is bounded here.
+        connection.wait_for_reply_capacity(limits.max_unwritten_replies).await;
     }
     Ok(())
 }
 
-/// Takes one frame; an error closes the connection.
-fn take(router: &Rc<RouterState>, client: &Rc<Client>, frame: Bytes, arrived: Instant) -> io::Result<()> {
-    let size = frame.len();
-    let frame = if size <= router.limits.small_frame { Bytes::copy_from_slice(&frame) } else { frame };
-    match tindoor_thrift::parse(frame) {
-        Ok(Message::Health { seq }) => {
-            let good =
-                router.stopping.get().is_none() && router.fleet.as_ref().is_none_or(|fleet| fleet.is_good());
-            client.send(tindoor_thrift::answer("health", seq, Bytes::new(), &[], good), None);
-        }
-        Ok(Message::Cancel { seq }) => {
-            if let Some(mailbox) = client.open.borrow_mut().remove(&seq) {
-                mailbox.put(Action::Abandon);
-            }
+/// Handles one message; an error closes the connection.
+fn dispatch(
+    state: &Rc<RouterState>,
+    connection: &Rc<Connection>,
+    frame: Frame,
+    limits: &ClientLimits,
+) -> Result<(), FrameError> {
+    let Frame { bytes, arrived } = frame;
+    let frame_size = bytes.len();
+    let is_copied = frame_size <= limits.max_copied_frame_bytes;
+    let bytes = if is_copied { Bytes::copy_from_slice(&bytes) } else { bytes };
+    match tindoor_thrift::parse(bytes) {
+        Ok(Message::Health { sequence_id }) => {
+            let health = Answer { good: state.is_healthy(), ..Answer::default() };
+            connection.send(answer("health", sequence_id, health), None);
         }
-        Ok(Message::Call { seq, fields, body }) => {
-            if client.open.borrow().contains_key(&seq) {
-                let text = "a call with this sequence number is open";
-                client.send(application_exception(seq, Objection::BadSequence, text), None);
-                return Ok(());
-            }
-            // What can't be taken at all never ran.
-            let room = router.engine.has_capacity(router.limits.open_requests)
-                && client.open.borrow().len() < router.limits.open_calls;
-            let Some(held) = router.budget.take(size).filter(|_| room) else {
-                if let Some(times) = router.no_room.told() {
-                    let requests = router.engine.open_requests();
-                    tracing::warn!(requests, times, "no room for a view");
-                }
-                let retry_after = router.engine.retry_after();
-                client.send(request::rejected(seq, retry_after), None);
-                return Ok(());
-            };
-            let (no, mailbox) = router.engine.open_request();
-            client.open.borrow_mut().insert(seq, Rc::clone(&mailbox));
-            let call = Call { seq, fields, body, arrived, _held: held };
-            let task = request::serve(Rc::clone(router), Rc::clone(client), call, no, mailbox);
-            router.executor.spawn(task).detach();
+        Ok(Message::Cancel { sequence_id }) => connection.cancel_call(sequence_id),
+        Ok(Message::Call { sequence_id, fields, body }) => {
+            let call = ReceivedCall { sequence_id, fields, body, arrived, frame_size };
+            open_call(state, connection, call);
         }
-        Err(Fault::UnknownMethod { seq }) => {
-            client.send(application_exception(seq, Objection::UnknownMethod, "no such method"), None);
+        Err(ParseError::UnknownMethod { sequence_id }) => {
+            let kind = ApplicationExceptionKind::UnknownMethod;
+            connection.send(application_exception(sequence_id, kind, "no such method"), None);
         }
-        Err(Fault::BadArguments { seq, what }) => {
-            if let Some(times) = router.unreadable.told() {
-                tracing::warn!(what, times, "a call whose arguments can't be read");
+        Err(ParseError::BadArguments { sequence_id, reason }) => {
+            if let Some(occurrences) = state.malformed_log.record() {
+                tracing::warn!(reason, occurrences, "call with malformed arguments");
             }
-            client.send(aborted(seq, &[("reason", what)]), None);
+            connection.send(aborted(sequence_id, &[("reason", reason)]), None);
         }
-        Err(fault) => return Err(unreadable(fault)),
+        Err(error @ ParseError::Unreadable(_)) => return Err(error.into()),
     }
     Ok(())
 }
+
+/// A call before it is admitted.
+struct ReceivedCall {
+    sequence_id: i32,
+    fields: Fields,
+    body: Bytes,
+    arrived: std::time::Instant,
+    frame_size: usize,
+}
+
+/// Opens a request for a call, or rejects it where there is no capacity.
+fn open_call(state: &Rc<RouterState>, connection: &Rc<Connection>, call: ReceivedCall) {
+    let ReceivedCall { sequence_id, fields, body, arrived, frame_size } = call;
+    if connection.is_open_call(sequence_id) {
+        let message = "a call with this sequence number is open";
+        let kind = ApplicationExceptionKind::BadSequenceId;
+        return connection.send(application_exception(sequence_id, kind, message), None);
+    }
+    let has_capacity = state.engine.has_capacity(state.limits.max_open_requests)
+        && connection.open_call_count() < state.limits.client.max_open_calls;
+    let Some(memory) = state.memory.reserve(frame_size).filter(|_| has_capacity) else {
+        if let Some(occurrences) = state.overload_log.record() {
+            let requests = state.engine.open_requests();
+            tracing::warn!(requests, occurrences, "call rejected: no capacity");
+        }
+        return connection.send(rejected(sequence_id, state.engine.retry_after()), None);
+    };
+    let (slot, mailbox) = state.engine.open_request();
+    connection.add_call(sequence_id, &mailbox);
+    let call = Call { sequence_id, fields, body, arrived, _memory: memory };
+    let open_call = OpenCall { call, slot, mailbox };
+    let task = serve_call(Rc::clone(state), Rc::clone(connection), open_call);
+    state.executor.spawn(task).detach();
+}
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -13,7 +13,9 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use tindoor_consensus::Frame;
 
-use crate::configuration::limits::{PeerLimits, Seldom, within};
+use crate::configuration::limits::PeerLimits;
+use crate::log_throttle::LogThrottle;
+use crate::timeout::with_timeout;
 
 /// The first line on each connection, with the fleet's and the sender's name after it.
 const HELLO: &str = "tindoor-membership 1";
@@ -58,7 +60,7 @@
     ways: RefCell<HashMap<String, Rc<Queue>>>,
     /// Bytes and frames that were sent, for the figures.
     pub sent: Cell<[u64; 2]>,
-    unreadable: Seldom,
+    unreadable: LogThrottle,
 }
 
 impl Peers {
@@ -76,7 +78,7 @@
     /// Sends a frame, as far as there is room and somebody there.
     pub fn send(self: &Rc<Self>, to: &str, frame: &Frame) {
         let bytes = frame.to_bytes();
-        if bytes.len() > self.limits.frame {
+        if bytes.len() > self.limits.max_message_bytes {
             tracing::error!(to, size = bytes.len(), "a message to a peer is too long, and dropped");
             return;
         }
@@ -86,7 +88,7 @@
         let way = known.or_else(|| {
             let Ok(address) = to.parse::<SocketAddr>() else { return None };
             // Each holds a descriptor: as many as are allowed, and the message is lost beyond that.
-            if self.ways.borrow().len() >= self.limits.connections {
+            if self.ways.borrow().len() >= self.limits.max_connections {
                 return None;
             }
             let queue = Rc::<Queue>::default();
@@ -101,7 +103,7 @@
             Some(queue)
         });
         if let Some(way) = way {
-            way.put(bytes, self.limits.queue);
+            way.put(bytes, self.limits.max_queued_messages);
         }
     }
 
@@ -115,9 +117,9 @@
         loop {
             future::yield_now().await;
             let stream = match listener.accept().await {
-                Ok((stream, _)) if open.get() < self.limits.connections => stream,
+                Ok((stream, _)) if open.get() < self.limits.max_connections => stream,
                 _ => {
-                    Timer::after(self.limits.pause).await;
+                    Timer::after(self.limits.backoff).await;
                     continue;
                 }
             };
@@ -126,7 +128,7 @@
             let take = async move {
                 if let Err(what) = take(&peers, stream, heard).await
                     && what.kind() == io::ErrorKind::InvalidData
-                    && let Some(times) = peers.unreadable.told()
+                    && let Some(times) = peers.unreadable.record()
                 {
                     tracing::warn!(%what, times, "a peer's connection is closed: it can't be read");
                 }
@@ -144,15 +146,16 @@
     loop {
         let next = async { Some(queue.next().await) };
         let idle = async {
-            Timer::after(limits.idle).await;
+            Timer::after(limits.idle_timeout).await;
             None
         };
         let Some(frame) = future::or(next, idle).await else { return };
         if stream.is_none() {
-            match within(limits.connect, Async::<TcpStream>::connect(address)).await {
+            match with_timeout(limits.connect_timeout, Async::<TcpStream>::connect(address)).await {
                 Ok(mut new) => {
                     let _ = new.get_ref().set_nodelay(true);
-                    let hello = within(limits.write, new.write_all(peers.hello.as_bytes())).await;
+                    let hello =
+                        with_timeout(limits.write_timeout, new.write_all(peers.hello.as_bytes())).await;
                     stream = hello.ok().map(|()| new);
                 }
                 Err(what) => tracing::debug!(%address, %what, "a peer can't be reached"),
@@ -161,12 +164,12 @@
         let Some(open) = &mut stream else {
             // What waits was for then. It is asked again, and not at once.
             queue.frames.borrow_mut().clear();
-            Timer::after(limits.pause).await;
+            Timer::after(limits.backoff).await;
             continue;
         };
         let size = (frame.len() as u32).to_be_bytes();
         let whole = [&size[..], &frame].concat();
-        if within(limits.write, open.write_all(&whole)).await.is_err() {
+        if with_timeout(limits.write_timeout, open.write_all(&whole)).await.is_err() {
             stream = None;
         }
     }
@@ -179,13 +182,13 @@
     let mut line = Vec::new();
     let hello = async {
         let mut byte = [0];
-        while line.last() != Some(&b'\n') && line.len() < limits.hello {
+        while line.last() != Some(&b'\n') && line.len() < limits.max_hello_bytes {
             stream.read_exact(&mut byte).await?;
             line.extend(byte);
         }
         Ok(())
     };
-    within(limits.write, hello).await?;
+    with_timeout(limits.write_timeout, hello).await?;
     let line = String::from_utf8_lossy(&line);
     // The same fleet, by the same form; whoever else comes is told nothing.
     let ours = peers.hello.rsplit_once(' ').map_or("", |(ours, _)| ours);
@@ -196,13 +199,13 @@
     loop {
         // A peer that sends without end gets its turn, as all others do.
         future::yield_now().await;
-        within(limits.idle * 2, stream.read_exact(&mut size)).await?;
+        with_timeout(limits.idle_timeout * 2, stream.read_exact(&mut size)).await?;
         let length = u32::from_be_bytes(size) as usize;
-        if length > limits.frame {
+        if length > limits.max_message_bytes {
             return Err(bad("a frame is too long"));
         }
         let mut bytes = vec![0; length];
-        within(limits.write, stream.read_exact(&mut bytes)).await?;
+        with_timeout(limits.write_timeout, stream.read_exact(&mut bytes)).await?;
         heard(Frame::read(&bytes).map_err(|_| bad("a frame is no message"))?);
     }
 }
--- a/crates/router/src/processor.rs
+++ b/crates/router/src/processor.rs
@@ -21,10 +21,10 @@
 use tindoor_extproc::say;
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 
-use crate::configuration::limits::within;
 use crate::external::Open;
 use crate::places;
 use crate::state::RouterState;
+use crate::timeout::with_timeout;
 use crate::wanted::{Wanted, refused, unix_ms, wanted};
 
 /// How one stream ended, as gRPC's status: a code and words.
@@ -40,27 +40,27 @@
 
 /// One connection, until either side ends it.
 pub async fn converse(router: Rc<RouterState>, stream: Async<TcpStream>, names: Rc<Names>) -> io::Result<()> {
-    let limits = &router.limits;
+    let limits = &router.limits.proxy;
     let mut builder = h2::server::Builder::new();
     // Guards against one proxy's flood: streams, resets before they are taken, and headers are bounded by
     // connection; continuation frames count as headers.
     builder
-        .max_concurrent_streams(limits.streams as u32)
-        .max_header_list_size(limits.header_list as u32)
-        .max_frame_size(limits.read as u32)
-        .max_pending_accept_reset_streams(limits.resets)
-        .max_concurrent_reset_streams(limits.resets)
-        .max_local_error_reset_streams(Some(limits.resets))
-        .data_frame_budget(limits.small_frames)
-        .max_send_buffer_size(limits.unsent)
-        .initial_window_size(limits.message as u32);
+        .max_concurrent_streams(limits.max_streams as u32)
+        .max_header_list_size(limits.max_header_list_bytes as u32)
+        .max_frame_size(limits.read_chunk_bytes as u32)
+        .max_pending_accept_reset_streams(limits.max_reset_streams)
+        .max_concurrent_reset_streams(limits.max_reset_streams)
+        .max_local_error_reset_streams(Some(limits.max_reset_streams))
+        .data_frame_budget(limits.data_frame_budget)
+        .max_send_buffer_size(limits.max_unsent_bytes)
+        .initial_window_size(limits.max_message_bytes as u32);
     let ready = async { builder.handshake(stream.compat()).await.map_err(io::Error::other) };
     let mut connection: Connection<Compat<Async<TcpStream>>, Bytes> =
-        within(limits.frame_wait, ready).await?;
+        with_timeout(limits.frame_timeout, ready).await?;
     // One that rests holds a descriptor and nothing else, for so long. One timer for all its life: each costs
     // a call of the system.
     let (busy, mut used) = (Rc::new(()), Instant::now());
-    let mut rest = Timer::after(limits.proxy_idle);
+    let mut rest = Timer::after(limits.idle_timeout);
     loop {
         let accepted = or(async { Some(connection.accept().await) }, async {
             (&mut rest).await;
@@ -69,13 +69,13 @@
         let (request, respond) = match accepted.await {
             Some(None) => return Ok(()),
             Some(Some(call)) => call.map_err(io::Error::other)?,
-            None if Rc::strong_count(&busy) > 1 || used.elapsed() < limits.proxy_idle => {
-                rest.set_after(limits.proxy_idle);
+            None if Rc::strong_count(&busy) > 1 || used.elapsed() < limits.idle_timeout => {
+                rest.set_after(limits.idle_timeout);
                 continue;
             }
             None => {
                 connection.graceful_shutdown();
-                return within(limits.frame_wait, async {
+                return with_timeout(limits.frame_timeout, async {
                     future::poll_fn(|context| connection.poll_closed(context)).await.map_err(io::Error::other)
                 })
                 .await;
@@ -120,7 +120,7 @@
         Err(None) => return,
     };
     if status != OK
-        && let Some(times) = router.unreadable.told()
+        && let Some(times) = router.malformed_log.record()
     {
         let (code, words) = status;
         tracing::warn!(code, words, times, "a call of a proxy ended with a fault");
@@ -148,7 +148,10 @@
     /// The next message; none at the end of the proxy's side. May be dropped and called again.
     async fn next(&mut self) -> Result<Option<Phase>, Over> {
         loop {
-            match frames::take::<ProcessingRequest>(&mut self.read, self.router.limits.message) {
+            match frames::take::<ProcessingRequest>(
+                &mut self.read,
+                self.router.limits.proxy.max_message_bytes,
+            ) {
                 Ok(Some(message)) if message.observability_mode => {
                     return Err(Some((UNIMPLEMENTED, "observability mode takes no choice")));
                 }
@@ -185,7 +188,7 @@
             }
             Ok(())
         };
-        match within(self.router.limits.untaken, opened).await {
+        match with_timeout(self.router.limits.proxy.write_timeout, opened).await {
             Ok(()) => Ok(()),
             Err(error) if error.kind() == io::ErrorKind::TimedOut => {
                 self.sender.send_reset(Reason::CANCEL);
@@ -205,7 +208,7 @@
 /// Serves one request of a proxy, from its headers to the end of its stream.
 async fn serve(router: &Rc<RouterState>, talk: &mut Talk<'_>, names: &Names) -> Result<(), Over> {
     // Read strictly, before anybody is asked.
-    let first = within(router.limits.frame_wait, async { Ok(talk.next().await) }).await;
+    let first = with_timeout(router.limits.proxy.frame_timeout, async { Ok(talk.next().await) }).await;
     let first = first.map_err(|_| Some((LATE, "no headers came in time")))??;
     let asked = match first {
         Some(Phase::RequestHeaders(asked)) => asked,
@@ -259,8 +262,8 @@
             Happened::Phase(phase) => match phase? {
                 None => return Ok(()),
                 Some(Phase::ResponseHeaders(headers)) => {
-                    if let Some(links) = &router.links {
-                        links.heard_date(participant, &pairs(&headers), unix_ms(router));
+                    if let Some(links) = &router.signed_urls {
+                        links.observe_date_header(participant, &pairs(&headers), unix_ms(router));
                     }
                     match ask::report(&pairs(&headers)) {
                         Ok(report) => router.external.report(&open, report),
@@ -289,8 +292,8 @@
     }
     match listen(&open, talk).await? {
         CallReply::PassThrough => {
-            let links = router.links.as_ref().zip(playback.as_ref());
-            let cookie = links.and_then(|(links, playback)| links.renewal(playback, unix_ms(router)));
+            let links = router.signed_urls.as_ref().zip(playback.as_ref());
+            let cookie = links.and_then(|(links, playback)| links.renewal_cookie(playback, unix_ms(router)));
             talk.send(&say::passed_on(cookie)).await?;
         }
         CallReply::AwaitRetry => talk.send(&say::again()).await?,
@@ -329,7 +332,7 @@
 
 /// Everything is said; phases that come all the same are passed on, until the proxy ends its side.
 async fn drain(talk: &mut Talk<'_>) -> Result<(), Over> {
-    let limit = talk.router.limits.patience;
+    let limit = talk.router.limits.proxy.max_request_timeout;
     let rest = async {
         loop {
             match talk.next().await {
@@ -346,7 +349,7 @@
             }
         }
     };
-    within(limit, rest).await.unwrap_or(Err(Some((LATE, "the stream was left open"))))
+    with_timeout(limit, rest).await.unwrap_or(Err(Some((LATE, "the stream was left open"))))
 }
 
 /// A phase that the router has no use for, passed on unchanged.
--- /dev/null
+++ b/crates/router/src/server/files.rs
@@ -0,0 +1,49 @@
+//! Loads the files that the command line names.
+
+use std::ffi::OsStr;
+
+use anyhow::{Context, Result};
+
+use crate::command::Files;
+use crate::configuration::{Configuration, Fronts, line_of_value};
+
+/// What a start reads.
+pub struct LoadedFiles {
+    pub configuration: Configuration,
+    pub fronts: Fronts,
+}
+
+/// Loads the configuration and the fronts file.
+pub fn load_files(files: &Files) -> Result<LoadedFiles> {
+    let path =
+        files.configuration().context("no configuration: name its file as argument or in PROXY_CONFIG")?;
+    let configuration = load_configuration(&path)?;
+    let fronts = match &files.fronts {
+        Some(path) => {
+            let file = || format!("fronts {}", path.display());
+            let text = std::fs::read(path).with_context(file)?;
+            Fronts::parse(&text).with_context(file)?
+        }
+        None => Fronts::default(),
+    };
+    Ok(LoadedFiles { configuration, fronts })
+}
+
+/// Loads the configuration; an error names the file, the line and the key.
+pub fn load_configuration(path: &OsStr) -> Result<Configuration> {
+    let file = path.display();
+    let text = std::fs::read(path).with_context(|| format!("configuration {file}"))?;
+    Configuration::parse(&text, descriptors_allowed()).map_err(|error| {
+        let context = match line_of_value(&text, &error.path) {
+            Some(line) => format!("configuration {file}: line {line}"),
+            None => format!("configuration {file}"),
+        };
+        anyhow::Error::new(error).context(context)
+    })
+}
+
+/// How many descriptors the system allows this process.
+fn descriptors_allowed() -> usize {
+    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
+    limit.current.and_then(|count| usize::try_from(count).ok()).unwrap_or(usize::MAX)
+}
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,299 +1,78 @@
-//! Composes the parts of the router, and reloads and ends them.
+//! The router as a process: composes its parts, reloads its configuration, and shuts it down.
 
-pub mod signals;
+mod files;
+mod reload;
+mod shutdown;
+mod signals;
+mod startup;
 
-use std::cell::{Cell, RefCell};
-use std::convert::Infallible;
-use std::ffi::OsString;
-use std::mem;
-use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
-use std::time::Instant;
 
-use crate::downstream::listener::Connections;
 use anyhow::{Context, Result};
-use async_executor::{LocalExecutor, Task};
-use async_io::{Async, Timer};
+use async_executor::LocalExecutor;
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
 
 use crate::command::Files;
-use crate::configuration::file::{Deployment, Fixed};
-use crate::configuration::fronts::Fronts;
-use crate::configuration::limits::{PeerLimits, Seldom};
-use crate::configuration::{file, fronts, line_numbers};
-use crate::discovery::watch as feed;
-use crate::downstream::listener as accept;
-use crate::external::ExternalProcessing;
-use crate::fleet::Fleet;
-use crate::signed_urls::Links;
-use crate::state::RouterState;
-use crate::upstream::pool::{Budget, Caches};
-use crate::{callers, council, fleet, processor, subrequests};
-use tindoor::time::Span;
-use tindoor_discovery::Place;
-use tindoor_extproc::ask::RequestClass;
-use tindoor_request_runtime::{AdmissionGate, EngineHandle, InFlightIds};
+use crate::downstream::{Connections, Listener};
+use crate::signed_urls::SignedUrls;
+use files::{LoadedFiles, load_files};
+use reload::Reloader;
+use shutdown::Shutdown;
 
+/// Reads the files and serves until the process is told to end.
 pub fn start(files: Files) -> Result<()> {
-    let (deployment, fronts) = read(&files)?;
+    let loaded = load_files(&files)?;
     let executor = Rc::new(LocalExecutor::new());
-    async_io::block_on(executor.run(run(Rc::clone(&executor), files, deployment, fronts)))
+    async_io::block_on(executor.run(run(Rc::clone(&executor), files, loaded)))
 }
 
-/// Reads all that a start would read, the keys of links as well.
+/// Checks everything that a start would read, the keys of signed URLs included.
 pub fn check(files: &Files) -> Result<()> {
-    let (deployment, fronts) = read(files)?;
-    let asked = asked(&deployment);
-    fronts.links.map(|told| Links::start(told, &asked, 0).context("fronts")).transpose()?;
-    fronts.fleet.map(|told| told.terms().context("fronts")).transpose()?;
+    let LoadedFiles { configuration, fronts } = load_files(files)?;
+    if let Some(settings) = fronts.signed_urls {
+        SignedUrls::start(settings, &startup::header_classes(&configuration.classes), 0).context("fronts")?;
+    }
+    if let Some(fleet) = fronts.fleet {
+        fleet.terms().context("fronts")?;
+    }
     Ok(())
 }
 
-/// Request classes as proxies' headers are read.
-fn asked(deployment: &Deployment) -> Vec<RequestClass> {
-    let class = |class: &file::RequestClass| RequestClass {
-        name: class.name.clone(),
-        tagged: class.tagged,
-        cut_off: class.cut_off,
-    };
-    deployment.classes.iter().map(class).collect()
-}
-
-fn read(files: &Files) -> Result<(Deployment, Fronts)> {
-    let path =
-        files.configuration().context("no configuration: name its file as argument or in PROXY_CONFIG")?;
-    let deployment = read_configuration(&path)?;
-    let fronts = match &files.fronts {
-        Some(path) => {
-            let text = std::fs::read(path).with_context(|| format!("fronts {}", path.display()))?;
-            fronts::read(&text).with_context(|| format!("fronts {}", path.display()))?
-        }
-        None => Fronts::default(),
-    };
-    Ok((deployment, fronts))
-}
-
-/// An error names the file, the key, and its line.
-fn read_configuration(path: &OsString) -> Result<Deployment> {
-    let text = std::fs::read(path).with_context(|| format!("configuration {}", path.display()))?;
-    file::read(&text, descriptors_allowed()).map_err(|error| {
-        // Messages begin with the path of the key that they are about.
-        let words = format!("{error:#}");
-        let key = words.split(": ").find(|part| !part.contains(' ')).unwrap_or_default();
-        let line = line_numbers::line(&text, key).map_or(String::new(), |line| format!("line {line}: "));
-        error.context(
-            format!("configuration {}: {line}", path.display()).trim_end_matches([' ', ':']).to_string(),
-        )
-    })
-}
-
-/// How many descriptors the system allows this process, where it says so.
-fn descriptors_allowed() -> usize {
-    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
-    limit.current.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX)
-}
-
-async fn run(
-    executor: Rc<LocalExecutor<'static>>,
-    files: Files,
-    deployment: Deployment,
-    fronts: Fronts,
-) -> Result<()> {
-    // Heeded from the first moment on: unheeded, each of them ends the process.
-    let hangups = signals::heed(&[Signal::Hup]).context("signals")?;
-    let mut ends = signals::heed(&[Signal::Term, Signal::Int]).context("signals")?;
-    let path = files.configuration().unwrap_or_default();
-    let asked = asked(&deployment);
-    let Deployment { name, listen, seed, mut limits, .. } = deployment;
-    if fronts.external_processing.is_some() || fronts.call.is_some() {
-        // Proxies' connections come out of the clients' share.
-        limits.client_connections = limits.client_connections.saturating_sub(limits.proxies).max(1);
-    }
-    // For pauses between connections only; the routing engine draws from a seed of its own.
-    fastrand::seed(seed);
-    let settings = deployment.engine_settings;
-    let engine = EngineHandle::start(settings.clone(), seed);
-    let (engine, ids) = (Rc::new(engine), InFlightIds::default());
-    let external = ExternalProcessing::new(
-        Rc::clone(&executor),
-        Rc::clone(&engine),
-        ids.clone(),
-        limits.open_requests,
-        limits.calls(deployment.grace, deployment.window),
+async fn run(executor: Rc<LocalExecutor<'static>>, files: Files, loaded: LoadedFiles) -> Result<()> {
+    // Before anything else: a signal that is not subscribed to ends the process.
+    let reload_signals = signals::subscribe(&[Signal::Hup]).context("signals")?;
+    let mut stop_signals = signals::subscribe(&[Signal::Term, Signal::Int]).context("signals")?;
+    let LoadedFiles { mut configuration, mut fronts } = loaded;
+    let state = startup::create_state(&executor, &mut configuration, &mut fronts)?;
+    let bind = async { Some(crate::downstream::bind(configuration.listen, &state.limits).await) };
+    // Told to stop while it waits for its address, the router has nothing to shut down.
+    let Some(socket) = future::or(until_first(&mut stop_signals), bind).await else { return Ok(()) };
+    let socket = socket.with_context(|| format!("listen: {}", configuration.listen))?;
+    let bound = socket.get_ref().local_addr().context("listen")?;
+    let connections = Rc::new(Connections::default());
+    let listener = Rc::new(Listener::new(Rc::clone(&state), Rc::clone(&connections), socket));
+    let reloader = Reloader::start(
+        Rc::clone(&state),
+        files.configuration().unwrap_or_default(),
+        configuration.discovery,
+        configuration.fixed,
     );
-    let links = match fronts.links {
-        Some(told) => Some(Links::start(told, &asked, seed).context("fronts")?),
-        None => None,
-    };
-    let place = fleet::Place {
-        name: name.clone(),
-        location: settings.topology.location,
-        settings,
-        classes: deployment.classes.iter().map(|class| class.name.clone()).collect(),
-        limits: PeerLimits::default(),
-        open_requests: limits.open_requests,
-        in_hand: {
-            let engine = Rc::clone(&engine);
-            Box::new(move || engine.open_requests())
-        },
-        pause: Span::micros(limits.no_lease.as_micros() as u64),
-    };
-    let fleet = match &fronts.fleet {
-        Some(told) => {
-            let fleet = Fleet::start(&executor, told, place).context("fronts")?;
-            engine.set_gate(Rc::clone(&fleet) as Rc<dyn AdmissionGate>);
-            if let Some(path) = told.operator.clone() {
-                let heard =
-                    council::listen(Rc::clone(&executor), Rc::clone(&fleet), path, PeerLimits::default());
-                let heard = async move {
-                    if let Err(what) = heard.await {
-                        tracing::error!("the operator is not heard: {what:#}");
-                    }
-                };
-                executor.spawn(heard).detach();
-            }
-            Some(fleet)
-        }
-        None => None,
-    };
-    let router = Rc::new(RouterState {
-        fleet,
-        executor: Rc::clone(&executor),
-        limits,
-        asked,
-        links,
-        external,
-        classes: deployment.classes,
-        locations: deployment.locations,
-        kinds: deployment.kinds,
-        engine,
-        ids,
-        caches: Caches::new(limits),
-        budget: Budget::new(limits.buffered),
-        clients: Connections::default(),
-        unwritten: Rc::default(),
-        no_room: Seldom::default(),
-        unreadable: Seldom::default(),
-        told: RefCell::new(Place { seq: deployment.known_seq, ..Place::default() }),
-        stopping: Cell::new(None),
+    executor.spawn(reloader.run(reload_signals)).detach();
+    let accepting = executor.spawn({
+        let listener = Rc::clone(&listener);
+        async move { listener.accept().await }
     });
-    if let Some(fleet) = router.fleet.clone() {
-        router.caches.ask_before_connects(move |id| fleet.may_connect(id));
-    }
-    deployment.known.into_iter().for_each(|event| feed::heed(&router, event));
-    // Told to end while it waits for its address, it has nothing to end in order.
-    let told_to_end = async {
-        ends.next().await;
-        None
-    };
-    let listening = async { Some(accept::listen(listen, &limits).await) };
-    let Some(listener) = future::or(told_to_end, listening).await.transpose()? else { return Ok(()) };
-    let bound = listener.get_ref().local_addr().context("listen")?;
-    let feed = executor.spawn(feed::follow(Rc::clone(&router), deployment.discovery));
-    let followed = (deployment.discovery, feed);
-    executor.spawn(reload(Rc::clone(&router), hangups, path, deployment.fixed, followed)).detach();
-    let accepting = executor.spawn(accept::accept(Rc::clone(&router), Rc::clone(&listener)));
-    let bind = |key: &str, listen: SocketAddr| -> Result<Async<TcpListener>> {
-        let bound = Async::<TcpListener>::bind(listen).with_context(|| format!("{key}.listen: {listen}"))?;
-        let bound_to = bound.get_ref().local_addr().context("listen")?;
-        tracing::info!(front = key, at = %bound_to, "listening");
-        Ok(bound)
-    };
-    if let Some(front) = fronts.external_processing {
-        let listener = bind("external_processing", front.listen)?;
-        let names = Rc::new(front.headers);
-        let talk = move |router, stream| processor::converse(router, stream, Rc::clone(&names));
-        executor.spawn(callers::accept(Rc::clone(&router), listener, talk)).detach();
-    }
-    if let Some(front) = fronts.call {
-        let listener = bind("call", front.listen)?;
-        let names = Rc::new(front.headers);
-        let talk = move |router, stream| subrequests::converse(router, stream, Rc::clone(&names));
-        executor.spawn(callers::accept(Rc::clone(&router), listener, talk)).detach();
-    }
-    let timed = Rc::clone(&router);
-    executor.spawn(async move { timed.engine.run_timers().await }).detach();
-    let timed = Rc::clone(&router);
-    executor.spawn(async move { timed.external.keep_time().await }).detach();
-    let swept = Rc::clone(&router);
-    let sweep = async move {
-        loop {
-            Timer::after(swept.limits.sweep).await;
-            swept.caches.sweep();
-        }
-    };
-    executor.spawn(sweep).detach();
-    tracing::info!(name, %bound, "ready");
-    while ends.next().await.is_some_and(|signal| signal.is_err()) {}
-    stop(&router, (accepting, listener)).await;
+    startup::listen_for_proxies(&state, fronts)?;
+    startup::spawn_timers(&state);
+    tracing::info!(name = configuration.name, %bound, "ready");
+    while stop_signals.next().await.is_some_and(|signal| signal.is_err()) {}
+    Shutdown { state: &state, connections: &connections }.run(accepting, listener).await;
     Ok(())
 }
 
-/// Reads the configuration again at each SIGHUP, also while the router stops. Only the change stream moves; what
-/// can't be used changes nothing.
-async fn reload(
-    router: Rc<RouterState>,
-    mut hangups: Signals,
-    path: OsString,
-    fixed: Fixed,
-    (mut address, mut feed): (SocketAddr, Task<Infallible>),
-) {
-    while hangups.next().await.is_some() {
-        if let Some(Err(what)) = router.links.as_ref().map(Links::reload) {
-            tracing::error!("keys not read again, the old ones stay: {what:#}");
-        }
-        let deployment = match read_configuration(&path) {
-            Ok(deployment) => deployment,
-            Err(what) => {
-                tracing::error!("not reloaded, the old configuration stays: {what:#}");
-                continue;
-            }
-        };
-        for key in fixed.differ(&deployment.fixed) {
-            tracing::warn!(key, "changed in the configuration, and heeded only at the next start");
-        }
-        tracing::info!(discovery = %deployment.discovery, seq = router.told.borrow().seq, "reloaded");
-        if mem::replace(&mut address, deployment.discovery) != deployment.discovery {
-            // The old connection may live on and tell nothing more, or be a connect that hangs: it is dropped
-            // as it is. What is known stands in the router.
-            drop(mem::replace(&mut feed, router.executor.spawn(feed::follow(Rc::clone(&router), address))));
-        }
-    }
-}
-
-/// Answers what still comes, and ends once nothing is open and no more can come; but in time before it is
-/// killed.
-async fn stop(router: &Rc<RouterState>, (accepting, listener): (Task<Infallible>, Rc<Async<TcpListener>>)) {
-    let told = Instant::now();
-    let end = told + router.limits.stop;
-    router.stopping.set(Some(end));
-    if let Some(fleet) = &router.fleet {
-        // Its name leaves the list only once it takes no more requests: until then it is waited for.
-        tracing::info!(generation = fleet.status().0.generation, "leaving the fleet");
-    }
-    tracing::info!(requests = router.engine.open_requests(), "stopping");
-    let look_again = || Timer::after(router.limits.look_again);
-    let busy = || router.engine.open_requests() > 0 || router.unwritten.get() > 0;
-    while told.elapsed() < router.limits.last_calls || busy() && Instant::now() < end {
-        look_again().await;
-    }
-    // Nobody comes any more. What did come is still taken, and each connection is closed once nothing is owed on it.
-    accepting.cancel().await;
-    while !(accept::accept_rest(router, &listener) & router.clients.close_idle()) && Instant::now() < end {
-        look_again().await;
-    }
-    drop(listener);
-    // Whoever waits longer than that is told so: a connection that just ends would lose the request.
-    router.engine.abandon_all();
-    router.clients.close_all();
-    let farewell = Instant::now();
-    while (busy() || !router.clients.is_empty()) && farewell.elapsed() < router.limits.farewell {
-        look_again().await;
-    }
-    if let Some(fleet) = &router.fleet {
-        fleet.tell(|node, now| node.leave(now));
-        look_again().await;
-    }
-    tracing::info!(calls = ?router.external.figures(), "stopped");
+/// Gives nothing once the first signal has come.
+async fn until_first<T>(signals: &mut Signals) -> Option<T> {
+    signals.next().await;
+    None
 }
--- /dev/null
+++ b/crates/router/src/server/startup.rs
@@ -0,0 +1,186 @@
+//! Creates the parts of the router from the configuration, and the tasks that run beside the listener for clients.
+
+use std::cell::{Cell, RefCell};
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use anyhow::{Context, Result};
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use tindoor::time::Span;
+use tindoor_discovery::{WatchEvent, WatchPosition};
+use tindoor_extproc::ask::RequestClass as HeaderClass;
+use tindoor_request_runtime::{AdmissionGate, EngineHandle, InFlightIds};
+
+use crate::configuration::limits::{Limits, PeerLimits};
+use crate::configuration::{Configuration, Fronts, RequestClass};
+use crate::discovery::apply_event;
+use crate::external::ExternalProcessing;
+use crate::fleet::{self, Fleet};
+use crate::log_throttle::LogThrottle;
+use crate::signed_urls::SignedUrls;
+use crate::state::RouterState;
+use crate::upstream::{EndpointPool, MemoryBudget};
+use crate::{callers, council, processor, subrequests};
+
+/// Creates the parts that all tasks share, and applies the events that the configuration holds.
+pub fn create_state(
+    executor: &Rc<LocalExecutor<'static>>,
+    configuration: &mut Configuration,
+    fronts: &mut Fronts,
+) -> Result<Rc<RouterState>> {
+    let limits = limits_with_proxies(configuration.limits, fronts);
+    // For the jitter of reconnects; the routing engine has a generator of its own.
+    fastrand::seed(configuration.seed);
+    let engine = Rc::new(EngineHandle::start(configuration.engine_settings.clone(), configuration.seed));
+    let in_flight_ids = InFlightIds::default();
+    let external = ExternalProcessing::new(
+        Rc::clone(executor),
+        Rc::clone(&engine),
+        in_flight_ids.clone(),
+        limits.max_open_requests,
+        limits.external_request_bounds(configuration.grace, configuration.idempotency_window),
+    );
+    let header_classes = header_classes(&configuration.classes);
+    let signed_urls = match fronts.signed_urls.take() {
+        Some(settings) => {
+            Some(SignedUrls::start(settings, &header_classes, configuration.seed).context("fronts")?)
+        }
+        None => None,
+    };
+    let fleet = start_fleet(executor, &engine, configuration, &limits, fronts)?;
+    let state = Rc::new(RouterState {
+        executor: Rc::clone(executor),
+        limits,
+        classes: std::mem::take(&mut configuration.classes),
+        header_classes,
+        locations: std::mem::take(&mut configuration.locations),
+        endpoint_kinds: std::mem::take(&mut configuration.endpoint_kinds),
+        engine,
+        external,
+        fleet,
+        signed_urls,
+        in_flight_ids,
+        endpoints: EndpointPool::new(limits.upstream),
+        memory: MemoryBudget::new(limits.max_buffered_bytes),
+        overload_log: LogThrottle::default(),
+        malformed_log: LogThrottle::default(),
+        watch_position: RefCell::new(WatchPosition::after(configuration.initial_sequence)),
+        shutdown_deadline: Cell::new(None),
+    });
+    limit_connections_by_quota(&state);
+    apply_initial_events(&state, std::mem::take(&mut configuration.initial_events));
+    Ok(state)
+}
+
+/// The limits, with the connections of proxies taken out of those for clients.
+fn limits_with_proxies(mut limits: Limits, fronts: &Fronts) -> Limits {
+    if fronts.external_processing.is_some() || fronts.call.is_some() {
+        let remaining = limits.client.max_connections.saturating_sub(limits.proxy.max_connections);
+        limits.client.max_connections = remaining.max(1);
+    }
+    limits
+}
+
+/// Request classes for the reader of proxies' headers.
+pub fn header_classes(classes: &[RequestClass]) -> Vec<HeaderClass> {
+    let header_class = |class: &RequestClass| HeaderClass {
+        name: class.name.clone(),
+        tagged: class.requires_idempotency_key(),
+        cut_off: class.deadline,
+    };
+    classes.iter().map(header_class).collect()
+}
+
+/// Joins the fleet of the fronts file, and lets it admit requests.
+fn start_fleet(
+    executor: &Rc<LocalExecutor<'static>>,
+    engine: &Rc<EngineHandle>,
+    configuration: &Configuration,
+    limits: &Limits,
+    fronts: &Fronts,
+) -> Result<Option<Rc<Fleet>>> {
+    let Some(fleet_settings) = &fronts.fleet else { return Ok(None) };
+    let in_flight = {
+        let engine = Rc::clone(engine);
+        Box::new(move || engine.open_requests())
+    };
+    let local_router = fleet::Place {
+        name: configuration.name.clone(),
+        location: configuration.engine_settings.topology.location,
+        settings: configuration.engine_settings.clone(),
+        classes: configuration.classes.iter().map(|class| class.name.clone()).collect(),
+        limits: PeerLimits::default(),
+        open_requests: limits.max_open_requests,
+        in_hand: in_flight,
+        pause: Span::micros(limits.no_lease_retry_after.as_micros() as u64),
+    };
+    let fleet = Fleet::start(executor, fleet_settings, local_router).context("fronts")?;
+    engine.set_gate(Rc::clone(&fleet) as Rc<dyn AdmissionGate>);
+    if let Some(path) = fleet_settings.operator.clone() {
+        spawn_operator_socket(executor, &fleet, path);
+    }
+    Ok(Some(fleet))
+}
+
+fn spawn_operator_socket(executor: &Rc<LocalExecutor<'static>>, fleet: &Rc<Fleet>, path: PathBuf) {
+    let socket = council::listen(Rc::clone(executor), Rc::clone(fleet), path, PeerLimits::default());
+    let task = async move {
+        if let Err(error) = socket.await {
+            tracing::error!("operator socket failed: {error:#}");
+        }
+    };
+    executor.spawn(task).detach();
+}
+
+/// Where the fleet shares out new connections, has each of them be charged.
+fn limit_connections_by_quota(state: &RouterState) {
+    if let Some(fleet) = state.fleet.clone() {
+        state.endpoints.set_connection_quota(move |endpoint| fleet.may_connect(endpoint));
+    }
+}
+
+fn apply_initial_events(state: &RouterState, events: Vec<WatchEvent>) {
+    events.into_iter().for_each(|event| apply_event(state, event));
+}
+
+/// Listens for proxies, as the fronts file says.
+pub fn listen_for_proxies(state: &Rc<RouterState>, fronts: Fronts) -> Result<()> {
+    if let Some(front) = fronts.external_processing {
+        let listener = bind_front("external_processing", front.listen)?;
+        let names = Rc::new(front.headers);
+        let serve = move |state, stream| processor::converse(state, stream, Rc::clone(&names));
+        state.executor.spawn(callers::accept(Rc::clone(state), listener, serve)).detach();
+    }
+    if let Some(front) = fronts.call {
+        let listener = bind_front("call", front.listen)?;
+        let names = Rc::new(front.headers);
+        let serve = move |state, stream| subrequests::converse(state, stream, Rc::clone(&names));
+        state.executor.spawn(callers::accept(Rc::clone(state), listener, serve)).detach();
+    }
+    Ok(())
+}
+
+fn bind_front(key: &str, listen: SocketAddr) -> Result<Async<TcpListener>> {
+    let listener = Async::<TcpListener>::bind(listen).with_context(|| format!("{key}.listen: {listen}"))?;
+    let bound = listener.get_ref().local_addr().context("listen")?;
+    tracing::info!(front = key, at = %bound, "listening");
+    Ok(listener)
+}
+
+/// Spawns the tasks that act at a time of their own.
+pub fn spawn_timers(state: &Rc<RouterState>) {
+    let engine = Rc::clone(&state.engine);
+    state.executor.spawn(async move { engine.run_timers().await }).detach();
+    let external = Rc::clone(&state.external);
+    state.executor.spawn(async move { external.keep_time().await }).detach();
+    state.executor.spawn(sweep_idle_connections(Rc::clone(state))).detach();
+}
+
+async fn sweep_idle_connections(state: Rc<RouterState>) {
+    loop {
+        Timer::after(state.limits.upstream.sweep_interval).await;
+        state.endpoints.sweep_idle();
+    }
+}
--- /dev/null
+++ b/crates/router/src/signed_urls/cookies.rs
@@ -0,0 +1,13 @@
+//! Cookies of a request.
+
+use tindoor_extproc::ask::Headers;
+
+/// The value of the cookie with this name; `None` where it is missing, or ambiguous as it is given twice.
+pub fn cookie(headers: &Headers, name: &str) -> Option<String> {
+    let headers = headers.0.iter().filter(|header| header.0 == "cookie");
+    let texts = headers.filter_map(|header| std::str::from_utf8(header.1).ok());
+    let pairs = texts.flat_map(|text| text.split(';')).filter_map(|pair| pair.trim().split_once('='));
+    let mut values = pairs.filter(|pair| pair.0 == name).map(|pair| pair.1);
+    let value = values.next()?;
+    values.next().is_none().then(|| value.to_string())
+}
--- /dev/null
+++ b/crates/router/src/signed_urls/verification.rs
@@ -0,0 +1,142 @@
+//! The check of one request.
+
+use std::net::{IpAddr, Ipv4Addr};
+
+use tindoor::host::Authorization;
+use tindoor::time::Span;
+use tindoor_extproc::ask::Headers;
+use tindoor_signed_urls::Format;
+use tindoor_signed_urls::claims::{Asked, Now, Refusal};
+use tindoor_signed_urls::normal;
+use tindoor_signed_urls::playback::Playback;
+use tindoor_signed_urls::verification_cache::Refused;
+
+use super::cookies::cookie;
+use super::{AuthorizedRequest, PLAYBACK_BOUNDS, SignedUrls, is_check_disabled};
+use crate::configuration::TokenSource;
+
+/// A token of a request and its format.
+struct Token<'a> {
+    format: &'a dyn Format,
+    text: String,
+}
+
+/// Why the last token was refused; that of a request without any, at first.
+struct RequestRefusal {
+    authorization: Authorization,
+    reason: String,
+}
+
+impl RequestRefusal {
+    fn missing_token() -> Self {
+        Self { authorization: Authorization::Denied, reason: Refusal::Missing.to_string() }
+    }
+
+    fn new(refused: &Refused) -> Self {
+        match refused {
+            Refused::Costs(wait) => Self {
+                authorization: Authorization::NotYetValid(Span::millis(*wait)),
+                reason: "too many tokens to check".to_string(),
+            },
+            Refused::Token(refusal) => {
+                let authorization = match refusal {
+                    Refusal::Early(wait) => Authorization::NotYetValid(Span::millis(*wait)),
+                    Refusal::Lapsed(_) => Authorization::Expired,
+                    _ => Authorization::Denied,
+                };
+                Self { authorization, reason: refusal.to_string() }
+            }
+        }
+    }
+
+    /// Whether a playback that began in time goes on all the same. A renewal does not make up for a token that was
+    /// tampered with or is for another request.
+    fn allows_renewal(&self) -> bool {
+        self.authorization == Authorization::Expired || self.reason == Refusal::Missing.to_string()
+    }
+}
+
+impl AuthorizedRequest {
+    fn granted(path: String, playback: Option<Playback>) -> Self {
+        Self { path, authorization: Authorization::Granted, refusal_reason: None, playback }
+    }
+}
+
+impl SignedUrls {
+    /// Checks a request by its headers.
+    ///
+    /// # Errors
+    ///
+    /// The path has no normal form.
+    pub fn authorize(
+        &self,
+        path: &str,
+        headers: &Headers,
+        unix_ms: u64,
+    ) -> Result<AuthorizedRequest, normal::Fault> {
+        let mut target = normal::target(path)?;
+        // Each token is taken out, so that the forwarded path is the one that was checked.
+        let tokens = self.take_tokens(&mut target, headers);
+        let path = target.text();
+        let client = headers.one(&self.client_header).and_then(|text| text.parse().ok());
+        // Without an address it fits no token that is for one, and shares one budget with all such requests.
+        let client = client.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED));
+        let now = self.now(unix_ms);
+        if is_check_disabled("links") {
+            return Ok(AuthorizedRequest::granted(path, None));
+        }
+        let request = Asked { base: &self.base, target: &target, client };
+        let playback = self.playback_under_way(headers, &request, now);
+        let refusal = match self.check_tokens(tokens, &request, now) {
+            Ok(playback) => return Ok(AuthorizedRequest::granted(path, playback)),
+            Err(refusal) => refusal,
+        };
+        if let Some(playback) = playback.filter(|_| refusal.allows_renewal()) {
+            return Ok(AuthorizedRequest::granted(path, playback.next(now, &PLAYBACK_BOUNDS)));
+        }
+        let RequestRefusal { authorization, reason } = refusal;
+        Ok(AuthorizedRequest { path, authorization, refusal_reason: Some(reason), playback: None })
+    }
+
+    fn take_tokens(&self, target: &mut normal::Target, headers: &Headers) -> Vec<Token<'_>> {
+        let mut tokens = Vec::new();
+        for entry in &self.formats {
+            let text = match &entry.source {
+                TokenSource::Query(key) => target.take(key),
+                TokenSource::Cookie(name) => cookie(headers, name),
+                TokenSource::Header(name) => headers.one(name).map(str::to_string),
+            };
+            tokens.extend(text.map(|text| Token { format: &*entry.format, text }));
+        }
+        tokens
+    }
+
+    /// The playback that the request's renewal cookie belongs to, where the cookie holds.
+    fn playback_under_way(&self, headers: &Headers, request: &Asked, now: Now) -> Option<Playback> {
+        let renewal = cookie(headers, self.playback_cookie.as_ref()?)?;
+        Playback::check(&renewal, &self.keys.borrow(), request, now).ok()
+    }
+
+    /// Checks the tokens in their order until one grants the request; gives the playback that it may begin.
+    fn check_tokens(
+        &self,
+        tokens: Vec<Token>,
+        request: &Asked,
+        now: Now,
+    ) -> Result<Option<Playback>, RequestRefusal> {
+        let keys = self.keys.borrow();
+        let mut verification_cache = self.verification_cache.borrow_mut();
+        let mut refusal = RequestRefusal::missing_token();
+        for Token { format, text } in tokens {
+            match verification_cache.check(format, &keys, &text, request, now) {
+                // Each part that a token grants may begin a playback: its end is bound to the token.
+                Ok(checked) if self.playback_cookie.is_some() => {
+                    return Ok(Playback::begin(&checked.claims, request, now, &PLAYBACK_BOUNDS));
+                }
+                Ok(_) => return Ok(None),
+                Err(refused) => refusal = RequestRefusal::new(&refused),
+            }
+        }
+        Err(refusal)
+    }
+}
--- a/crates/router/src/subrequests.rs
+++ b/crates/router/src/subrequests.rs
@@ -11,10 +11,10 @@
 use tindoor_extproc::ask::{self, Headers, Names};
 use tindoor_extproc::say::{self, Fields};
 
-use crate::configuration::limits::within;
 use crate::external::Open;
 use crate::places;
 use crate::state::RouterState;
+use crate::timeout::with_timeout;
 use crate::wanted::{Wanted, refused, unix_ms, wanted};
 
 /// A request's head as it was read.
@@ -77,20 +77,20 @@
     stream: &mut Async<TcpStream>,
     read: &mut Vec<u8>,
 ) -> io::Result<Option<Asked>> {
-    let limits = &router.limits;
+    let limits = &router.limits.proxy;
     loop {
         let mut room = [httparse::EMPTY_HEADER; 64];
         let mut request = httparse::Request::new(&mut room);
         let size = match request.parse(read) {
             Ok(httparse::Status::Complete(size)) => size,
-            Ok(httparse::Status::Partial) if read.len() > limits.header_list => {
+            Ok(httparse::Status::Partial) if read.len() > limits.max_header_list_bytes => {
                 return Err(bad("the head is over the limit"));
             }
             Ok(httparse::Status::Partial) => {
-                let wait = if read.is_empty() { limits.proxy_idle } else { limits.frame_wait };
+                let wait = if read.is_empty() { limits.idle_timeout } else { limits.frame_timeout };
                 let filled = read.len();
-                read.resize(filled + limits.first_read, 0);
-                let more = within(wait, stream.read(&mut read[filled..])).await;
+                read.resize(filled + limits.initial_read_bytes, 0);
+                let more = with_timeout(wait, stream.read(&mut read[filled..])).await;
                 read.truncate(filled + more.as_ref().map_or(0, |more| *more));
                 match more {
                     Ok(0) => return Ok(None),
@@ -128,7 +128,7 @@
         head.push_str("connection: close\r\n");
     }
     head.push_str("content-length: 0\r\n\r\n");
-    within(router.limits.untaken, stream.write_all(head.as_bytes())).await
+    with_timeout(router.limits.proxy.write_timeout, stream.write_all(head.as_bytes())).await
 }
 
 /// A choice, or a final refusal. One that ends its connection before has given the request up.
@@ -155,8 +155,9 @@
                 let mut fields = say::decision(&call, decision, &place, *use_within, *left);
                 fields.push(("x-tindoor-lease", open.stream.0.to_string()));
                 fields.extend(path.clone().map(|path| ("x-tindoor-path", path)));
-                let links = router.links.as_ref().zip(playback.as_ref());
-                let cookie = links.and_then(|(links, playback)| links.renewal(playback, unix_ms(router)));
+                let links = router.signed_urls.as_ref().zip(playback.as_ref());
+                let cookie =
+                    links.and_then(|(links, playback)| links.renewal_cookie(playback, unix_ms(router)));
                 fields.extend(cookie.map(|cookie| ("x-tindoor-set-cookie", cookie)));
                 // From its first byte on it may be used: its report comes as a request of its own, or its
                 // time ends.
--- a/crates/router/src/wanted.rs
+++ b/crates/router/src/wanted.rs
@@ -6,7 +6,7 @@
 use tindoor_extproc::say::{self, Fields};
 use tindoor_signed_urls::playback::Playback;
 
-use crate::signed_urls::Judged;
+use crate::signed_urls::AuthorizedRequest;
 use crate::state::RouterState;
 
 /// What is asked, read and checked.
@@ -27,18 +27,18 @@
 
 /// Reads a call; names the header that can't be used.
 pub fn wanted(router: &RouterState, headers: &Headers, names: &Names) -> Result<Wanted, ask::Fault> {
-    let Some(links) = &router.links else {
-        let call = ask::call(headers, names, &router.asked)?;
+    let Some(links) = &router.signed_urls else {
+        let call = ask::call(headers, names, &router.header_classes)?;
         return Ok(Wanted { call, path: None, why: None, playback: None });
     };
     let path = headers.one(&names.path).unwrap_or_default();
-    let judged = links.judge(path, headers, unix_ms(router));
+    let judged = links.authorize(path, headers, unix_ms(router));
     let judged = judged.map_err(|_| ask::Fault { header: names.path.clone(), what: "no normal form" })?;
     let rest = headers.0.iter().copied().filter(|header| header.0 != names.path);
     let headers = Headers(rest.chain([(names.path.as_str(), judged.path.as_bytes())]).collect());
-    let mut call = ask::call(&headers, names, &router.asked)?;
-    let Judged { path, authorization, why, playback } = judged;
-    if !links.needs(call.class) {
+    let mut call = ask::call(&headers, names, &router.header_classes)?;
+    let AuthorizedRequest { path, authorization, refusal_reason: why, playback } = judged;
+    if !links.needs_signature(call.class) {
         return Ok(Wanted { call, path: Some(path), why: None, playback: None });
     }
     call.authorization = authorization;
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -59,7 +59,7 @@
     // free: the nineteenth connection has the first one closed.
     let mut others: Vec<_> = (0..18).map(|_| Client::connect(&world.router)).collect();
     others.iter_mut().for_each(|other| assert!(other.healthy(1)));
-    world.heeds("connection is closed");
+    world.heeds("client connection closed");
     client.ask(2, OTHER);
     assert_eq!(client.reply(), (1, done(&long_body())));
     assert!(client.ends_in_order(), "and no reset");
@@ -74,7 +74,7 @@
     let mut world = world_of_long_answers();
     let mut client = client_with_answer_on_its_way(&world);
     world.stops();
-    world.heeds("connection is closed");
+    world.heeds("client connection closed");
     world.router.pause(true);
     client.ask(2, OTHER);
     world.router.pause(false);
@@ -276,7 +276,7 @@
         world.log.asked.change(|asked| asked.len() > 1)
     });
     world.log.say(&fleet(2, vec![member("c-9", world.cache.address, "cache", "active")]));
-    world.heeds("seq: 2");
+    world.heeds("sequence: 2");
 }
 
 #[test]
@@ -289,11 +289,11 @@
         member("c-2", second.address, "cache", phase)
     });
     world.log.say(&fleet(2, vec![old, new("active")]));
-    world.heeds("seq: 2");
+    world.heeds("sequence: 2");
     let active = member("c-1", world.cache.address, "cache", "active");
     let late = json!({"seq": 1, "fleet": {"revision": 1, "complete": true, "members": [active]}});
     world.log.say(&format!("{late}\n{}", fleet(3, vec![new("active")])));
-    world.heeds("seq: 3");
+    world.heeds("sequence: 3");
     let mut client = Client::connect(&world.router);
     for seq in 1..=20 {
         client.ask(seq, &format!("{seq:016x}"));
@@ -304,7 +304,7 @@
     let members = vec![member("c-3", third.address, "cache", "active")];
     let whole = json!({"seq": 4, "fleet": {"revision": 4, "complete": true, "members": members}});
     world.log.say(&format!("{whole}\n"));
-    world.heeds("seq: 4");
+    world.heeds("sequence: 4");
     client.ask(21, OBJECT);
     assert_eq!(client.reply(), (21, done(b"third")));
     assert_eq!(world.cache.count(), 0);
@@ -326,11 +326,11 @@
     // What the old one still says is nobody's.
     world.log.say(&event[40..]);
     next.say(&event);
-    world.heeds("seq: 2");
+    world.heeds("sequence: 2");
     let mut client = Client::connect(&world.router);
     client.ask(1, OBJECT);
     assert_eq!(client.reply(), (1, done(b"second")), "a drain told right after a reload holds");
-    let heeded = |log: &mut Vec<String>| log.iter().filter(|line| line.contains("seq: 2")).count();
+    let heeded = |log: &mut Vec<String>| log.iter().filter(|line| line.contains("sequence: 2")).count();
     assert_eq!(world.router.log.change(heeded), 1);
 }
 
--- a/crates/router/tests/stories.rs
+++ b/crates/router/tests/stories.rs
@@ -168,13 +168,13 @@
         world.log.say(&fleet(seq + 1, names("active")));
         world.log.say(&fleet(seq + 2, names("left")));
         seq += 2;
-        world.heeds(&format!("seq: {seq},"));
+        world.heeds(&format!("sequence: {seq},"));
         client.ask(seq as i32, &format!("{seq:016x}"));
         assert_eq!(client.reply(), (seq as i32, done(b"x")));
     }
     let numbers = |log: &mut Vec<String>| {
-        let number = |line: &String| line.split_once(" no=")?.1.split(' ').next()?.parse::<u32>().ok();
-        let new = log.iter().filter(|line| line.contains("a new cache"));
+        let number = |line: &String| line.split_once(" slot=")?.1.split(' ').next()?.parse::<u32>().ok();
+        let new = log.iter().filter(|line| line.contains("endpoint added"));
         Some(new.filter_map(number).collect::<Vec<_>>())
     };
     let numbers = world.router.log.wait("the numbers", numbers);
@@ -339,7 +339,7 @@
     let (world, mut client) = stuck_world(&stuck);
     let gone = member("c-1", stuck.address, "cache", "left");
     world.log.say(&fleet(2, vec![gone, member("c-2", world.cache.address, "cache", "active")]));
-    world.heeds("seq: 2");
+    world.heeds("sequence: 2");
     let asked = stuck.open();
     assert_eq!(client.reply(), (1, done(b"other")));
     assert_eq!(asked.change(|asked| asked.clone()), [""; 0]);
@@ -351,7 +351,7 @@
     let (world, mut client) = stuck_world(&stuck);
     let purge = json!({"seq": 2, "invalidate": {"object": OBJECT, "time": 1}});
     world.log.say(&format!("{purge}\n"));
-    world.heeds("seq: 2");
+    world.heeds("sequence: 2");
     let asked = stuck.open();
     assert_eq!(client.reply(), (1, done(b"stuck")));
     let asked = asked.change(|asked| asked.clone());
@@ -425,14 +425,14 @@
     world.heeds("changelog: \"nowhere\" is no address");
     // The connect to this one hangs for longer than the news may take.
     world.router.reload(&file(stuck.address).to_string());
-    world.heeds("reloaded");
+    world.heeds("configuration reloaded");
     let mut moved = file(next.address);
     moved["limits"]["sockets"] = json!(500);
     world.router.reload(&moved.to_string());
     assert_eq!(next.asks(1), [1]);
     world.heeds("key=\"limits\"");
     next.say(&fleet(2, vec![member("c-1", world.cache.address, "cache", "left")]));
-    world.heeds("seq: 2");
+    world.heeds("sequence: 2");
     // Also while it stops, which a request of the longest deadline holds up.
     client.ask(1, OBJECT);
     assert!(client.healthy(2));
--- a/crates/router/tests/unit/downstream_connections.rs
+++ b/crates/router/tests/unit/downstream_connections.rs
@@ -1,99 +1,105 @@
-//! When a connection makes room, and how it is closed.
+//! Which connection makes room, and how connections are closed.
 
 use std::io::{Read, Write};
+use std::net::TcpListener;
 use std::pin::pin;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
-use futures_lite::StreamExt;
+use futures_lite::future;
 use tindoor_thrift::aborted;
 
 use super::*;
-use crate::configuration::limits::Machine;
-use crate::downstream::connection::frames;
+use crate::configuration::limits::{LimitInputs, Limits};
+use crate::downstream::frame_reader::FrameReader;
+
+/// A frame of one byte.
+const FRAME: [u8; 5] = [0, 0, 0, 1, 7];
 
 /// Both ends of a connection.
-fn connection() -> (Rc<Client>, TcpStream) {
+fn connect() -> (Rc<Connection>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let other = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Async::new(listener.accept().unwrap().0).unwrap();
-    (Rc::new(Client::new(stream, Rc::default())), other)
+    (Rc::new(Connection::new(stream, Rc::default())), client)
 }
 
-fn limits() -> Limits {
-    Limits::of(Machine::default())
+fn limits() -> ClientLimits {
+    Limits::new(LimitInputs::default()).client
 }
 
 #[test]
-fn a_connection_is_not_idle_while_its_answer_is_written() {
-    let (client, _other) = connection();
-    client.send(aborted(1, &[]), None);
-    assert!(async_io::block_on(client.next_reply()).is_some());
-    assert!(!client.is_idle(), "a call that comes now would be lost by a close");
-    assert!(async_io::block_on(future::poll_once(client.next_reply())).is_none());
-    assert!(client.is_idle());
+fn a_connection_is_not_idle_while_its_reply_is_written() {
+    let (connection, _client) = connect();
+    connection.send(aborted(1, &[]), None);
+    assert!(async_io::block_on(connection.next_reply()).is_some());
+    assert!(!connection.is_idle(), "a call that comes now would be lost by a close");
+    assert!(async_io::block_on(future::poll_once(connection.next_reply())).is_none());
+    assert!(connection.is_idle());
 }
 
 #[test]
-fn a_connection_on_which_a_call_lies_unread_is_not_closed() {
-    let (client, mut other) = connection();
-    other.write_all(&[0, 0, 0, 1, 7]).unwrap();
-    async_io::block_on(client.stream.readable()).unwrap();
-    assert!(!close_one(&[Rc::clone(&client)], &limits()));
-    assert_eq!(client.phase(), Phase::Open);
-    let mut frames = pin!(frames(&client, limits()));
-    assert!(async_io::block_on(frames.try_next()).unwrap().is_some(), "it is taken as ever");
+fn a_connection_with_an_unread_call_is_not_closed() {
+    let (connection, mut client) = connect();
+    client.write_all(&FRAME).unwrap();
+    async_io::block_on(connection.stream.readable()).unwrap();
+    assert!(!close_idle_connection(&[Rc::clone(&connection)], &limits()));
+    assert_eq!(connection.phase(), Phase::Open);
+    let mut frames = FrameReader::new(&connection, limits());
+    assert!(async_io::block_on(frames.next_frame()).unwrap().is_some(), "it is read as ever");
 }
 
 #[test]
-fn what_comes_after_the_close_is_dropped_and_the_close_is_no_reset() {
-    let (client, mut other) = connection();
-    assert!(close_one(&[Rc::clone(&client)], &limits()));
-    other.write_all(&[0, 0, 0, 1, 7]).unwrap();
-    async_io::block_on(client.stream.readable()).unwrap();
-    let mut frames = pin!(frames(&client, limits()));
-    assert!(async_io::block_on(frames.try_next()).unwrap().is_none(), "nothing is taken any more");
-    assert_eq!(other.read(&mut [0]).unwrap(), 0, "an orderly end");
-    other.shutdown(std::net::Shutdown::Write).unwrap();
-    async_io::block_on(client.drop_rest(64)).unwrap();
+fn bytes_that_arrive_after_the_close_are_dropped_without_a_reset() {
+    let (connection, mut client) = connect();
+    assert!(close_idle_connection(&[Rc::clone(&connection)], &limits()));
+    client.write_all(&FRAME).unwrap();
+    async_io::block_on(connection.stream.readable()).unwrap();
+    let mut frames = FrameReader::new(&connection, limits());
+    assert!(async_io::block_on(frames.next_frame()).unwrap().is_none(), "no frame is read any more");
+    assert_eq!(client.read(&mut [0]).unwrap(), 0, "an orderly end");
+    client.shutdown(std::net::Shutdown::Write).unwrap();
+    async_io::block_on(connection.discard_until_closed(64)).unwrap();
 }
 
 #[test]
-fn half_a_frame_keeps_the_place_of_one_that_asked_and_of_no_other_for_long() {
-    let (asked, mut busy) = connection();
-    let (fresh, mut slow) = connection();
-    asked.asked.set(true);
-    for other in [&mut busy, &mut slow] {
-        other.write_all(&[0, 0, 0, 9, 7]).unwrap();
+fn an_incomplete_frame_protects_a_new_connection_for_a_limited_time_only() {
+    let (active, mut active_client) = connect();
+    let (fresh, mut fresh_client) = connect();
+    active.record_frame(Instant::now());
+    for client in [&mut active_client, &mut fresh_client] {
+        client.write_all(&[0, 0, 0, 9, 7]).unwrap();
     }
-    for client in [&asked, &fresh] {
-        async_io::block_on(client.stream.readable()).unwrap();
-        let mut frames = pin!(frames(client, limits()));
+    for connection in [&active, &fresh] {
+        async_io::block_on(connection.stream.readable()).unwrap();
+        let mut frames = FrameReader::new(connection, limits());
+        let mut next = pin!(frames.next_frame());
         // Some turns: it reads what is there, and waits for the rest.
-        (0..4).for_each(|_| assert!(async_io::block_on(future::poll_once(frames.try_next())).is_none()));
+        (0..4).for_each(|_| assert!(async_io::block_on(future::poll_once(next.as_mut())).is_none()));
     }
-    let patient = Limits { first_call: Duration::from_secs(3600), ..limits() };
-    assert!(!close_one(&[Rc::clone(&asked), Rc::clone(&fresh)], &patient), "both may be asking");
-    let late = Limits { first_call: Duration::ZERO, ..limits() };
-    assert!(close_one(&[Rc::clone(&asked), Rc::clone(&fresh)], &late));
-    assert_eq!([asked.phase(), fresh.phase()], [Phase::Open, Phase::HalfClosed]);
+    let connections = [Rc::clone(&active), Rc::clone(&fresh)];
+    let patient = ClientLimits { first_call_timeout: Duration::from_secs(3600), ..limits() };
+    assert!(!close_idle_connection(&connections, &patient), "both may be sending a call");
+    let late = ClientLimits { first_call_timeout: Duration::ZERO, ..limits() };
+    assert!(close_idle_connection(&connections, &late));
+    assert_eq!([active.phase(), fresh.phase()], [Phase::Open, Phase::HalfClosed]);
 }
 
 #[test]
-fn one_that_does_not_close_its_side_is_cut_where_places_run_out_and_no_sooner() {
-    let (client, _other) = connection();
-    assert!(!client.cut(Duration::ZERO), "it is open");
-    client.half_close();
-    assert!(!client.cut(Duration::from_secs(3600)));
-    assert!(client.cut(Duration::ZERO));
-    async_io::block_on(client.drop_rest(64)).unwrap();
+fn a_half_closed_connection_is_cut_after_the_least_linger_time_only() {
+    let (connection, _client) = connect();
+    assert!(!connection.cut(Duration::ZERO), "it is open");
+    connection.half_close();
+    assert!(!connection.cut(Duration::from_secs(3600)));
+    assert!(connection.cut(Duration::ZERO));
+    async_io::block_on(connection.discard_until_closed(64)).unwrap();
 }
 
 #[test]
 fn a_client_that_closed_is_known_to_have_left_before_its_close_is_read() {
-    let (client, other) = connection();
-    let longest = Duration::from_secs(3600);
-    assert!(client.still_waits(longest));
-    drop(other);
-    async_io::block_on(client.stream.readable()).unwrap();
-    assert!(!client.still_waits(longest));
+    let (connection, client) = connect();
+    let max_read_backlog = Duration::from_secs(3600);
+    assert!(connection.is_client_waiting(max_read_backlog));
+    drop(client);
+    async_io::block_on(connection.stream.readable()).unwrap();
+    assert!(!connection.is_client_waiting(max_read_backlog));
 }
