--- a/crates/router/tests/unit/upstream_pool.rs
+++ b/crates/router/tests/unit/upstream_pool.rs
@@ -1,48 +1,56 @@
-//! When a connection to a cache is used again.
+//! When a connection to an endpoint is used again.
 
 use std::io::Write;
 use std::net::TcpListener;
 use std::time::Duration;
 
 use super::*;
-use crate::configuration::limits::Machine;
+use crate::configuration::limits::{LimitInputs, Limits};
 
 const LONG: Duration = Duration::from_secs(3600);
 
-/// One cache with a connection that was just put back, and the cache's end of it.
-fn with_idle(settle: Duration) -> (Caches, EndpointId, TcpStream) {
+/// A pool with one idle connection.
+struct Idle {
+    pool: EndpointPool,
+    endpoint: EndpointId,
+    /// The endpoint's end of the connection.
+    peer: TcpStream,
+}
+
+fn with_idle_connection(reuse_delay: Duration) -> Idle {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let limits = Limits { settle, cache_idle: LONG, connect: LONG, ..Limits::of(Machine::default()) };
-    let caches = Caches::new(limits);
-    let no = caches.listed("c-1", Some(address), EndpointState::Ready, |_| false).unwrap();
-    let link = async_io::block_on(caches.connect(no)).ok().unwrap();
-    let cache = listener.accept().unwrap().0;
-    caches.put_back(no, link);
-    (caches, no, cache)
+    let defaults = Limits::new(LimitInputs::default()).upstream;
+    let limits = UpstreamLimits { reuse_delay, idle_timeout: LONG, connect_timeout: LONG, ..defaults };
+    let pool = EndpointPool::new(limits);
+    let endpoint = pool.apply_update("c-1", Some(address), EndpointState::Ready, |_| false).unwrap();
+    let connection = async_io::block_on(pool.connect(endpoint)).ok().unwrap();
+    let peer = listener.accept().unwrap().0;
+    pool.put_back(endpoint, connection);
+    Idle { pool, endpoint, peer }
 }
 
 #[test]
-fn a_connection_that_has_not_settled_is_not_used_and_not_given_up() {
-    let (caches, no, _cache) = with_idle(LONG);
-    assert!(caches.take_idle(no).is_none());
-    assert_eq!(caches.open.get(), 1);
+fn a_connection_is_not_reused_before_the_reuse_delay_and_stays_open() {
+    let Idle { pool, endpoint, peer: _peer } = with_idle_connection(LONG);
+    assert!(pool.take_idle(endpoint).is_none());
+    assert_eq!(pool.open_connections.get(), 1);
 }
 
 #[test]
-fn a_second_answer_that_comes_late_ends_the_use_of_its_connection() {
-    let (caches, no, mut cache) = with_idle(Duration::ZERO);
-    cache.write_all(b"HTTP/1.1 200 X\r\n").unwrap();
+fn a_surplus_response_closes_an_idle_connection() {
+    let Idle { pool, endpoint, mut peer } = with_idle_connection(Duration::ZERO);
+    peer.write_all(b"HTTP/1.1 200 X\r\n").unwrap();
     {
-        let known = caches.known.borrow();
-        async_io::block_on(known.caches[0].idle[0].0.stream.readable()).unwrap();
+        let table = pool.table.borrow();
+        async_io::block_on(table.endpoints[0].idle[0].connection.stream.readable()).unwrap();
     }
-    assert!(caches.take_idle(no).is_none());
-    assert_eq!(caches.open.get(), 0);
+    assert!(pool.take_idle(endpoint).is_none());
+    assert_eq!(pool.open_connections.get(), 0);
 }
 
 #[test]
-fn a_quiet_connection_that_has_settled_is_used_again() {
-    let (caches, no, _cache) = with_idle(Duration::ZERO);
-    assert!(caches.take_idle(no).is_some());
+fn a_quiet_connection_is_reused_after_the_reuse_delay() {
+    let Idle { pool, endpoint, peer: _peer } = with_idle_connection(Duration::ZERO);
+    assert!(pool.take_idle(endpoint).is_some());
 }
--- /dev/null
+++ b/crates/thrift/src/message.rs
@@ -0,0 +1,127 @@
+//! Frames and the messages in them.
+
+use bytes::{Buf, Bytes, BytesMut};
+
+use crate::reader::Reader;
+use crate::wire::{FRAME_LENGTH_SIZE, VERSION, VERSION_MASK, field_type, message_type};
+
+/// One message of a client.
+#[derive(Debug, PartialEq)]
+pub enum Message {
+    /// A request for an object.
+    Call {
+        /// The number that the answer carries.
+        sequence_id: i32,
+        /// The request's fields.
+        fields: Fields,
+        /// The request's body; empty for reads.
+        body: Bytes,
+    },
+    /// Withdraws a call; it is not answered.
+    Cancel {
+        /// The number of the call.
+        sequence_id: i32,
+    },
+    /// Asks whether the router takes requests.
+    Health {
+        /// The number that the answer carries.
+        sequence_id: i32,
+    },
+}
+
+/// Why a frame is no message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ParseError {
+    /// The message header can't be read, so nothing can be answered.
+    #[error("unreadable frame: {0}")]
+    Unreadable(&'static str),
+    /// The message names a method that does not exist.
+    #[error("unknown method in message {sequence_id}")]
+    UnknownMethod {
+        /// The number of the message.
+        sequence_id: i32,
+    },
+    /// The arguments can't be read, but the call can be answered.
+    #[error("bad arguments in message {sequence_id}: {reason}")]
+    BadArguments {
+        /// The number of the message.
+        sequence_id: i32,
+        /// What is wrong, in the words that the client gets.
+        reason: &'static str,
+    },
+}
+
+/// The string map of a call, as slices of its frame. Each name occurs once.
+#[derive(Debug, Default, PartialEq)]
+pub struct Fields(pub(crate) Vec<Field>);
+
+/// One entry of [`Fields`].
+#[derive(Debug, PartialEq)]
+pub(crate) struct Field {
+    pub(crate) name: Bytes,
+    pub(crate) value: Bytes,
+}
+
+impl Fields {
+    /// The value of the field with this name.
+    pub fn get(&self, name: &str) -> Option<&Bytes> {
+        self.0.iter().find(|field| field.name == name.as_bytes()).map(|field| &field.value)
+    }
+}
+
+/// Takes the next frame from the front of `buffer`, or `None` while it is incomplete.
+///
+/// # Errors
+///
+/// The frame's length is negative or over `max_size` bytes.
+pub fn take_frame(buffer: &mut BytesMut, max_size: usize) -> Result<Option<Bytes>, ParseError> {
+    let Some(length) = buffer.first_chunk::<FRAME_LENGTH_SIZE>() else { return Ok(None) };
+    let length = i32::from_be_bytes(*length);
+    let size = usize::try_from(length).map_err(|_| ParseError::Unreadable("a frame of negative length"))?;
+    if size > max_size {
+        return Err(ParseError::Unreadable("a frame over the limit"));
+    }
+    if buffer.len() < FRAME_LENGTH_SIZE + size {
+        return Ok(None);
+    }
+    buffer.advance(FRAME_LENGTH_SIZE);
+    Ok(Some(buffer.split_to(size).freeze()))
+}
+
+/// Parses the message in one frame.
+///
+/// # Errors
+///
+/// The frame is no message that a client may send; see [`ParseError`].
+pub fn parse(frame: Bytes) -> Result<Message, ParseError> {
+    let mut reader = Reader(frame);
+    let header = reader.u32().map_err(ParseError::Unreadable)?;
+    if header & VERSION_MASK != VERSION {
+        return Err(ParseError::Unreadable("not the strict binary protocol"));
+    }
+    let method = reader.string().map_err(ParseError::Unreadable)?;
+    let sequence_id = reader.u32().map_err(ParseError::Unreadable)? as i32;
+    let bad_arguments = |reason| ParseError::BadArguments { sequence_id, reason };
+    match (&method[..], header as u8) {
+        (b"call", message_type::CALL) => {
+            let (fields, body) = reader.call_arguments().map_err(bad_arguments)?;
+            // A wrong length may leave a part of the message behind its end.
+            if !reader.0.is_empty() {
+                return Err(bad_arguments("bytes behind the call"));
+            }
+            Ok(Message::Call { sequence_id, fields, body })
+        }
+        // A one-way message has no answer that could carry an error.
+        (b"cancel", message_type::ONEWAY) => {
+            let cancelled = reader.cancel_arguments().ok().flatten();
+            let sequence_id = cancelled.ok_or(ParseError::Unreadable("a cancel that names no call"))?;
+            Ok(Message::Cancel { sequence_id })
+        }
+        (b"health", message_type::CALL) => {
+            reader.skip(field_type::STRUCT, 0).map_err(bad_arguments)?;
+            Ok(Message::Health { sequence_id })
+        }
+        (_, message_type::CALL) => Err(ParseError::UnknownMethod { sequence_id }),
+        _ => Err(ParseError::Unreadable("neither a call nor one-way")),
+    }
+}
--- a/crates/thrift/tests/golden.rs
+++ b/crates/thrift/tests/golden.rs
@@ -42,23 +42,38 @@
     let pause = [("pause", "250")];
     let reason = [("reason", "tag")];
     let two = [("reason", "patience"), ("more", "")];
-    let objection = |objection| application_exception(6, objection, "what is wrong");
+    let exception = |kind| application_exception(6, kind, "what is wrong");
     [
-        parts("answer, good", answer("call", 1, body("object"), &[], true)),
-        parts("answer, not good", answer("call", 2, body("object"), &[], false)),
-        parts("answer without body", answer("call", 3, Bytes::new(), &[], true)),
-        parts("answer with one field", answer("call", i32::MAX, body("x"), &[("valid", "1")], true)),
-        parts("answer with two fields", answer("call", -1, body("x"), &two, true)),
-        parts("health, good", answer("health", 4, Bytes::new(), &[], true)),
-        parts("health, not good", answer("health", 4, Bytes::new(), &[], false)),
+        parts("answer, good", answer("call", 1, Answer { body: body("object"), fields: &[], good: true })),
+        parts(
+            "answer, not good",
+            answer("call", 2, Answer { body: body("object"), fields: &[], good: false }),
+        ),
+        parts(
+            "answer without body",
+            answer("call", 3, Answer { body: Bytes::new(), fields: &[], good: true }),
+        ),
+        parts(
+            "answer with one field",
+            answer("call", i32::MAX, Answer { body: body("x"), fields: &[("valid", "1")], good: true }),
+        ),
+        parts(
+            "answer with two fields",
+            answer("call", -1, Answer { body: body("x"), fields: &two, good: true }),
+        ),
+        parts("health, good", answer("health", 4, Answer { body: Bytes::new(), fields: &[], good: true })),
+        parts(
+            "health, not good",
+            answer("health", 4, Answer { body: Bytes::new(), fields: &[], good: false }),
+        ),
         parts("try later without pause", try_later(5, &[])),
         parts("try later with pause", try_later(5, &pause)),
         parts("aborted without fields", aborted(i32::MIN, &[])),
         parts("aborted with one field", aborted(6, &reason)),
         parts("aborted with two fields", aborted(6, &two)),
-        parts("unknown method", objection(Objection::UnknownMethod)),
-        parts("bad sequence number", objection(Objection::BadSequence)),
-        parts("protocol error", objection(Objection::ProtocolError)),
+        parts("unknown method", exception(ApplicationExceptionKind::UnknownMethod)),
+        parts("bad sequence number", exception(ApplicationExceptionKind::BadSequenceId)),
+        parts("protocol error", exception(ApplicationExceptionKind::ProtocolError)),
     ]
     .concat()
 }
@@ -77,22 +92,24 @@
     format!("[{}]", texts.join(" "))
 }
 
-/// A fault with its words where the client gets them; those of an unreadable frame are for the log alone.
-fn fault_text(fault: &Fault) -> String {
-    match fault {
-        Fault::Unreadable(_) => "unreadable".to_string(),
-        Fault::UnknownMethod { seq } => format!("unknown method, sequence number {seq}"),
-        Fault::BadArguments { seq, what } => format!("bad arguments, sequence number {seq}: {what}"),
+/// An error with its words where the client gets them; those of an unreadable frame are for the log alone.
+fn error_text(error: &ParseError) -> String {
+    match error {
+        ParseError::Unreadable(_) => "unreadable".to_string(),
+        ParseError::UnknownMethod { sequence_id } => format!("unknown method, sequence number {sequence_id}"),
+        ParseError::BadArguments { sequence_id, reason } => {
+            format!("bad arguments, sequence number {sequence_id}: {reason}")
+        }
     }
 }
 
 fn message_text(message: &Message) -> String {
     match message {
-        Message::Call { seq, fields, body } => {
-            format!("call {seq}, fields {}, body {}", fields_text(fields), quoted(body))
+        Message::Call { sequence_id, fields, body } => {
+            format!("call {sequence_id}, fields {}, body {}", fields_text(fields), quoted(body))
         }
-        Message::Cancel { seq } => format!("cancel {seq}"),
-        Message::Health { seq } => format!("health {seq}"),
+        Message::Cancel { sequence_id } => format!("cancel {sequence_id}"),
+        Message::Health { sequence_id } => format!("health {sequence_id}"),
     }
 }
 
@@ -102,10 +119,10 @@
 }
 
 /// A message in the strict binary protocol.
-fn message(kind: u8, method: &str, seq: i32, arguments: &[u8]) -> Vec<u8> {
+fn message(kind: u8, method: &str, sequence_id: i32, arguments: &[u8]) -> Vec<u8> {
     let mut out = vec![0x80, 1, 0, kind];
     text(&mut out, method.as_bytes());
-    out.extend(seq.to_be_bytes());
+    out.extend(sequence_id.to_be_bytes());
     out.extend(arguments);
     out
 }
@@ -161,17 +178,27 @@
 }
 
 fn many_fields(count: usize) -> Vec<u8> {
-    let names: Vec<String> = (0..count).map(|nth| format!("field-{nth}")).collect();
+    let names: Vec<String> = (0..count).map(|index| format!("field-{index}")).collect();
     let fields: Vec<(&str, &str)> = names.iter().map(|name| (name.as_str(), "")).collect();
     field_map(&fields)
 }
 
 /// Messages that can be read, and one for each way in which one can't.
 fn sample_messages() -> Vec<(&'static str, Vec<u8>)> {
-    let call = |arguments: &[&[u8]]| message(1, "call", 41, &arguments.concat());
+    [sample_calls(), incomplete_messages(), other_messages()].concat()
+}
+
+fn call(arguments: &[&[u8]]) -> Vec<u8> {
+    message(1, "call", 41, &arguments.concat())
+}
+
+fn complete_call() -> Vec<u8> {
+    call(&[&field_map(FIELDS), &body_argument(b"the body\0\xff"), &[0]])
+}
+
+fn sample_calls() -> Vec<(&'static str, Vec<u8>)> {
     let (fields, body) = (field_map(FIELDS), body_argument(b"the body\0\xff"));
-    let whole = call(&[&fields, &body, &[0]]);
-    let cut = |size: usize| whole[..size].to_vec();
+    let whole = complete_call();
     let nested = |depth: usize| [[12, 0, 9].repeat(depth), vec![0; depth + 1]].concat();
     vec![
         ("a call", whole.clone()),
@@ -199,6 +226,14 @@
         ("nested 17 deep", call(&[&nested(17)])),
         ("nested 18 deep", call(&[&nested(18)])),
         ("bytes behind the end", call(&[&fields, &body, &[0, 0]])),
+    ]
+}
+
+/// Messages that end early, and those of another protocol.
+fn incomplete_messages() -> Vec<(&'static str, Vec<u8>)> {
+    let whole = complete_call();
+    let cut = |size: usize| whole[..size].to_vec();
+    vec![
         ("cut in the version", cut(3)),
         ("cut in the name", cut(10)),
         ("cut in the sequence number", cut(14)),
@@ -209,6 +244,11 @@
         ("not the strict protocol", vec![0, 0, 0, 4, b'c', b'a', b'l', b'l', 1, 0, 0, 0, 1, 0]),
         ("another version", [&[0x80, 2, 0, 1][..], &whole[4..]].concat()),
         ("a name of negative length", vec![0x80, 1, 0, 1, 0xff, 0xff, 0xff, 0xff]),
+    ]
+}
+
+fn other_messages() -> Vec<(&'static str, Vec<u8>)> {
+    vec![
         ("health", message(1, "health", 5, &[0])),
         ("health with an argument", message(1, "health", 5, &[2, 0, 1, 1, 0])),
         ("health cut short", message(1, "health", 5, &[2, 0, 1])),
@@ -238,7 +278,7 @@
     let dump = |(title, bytes): (&str, Vec<u8>)| {
         let shown = bytes_text(&bytes);
         let read = parse(bytes.into());
-        let read = read.as_ref().map_or_else(fault_text, message_text);
+        let read = read.as_ref().map_or_else(error_text, message_text);
         section(title, &format!("{shown}\n    {read}"))
     };
     sample_messages().into_iter().map(dump).collect()
@@ -250,7 +290,7 @@
     let frame = match take_frame(&mut read, 10) {
         Ok(Some(frame)) => format!("frame {}", quoted(&frame)),
         Ok(None) => "not whole yet".to_string(),
-        Err(fault) => fault_text(&fault),
+        Err(error) => error_text(&error),
     };
     section(title, &format!("{frame}, left {}", quoted(&read)))
 }
--- a/crates/thrift/tests/stories.rs
+++ b/crates/thrift/tests/parsing.rs
@@ -1,50 +1,50 @@
-//! What a client may send, whole, cut and damaged.
+//! Parsing of complete, truncated and corrupted messages of clients.
 
 use bytes::{Bytes, BytesMut};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tindoor_thrift::*;
 
-fn text(out: &mut Vec<u8>, text: &[u8]) {
+fn write_text(out: &mut Vec<u8>, text: &[u8]) {
     out.extend((text.len() as u32).to_be_bytes());
     out.extend(text);
 }
 
-fn message(kind: u8, method: &str, seq: i32, arguments: &[u8]) -> Bytes {
+fn message(kind: u8, method: &str, sequence_id: i32, arguments: &[u8]) -> Bytes {
     let mut out = vec![0x80, 1, 0, kind];
-    text(&mut out, method.as_bytes());
-    out.extend(seq.to_be_bytes());
+    write_text(&mut out, method.as_bytes());
+    out.extend(sequence_id.to_be_bytes());
     out.extend(arguments);
     out.into()
 }
 
 fn call() -> Bytes {
     let mut out = vec![13, 0, 1, 11, 11, 0, 0, 0, 2];
-    ["route", "pages", "chunk", "3"].iter().for_each(|word| text(&mut out, word.as_bytes()));
+    ["route", "pages", "chunk", "3"].iter().for_each(|word| write_text(&mut out, word.as_bytes()));
     out.extend([11, 0, 2]);
-    text(&mut out, b"body");
+    write_text(&mut out, b"body");
     // A field that is not known yet: a list of structs.
     out.extend([15, 0, 9, 12, 0, 0, 0, 1, 8, 0, 1, 0, 0, 0, 5, 0, 0]);
     message(1, "call", 7, &out)
 }
 
 #[test]
-fn a_call_is_read_as_slices_of_its_frame() {
+fn a_call_is_parsed_as_slices_of_its_frame() {
     let frame = call();
-    let Ok(Message::Call { seq: 7, fields, body }) = parse(frame.clone()) else { panic!() };
+    let Ok(Message::Call { sequence_id: 7, fields, body }) = parse(frame.clone()) else { panic!() };
     assert_eq!((&body[..], &fields.get("chunk").unwrap()[..]), (&b"body"[..], &b"3"[..]));
     assert!(frame.as_ptr_range().contains(&body.as_ptr()));
     assert!(fields.get("tag").is_none());
 }
 
 #[test]
-fn a_call_that_says_anything_twice_or_more_than_a_call_is_refused() {
+fn duplicate_or_trailing_arguments_are_rejected() {
     let fields = |names: &[&str]| {
         let mut out = vec![13, 0, 1, 11, 11];
         out.extend((names.len() as u32).to_be_bytes());
         names.iter().for_each(|name| {
-            text(&mut out, name.as_bytes());
-            text(&mut out, b"x");
+            write_text(&mut out, name.as_bytes());
+            write_text(&mut out, b"x");
         });
         out
     };
@@ -60,25 +60,25 @@
 }
 
 #[test]
-fn a_call_cut_at_any_byte_is_no_call() {
+fn a_truncated_call_is_an_error() {
     let whole = call();
     for end in 0..whole.len() {
         match parse(whole.slice(..end)) {
-            Err(Fault::Unreadable(_)) if end < 16 => {}
-            Err(Fault::BadArguments { seq: 7, .. }) if end >= 16 => {}
+            Err(ParseError::Unreadable(_)) if end < 16 => {}
+            Err(ParseError::BadArguments { sequence_id: 7, .. }) if end >= 16 => {}
             other => panic!("cut at {end}: {other:?}"),
         }
     }
 }
 
 #[test]
-fn changed_bytes_are_read_or_refused_but_never_a_panic() {
-    let mut chance = Pcg64Mcg::seed_from_u64(5);
+fn corrupted_bytes_never_panic() {
+    let mut rng = Pcg64Mcg::seed_from_u64(5);
     for _ in 0..20_000 {
         let mut bytes = call().to_vec();
-        for _ in 0..chance.random_range(1..4) {
-            let at = chance.random_range(0..bytes.len());
-            bytes[at] = chance.random();
+        for _ in 0..rng.random_range(1..4) {
+            let index = rng.random_range(0..bytes.len());
+            bytes[index] = rng.random();
         }
         if let Ok(Message::Call { body, .. }) = parse(bytes.clone().into()) {
             assert!(body.len() <= bytes.len());
@@ -87,19 +87,19 @@
 }
 
 #[test]
-fn what_claims_too_much_costs_nothing() {
+fn oversized_counts_and_deep_nesting_are_rejected() {
     // Two thousand million entries, deep nesting, negative lengths.
     let many = message(1, "call", 1, &[13, 0, 1, 11, 11, 0x7f, 255, 255, 255]);
     let deep = message(1, "call", 1, &[12, 0, 9].repeat(100_000));
     let empty = message(1, "call", 1, &[15, 0, 9, 12, 0x7f, 255, 255, 255]);
     let negative = message(1, "call", 1, &[11, 0, 2, 255, 255, 255, 255]);
     for frame in [many, deep, empty, negative] {
-        assert!(matches!(parse(frame), Err(Fault::BadArguments { seq: 1, .. })));
+        assert!(matches!(parse(frame), Err(ParseError::BadArguments { sequence_id: 1, .. })));
     }
 }
 
 #[test]
-fn frames_are_taken_whole_and_never_over_the_limit() {
+fn frames_are_taken_complete_and_within_the_limit() {
     let mut read = BytesMut::new();
     let frames = [[&[0, 0, 0, 3][..], b"one"].concat(), [&[0, 0, 0, 0][..], b""].concat()].concat();
     let mut taken = Vec::new();
@@ -114,17 +114,24 @@
 }
 
 #[test]
-fn other_messages_are_told_apart() {
-    assert_eq!(parse(message(4, "cancel", 0, &[8, 0, 1, 0, 0, 0, 9, 0])), Ok(Message::Cancel { seq: 9 }));
-    assert_eq!(parse(message(1, "health", 3, &[2, 0, 1, 1, 0])), Ok(Message::Health { seq: 3 }));
-    assert_eq!(parse(message(1, "other", 4, &[0])), Err(Fault::UnknownMethod { seq: 4 }));
-    assert!(matches!(parse(message(2, "call", 4, &[0])), Err(Fault::Unreadable(_))));
-    assert!(matches!(parse(Bytes::from_static(&[0, 0, 0, 4, 99])), Err(Fault::Unreadable(_))));
+fn other_messages_are_distinguished() {
+    assert_eq!(
+        parse(message(4, "cancel", 0, &[8, 0, 1, 0, 0, 0, 9, 0])),
+        Ok(Message::Cancel { sequence_id: 9 })
+    );
+    assert_eq!(parse(message(1, "health", 3, &[2, 0, 1, 1, 0])), Ok(Message::Health { sequence_id: 3 }));
+    assert_eq!(parse(message(1, "other", 4, &[0])), Err(ParseError::UnknownMethod { sequence_id: 4 }));
+    assert!(matches!(parse(message(2, "call", 4, &[0])), Err(ParseError::Unreadable(_))));
+    assert!(matches!(parse(Bytes::from_static(&[0, 0, 0, 4, 99])), Err(ParseError::Unreadable(_))));
 }
 
 #[test]
 fn an_answer_states_its_own_length() {
-    let reply = answer("call", 9, Bytes::from_static(b"body"), &[("valid", "1")], true);
+    let reply = answer(
+        "call",
+        9,
+        Answer { body: Bytes::from_static(b"body"), fields: &[("valid", "1")], good: true },
+    );
     let stated = u32::from_be_bytes(reply.head[..4].try_into().unwrap()) as usize;
     assert_eq!(stated + 4, reply.size());
     assert!(reply.head.ends_with(&[0, 0, 0, 4]));
