--- /dev/null
+++ b/crates/router/tests/requests.rs
@@ -0,0 +1,234 @@
+//! Requests of clients against stand-in endpoints: answers, cancels, and calls that can't be used.
+
+mod support;
+
+use std::io::Read;
+use std::time::{Duration, Instant};
+
+use support::*;
+use tindoor_testbed::stand_in::*;
+
+#[test]
+fn a_request_is_served_and_its_fields_are_forwarded_unchanged() {
+    let body: Vec<u8> = (0..240_000u32).map(|i| (i * 7 % 251) as u8).collect();
+    let bytes = served(&body);
+    let world = world(move |_| Deed::Say(bytes.clone()));
+    let mut client = Client::connect(&world.router);
+    assert!(client.healthy(1));
+    let mut fields = [page(OBJECT, "3000"), vec![("known", "4be0c1927d55a6f3")]].concat();
+    fields[1].1 = "9b1f03aa5c7e2d41";
+    client.send(&call(2, &fields, b""));
+    assert_eq!(client.reply(), (2, done(&body)));
+    let seen = &world.cache.requests(1)[0];
+    assert_eq!(seen.line, format!("GET /v1/store/pages/{OBJECT}/3 HTTP/1.1"));
+    let header = |name: &str| seen.headers.get(name).map(String::as_str);
+    assert_eq!(header("x-ticket"), Some("9b1f03aa5c7e2d41"));
+    assert_eq!(header("x-source"), Some("p-1"));
+    assert_eq!(header("x-mode"), Some("j+r"));
+    assert_eq!(header("x-client-tag"), Some("4be0c1927d55a6f3"));
+    let wait: u64 = header("x-max-ms").unwrap().parse().unwrap();
+    assert!((1..3000).contains(&wait), "{wait}");
+}
+
+#[test]
+fn a_current_client_copy_is_confirmed_and_a_write_goes_to_the_origin() {
+    let world = world(|_| Deed::Say(b"HTTP/1.1 304 X\r\nX-Remark: warm\r\n\r\n".to_vec()));
+    let mut client = Client::connect(&world.router);
+    client.ask(1, OBJECT);
+    let fields = [("valid".to_string(), "1".to_string())].into();
+    assert_eq!(client.reply(), (1, Reply::Served { body: Vec::new(), fields, good: true }));
+    let fields = [("route", "saves"), ("nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")];
+    let fields: Vec<_> = fields.into_iter().chain(page(OBJECT, "3000").into_iter().skip(1)).collect();
+    let written = vec![7; 48_000];
+    client.send(&call(2, &fields, &written));
+    assert_eq!(client.reply(), (2, done(b"saved")));
+    let seen = &world.origin.requests(1)[0];
+    assert_eq!(
+        (&seen.body, seen.headers["x-nonce"].as_str()),
+        (&written, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
+    );
+}
+
+#[test]
+fn answers_come_out_of_order_and_frames_in_any_pieces() {
+    let gate = Watched::default();
+    let held = gate.clone();
+    let world = world(move |seen| match seen.line.contains(OBJECT) {
+        true => Deed::Once(held.clone(), served(b"late")),
+        false => Deed::Say(served(b"early")),
+    });
+    let mut client = Client::connect(&world.router);
+    let both =
+        [call(1, &page(OBJECT, "3000"), b""), call(2, &page("00000000000000aa", "3000"), b"")].concat();
+    client.send(&both);
+    assert_eq!(client.reply(), (2, done(b"early")));
+    gate.let_go();
+    assert_eq!(client.reply(), (1, done(b"late")));
+    for byte in call(3, &page("00000000000000ab", "3000"), b"") {
+        client.send(&[byte]);
+    }
+    assert_eq!(client.reply(), (3, done(b"early")));
+}
+
+#[test]
+fn a_cancel_closes_the_attempt_and_is_not_answered() {
+    let world = world(|seen| if seen.line.contains(OBJECT) { Deed::Hang } else { Deed::Say(served(b"x")) });
+    let mut client = Client::connect(&world.router);
+    client.ask(1, OBJECT);
+    world.cache.requests(1);
+    client.cancel(99);
+    client.cancel(1);
+    world.cache.closed.wait("the dispatch to be closed", |closed| (*closed > 0).then_some(()));
+    client.cancel(1);
+    client.ask(2, "00000000000000aa");
+    assert_eq!(client.reply(), (2, done(b"x")));
+}
+
+#[test]
+fn a_client_that_closes_cancels_its_requests() {
+    let world = world(|_| Deed::Hang);
+    let mut client = Client::connect(&world.router);
+    client.ask(1, OBJECT);
+    world.cache.requests(1);
+    drop(client);
+    world.cache.closed.wait("the dispatch to be closed", |closed| (*closed > 0).then_some(()));
+}
+
+#[test]
+fn a_silent_endpoint_costs_an_attempt_timeout_and_the_request_ends_in_time() {
+    let world = world(|_| Deed::Hang);
+    let mut client = Client::connect(&world.router);
+    let asked = Instant::now();
+    client.send(&call(1, &page(OBJECT, "700"), b""));
+    let (seq, reply) = client.reply();
+    assert!(seq == 1 && is_over(&reply), "{reply:?}");
+    assert!(asked.elapsed() >= Duration::from_millis(600), "given up after {:?}", asked.elapsed());
+}
+
+#[test]
+fn a_rejected_request_has_a_retry_after() {
+    let full = answer(503, "X-Shed: 1\r\n", b"");
+    let world = world(move |_| Deed::Say(full.clone()));
+    let mut client = Client::connect(&world.router);
+    client.ask(1, OBJECT);
+    let (_, reply) = client.reply();
+    let Reply::TurnedBack(fields) = reply else { panic!("{reply:?}") };
+    assert!(fields["pause"].parse::<u64>().unwrap() <= 500);
+}
+
+#[test]
+fn malformed_calls_are_answered_and_cost_no_other_connection() {
+    let world = world(|seen| if seen.line.contains(OBJECT) { Deed::Hang } else { Deed::Say(served(b"x")) });
+    let mut other = Client::connect(&world.router);
+    other.ask(1, OBJECT);
+    world.cache.requests(1);
+    let mut client = Client::connect(&world.router);
+    client.send(&frame(1, "nonesuch", 4, &[0]));
+    assert_eq!(client.reply(), (4, Reply::Exception));
+    let reason = |text: &str| (5, Reply::WrittenOff([("reason".into(), text.into())].into()));
+    for (field, values) in [
+        ("route", &["pages2", "b d", ""][..]),
+        ("trace", &["9b1f03aa5c7e2d4", "9b1f03aa5c7e2d41a", "+b1f03aa5c7e2d41"]),
+        ("patience", &["0", "-5", "+5", "99999999999999999999", "soon", "1e3", ""]),
+        ("entity", &["7f3a9c21e0b4d65g", "7f3a"]),
+        ("chunk", &["-1", "+1", "01", "nan", "4294967296"]),
+        ("tag", &["256", "-1", "x"]),
+        ("redo", &["0", "yes"]),
+        ("nonce", &["n-1"]),
+        ("known", &["4be0", "4be0c1927d55a6f3\r\nX-Mode: n"]),
+    ] {
+        for value in values {
+            let fields = page(OBJECT, "3000").into_iter().filter(|known| known.0 != field);
+            let fields: Vec<_> = fields.chain([(field, *value)]).collect();
+            client.send(&call(5, &fields, b""));
+            assert_eq!(client.reply(), reason(field), "{value:?}");
+        }
+    }
+    let twice = [page(OBJECT, "3000"), page(OBJECT, "3000")].concat();
+    client.send(&call(5, &twice, b""));
+    assert_eq!(client.reply(), reason("too many fields, or one twice"));
+    client.send(&call(5, &page("00000000000000aa", "3000"), &vec![7; 48_001]));
+    assert_eq!(client.reply(), reason("body"));
+    let nested: Vec<u8> = [12, 0, 9].repeat(10_000);
+    client.send(&frame(1, "call", 6, &nested));
+    assert!(matches!(client.reply(), (6, Reply::WrittenOff(_))));
+    client.ask(7, OBJECT);
+    client.ask(7, "00000000000000aa");
+    assert_eq!(client.reply(), (7, Reply::Exception), "the number is in use");
+    for bytes in [&[0xff; 4][..], &[0x7f, 0xff, 0xff, 0xff], &[0, 0, 0, 4, 0, 0, 0, 1]] {
+        let mut bad = Client::connect(&world.router);
+        bad.send(bytes);
+        assert_eq!(bad.reply_or_end(), None);
+    }
+    other.ask(2, "00000000000000aa");
+    assert_eq!(other.reply(), (2, done(b"x")));
+}
+
+#[test]
+fn requests_cancelled_as_they_are_sent_leave_no_attempt_in_flight() {
+    let world = world(|seen| if seen.line.contains(OBJECT) { Deed::Hang } else { Deed::Say(served(b"x")) });
+    let mut client = Client::connect(&world.router);
+    for seq in 1..=300 {
+        client.ask(seq, OBJECT);
+        // Some are withdrawn in a breath of their own, whenever the router comes to it.
+        client.cancel(seq);
+        if seq % 30 == 0 {
+            let both: Vec<u8> =
+                (1..=9).flat_map(|index| call(1000 + index, &page(OBJECT, "3000"), b"")).collect();
+            let ends: Vec<u8> = (1..=9).flat_map(|index| cancel(1000 + index)).collect();
+            client.send(&[both, ends].concat());
+        }
+    }
+    client.ask(2000, "00000000000000aa");
+    assert_eq!(client.reply(), (2000, done(b"x")));
+    // What was ordered has ended: the routing engine counts nothing as out.
+    let count = |log: &mut Vec<String>, word: &str| log.iter().filter(|line| line.contains(word)).count();
+    world.router.log.wait("all that was ordered to end", |log| {
+        let ordered = count(log, " ordered ");
+        (ordered > 0 && ordered == count(log, " ended ")).then_some(())
+    });
+}
+
+#[test]
+fn a_request_id_is_in_flight_once_only() {
+    let gate = Watched::default();
+    let held = gate.clone();
+    let world = world(move |_| Deed::Once(held.clone(), served(b"x")));
+    let (mut client, mut other) = (Client::connect(&world.router), Client::connect(&world.router));
+    let named = |seq, object| {
+        let mut fields = page(object, "600000");
+        fields[1].1 = "9b1f03aa5c7e2d41";
+        call(seq, &fields, b"")
+    };
+    client.send(&named(1, OBJECT));
+    world.cache.requests(1);
+    other.send(&named(1, "00000000000000aa"));
+    assert_eq!(other.reply(), (1, Reply::WrittenOff([("reason".into(), "trace".into())].into())));
+    gate.let_go();
+    assert_eq!(client.reply(), (1, done(b"x")));
+    until("the id to be free again", || {
+        other.send(&named(2, "00000000000000aa"));
+        other.reply() == (2, done(b"x"))
+    });
+}
+
+#[test]
+fn the_thirty_third_open_call_is_rejected() {
+    let world = world(|_| Deed::Hang);
+    let mut client = Client::connect(&world.router);
+    (1..=33).for_each(|seq| client.ask(seq, OBJECT));
+    let (seq, Reply::TurnedBack(fields)) = client.reply() else { panic!("not turned back") };
+    assert!(seq == 33 && fields["pause"].parse::<u64>().unwrap() <= 500, "{fields:?}");
+}
+
+#[test]
+fn answers_before_a_malformed_frame_arrive_though_the_client_sends_on() {
+    let world = world(|_| Deed::Say(served(b"x")));
+    let mut client = Client::connect(&world.router);
+    client
+        .send(&[frame(1, "nonesuch", 1, &[0]), frame(1, "nonesuch", 2, &[0]), vec![0xff; 600_000]].concat());
+    assert_eq!(client.reply(), (1, Reply::Exception));
+    assert_eq!(client.reply(), (2, Reply::Exception));
+    // An orderly end, no reset.
+    assert_eq!(client.0.read(&mut [0]).unwrap(), 0);
+}
