--- a/crates/router/src/configuration/limits.rs
+++ b/crates/router/src/configuration/limits.rs
@@ -50,7 +50,7 @@
 pub struct Limits {
     /// Requests in flight, of all listeners together.
     pub max_open_requests: usize,
-    /// Bytes of frames and bodies held at once.
+    /// Bytes that all frames and bodies may take together.
     pub max_buffered_bytes: usize,
     /// Time between two checks of a condition that has no event.
     pub poll_interval: Duration,
--- a/crates/router/src/configuration/section.rs
+++ b/crates/router/src/configuration/section.rs
@@ -11,13 +11,17 @@
 
 /// A value of the file and its path in it.
 pub struct Section<'a> {
+    /// The value, or null where it is missing.
     pub value: &'a Value,
+    /// Its path, as errors name it.
     pub path: String,
 }
 
 /// A list of the file and its path in it.
 pub struct List<'a> {
+    /// The items.
     pub items: &'a [Value],
+    /// The path of the list, as errors name it.
     pub path: String,
 }
 
--- a/crates/router/src/discovery/watch.rs
+++ b/crates/router/src/discovery/watch.rs
@@ -33,9 +33,9 @@
     let reconnect_log = LogThrottle::default();
     loop {
         let Err(error) = follow_connection(&state, address).await;
-        if let Some(occurrences) = reconnect_log.record() {
+        if let Some(times) = reconnect_log.record() {
             let sequence = state.watch_position.borrow().sequence;
-            tracing::warn!(%error, sequence, occurrences, "discovery watch disconnected; reconnecting");
+            tracing::warn!(%error, sequence, times, "discovery watch disconnected; reconnecting");
         }
         let backoff = state.limits.watch.backoff;
         let jitter = Duration::from_secs_f64(backoff.as_secs_f64() * fastrand::f64());
--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -20,7 +20,9 @@
 
 /// A reply on its way to the client, with the memory that it takes.
 pub struct QueuedReply {
+    /// The reply.
     pub reply: Reply,
+    /// When it was queued.
     pub queued: Instant,
     _memory: Option<MemoryReservation>,
 }
@@ -40,6 +42,7 @@
 
 /// One connection of a client.
 pub struct Connection {
+    /// The socket.
     pub stream: Async<TcpStream>,
     /// The calls whose replies are owed, by sequence id.
     open_calls: RefCell<HashMap<i32, Rc<Mailbox>>>,
@@ -64,6 +67,7 @@
 }
 
 impl Connection {
+    /// A connection that was accepted just now.
     pub fn new(stream: Async<TcpStream>, unwritten_replies: Rc<Cell<usize>>) -> Self {
         Self {
             stream,
@@ -82,14 +86,17 @@
         }
     }
 
+    /// How far its life has come.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
+    /// When a frame was last read or a reply last written.
     pub fn last_activity(&self) -> Instant {
         self.last_activity.get()
     }
 
+    /// Whether a complete frame has ever arrived.
     pub fn has_sent_frame(&self) -> bool {
         self.has_sent_frame.get()
     }
--- a/crates/router/src/downstream/connections.rs
+++ b/crates/router/src/downstream/connections.rs
@@ -9,7 +9,7 @@
 use super::connection::{Connection, Phase};
 use crate::configuration::limits::ClientLimits;
 
-/// Every connection whose descriptor is held, those that the router is closing included.
+/// Every connection whose descriptor is open, those that the router is closing included.
 #[derive(Default)]
 pub struct Connections {
     all: RefCell<Vec<Weak<Connection>>>,
--- a/crates/router/src/downstream/frame_reader.rs
+++ b/crates/router/src/downstream/frame_reader.rs
@@ -11,9 +11,11 @@
 use crate::configuration::limits::ClientLimits;
 use crate::timeout::with_timeout;
 
-/// A frame and when its last byte was read.
+/// One frame of a client.
 pub struct Frame {
+    /// The frame, without its length.
     pub bytes: Bytes,
+    /// When its last byte was read.
     pub arrived: Instant,
 }
 
@@ -48,6 +50,7 @@
 }
 
 impl<'a> FrameReader<'a> {
+    /// A reader for a connection that was accepted just now.
     pub fn new(connection: &'a Connection, limits: ClientLimits) -> Self {
         let now = Instant::now();
         Self { connection, limits, buffer: BytesMut::new(), arrived: now, incomplete_since: Some(now) }
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -62,8 +62,8 @@
             match self.socket.accept().await {
                 Ok((stream, _)) => self.serve(stream),
                 Err(error) => {
-                    if let Some(occurrences) = self.state.overload_log.record() {
-                        tracing::warn!(%error, occurrences, "accept failed; closing idle connections");
+                    if let Some(times) = self.state.overload_log.record() {
+                        tracing::warn!(%error, times, "accept failed; closing idle connections");
                     }
                     self.state.endpoints.sweep_idle();
                     self.connections.close_one(&limits.client);
--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 use std::rc::Rc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use async_io::Timer;
 use bytes::Bytes;
@@ -16,22 +16,29 @@
 use super::connection::Connection;
 use super::request_fields::{InvalidField, REQUEST_ID, RequestFields, read_fields};
 use crate::state::RouterState;
-use crate::upstream::{AttemptResult, PendingRequest, RoutingSnapshot};
+use crate::upstream::{AttemptResult, MemoryReservation, PendingRequest, RoutingSnapshot};
 
 /// A call as its client sent it; its texts are slices of the frame.
 pub struct Call {
+    /// The number that its reply carries.
     pub sequence_id: i32,
+    /// Its fields, unchecked.
     pub fields: Fields,
+    /// Its body.
     pub body: Bytes,
+    /// When its last byte was read.
     pub arrived: Instant,
     /// The memory that the frame takes.
-    pub _memory: crate::upstream::MemoryReservation,
+    pub _memory: MemoryReservation,
 }
 
 /// A call whose request is in flight.
 pub struct OpenCall {
+    /// The call.
     pub call: Call,
+    /// The request's number in the routing engine.
     pub slot: RequestSlot,
+    /// Where the engine's actions for it arrive.
     pub mailbox: Rc<Mailbox>,
 }
 
@@ -163,8 +170,8 @@
     let OpenCall { call, slot, mailbox } = open_call;
     let fields = read_fields(&call.fields, &call.body, &state.classes, &state.limits.client);
     let fields = fields.map_err(|InvalidField(field)| {
-        if let Some(occurrences) = state.malformed_log.record() {
-            tracing::warn!(field, occurrences, "call with a missing or invalid field");
+        if let Some(times) = state.malformed_log.record() {
+            tracing::warn!(field, times, "call with a missing or invalid field");
         }
         aborted(call.sequence_id, &[("reason", field)])
     })?;
@@ -185,7 +192,7 @@
 
 /// The time that is left for a request: the client's timeout, bounded by the limit and by a shutdown.
 fn time_remaining(state: &RouterState, call: &Call, timeout: Span) -> Span {
-    let span = |duration: std::time::Duration| Span::micros(duration.as_micros() as u64);
+    let span = |duration: Duration| Span::micros(duration.as_micros() as u64);
     let elapsed = span(call.arrived.elapsed());
     let shutdown = state.shutdown_deadline.get();
     let until_shutdown = shutdown.map(|deadline| span(deadline.saturating_duration_since(Instant::now())));
--- a/crates/router/src/downstream/session.rs
+++ b/crates/router/src/downstream/session.rs
@@ -3,6 +3,7 @@
 use std::io;
 use std::pin::pin;
 use std::rc::Rc;
+use std::time::Instant;
 
 use bytes::Bytes;
 use futures_lite::future;
@@ -40,8 +41,8 @@
             tracing::debug!(%error, open = connection.open_call_count(), "client connection failed");
         }
         SessionEnd::Reader(Err(error)) => {
-            if let Some(occurrences) = state.malformed_log.record() {
-                tracing::warn!(%error, occurrences, "client connection closed: malformed or incomplete frame");
+            if let Some(times) = state.malformed_log.record() {
+                tracing::warn!(%error, times, "client connection closed: malformed or incomplete frame");
             }
             close(limits, &connection, writer).await;
         }
@@ -102,8 +103,8 @@
             connection.send(application_exception(sequence_id, kind, "no such method"), None);
         }
         Err(ParseError::BadArguments { sequence_id, reason }) => {
-            if let Some(occurrences) = state.malformed_log.record() {
-                tracing::warn!(reason, occurrences, "call with malformed arguments");
+            if let Some(times) = state.malformed_log.record() {
+                tracing::warn!(reason, times, "call with malformed arguments");
             }
             connection.send(aborted(sequence_id, &[("reason", reason)]), None);
         }
@@ -117,7 +118,7 @@
     sequence_id: i32,
     fields: Fields,
     body: Bytes,
-    arrived: std::time::Instant,
+    arrived: Instant,
     frame_size: usize,
 }
 
@@ -132,9 +133,9 @@
     let has_capacity = state.engine.has_capacity(state.limits.max_open_requests)
         && connection.open_call_count() < state.limits.client.max_open_calls;
     let Some(memory) = state.memory.reserve(frame_size).filter(|_| has_capacity) else {
-        if let Some(occurrences) = state.overload_log.record() {
+        if let Some(times) = state.overload_log.record() {
             let requests = state.engine.open_requests();
-            tracing::warn!(requests, occurrences, "call rejected: no capacity");
+            tracing::warn!(requests, times, "call rejected: no capacity");
         }
         return connection.send(rejected(sequence_id, state.engine.retry_after()), None);
     };
--- a/crates/router/src/server/files.rs
+++ b/crates/router/src/server/files.rs
@@ -9,7 +9,9 @@
 
 /// What a start reads.
 pub struct LoadedFiles {
+    /// The router's configuration.
     pub configuration: Configuration,
+    /// The fronts file, empty where there is none.
     pub fronts: Fronts,
 }
 
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -20,7 +20,7 @@
 use reload::Reloader;
 use shutdown::Shutdown;
 
-/// Reads the files and serves until the process is told to end.
+/// Reads the files and serves until SIGTERM or SIGINT.
 pub fn start(files: Files) -> Result<()> {
     let loaded = load_files(&files)?;
     let executor = Rc::new(LocalExecutor::new());
@@ -46,7 +46,7 @@
     let LoadedFiles { mut configuration, mut fronts } = loaded;
     let state = startup::create_state(&executor, &mut configuration, &mut fronts)?;
     let bind = async { Some(crate::downstream::bind(configuration.listen, &state.limits).await) };
-    // Told to stop while it waits for its address, the router has nothing to shut down.
+    // Stopped while it waits for its address, the router has nothing to shut down.
     let Some(socket) = future::or(until_first(&mut stop_signals), bind).await else { return Ok(()) };
     let socket = socket.with_context(|| format!("listen: {}", configuration.listen))?;
     let bound = socket.get_ref().local_addr().context("listen")?;
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -6,13 +6,16 @@
 
 use async_executor::Task;
 use async_io::Timer;
+use tindoor_consensus::Node;
 
 use crate::downstream::{Connections, Listener};
 use crate::state::RouterState;
 
 /// What a shutdown works on.
 pub struct Shutdown<'a> {
+    /// What the tasks share.
     pub state: &'a RouterState,
+    /// The clients' connections.
     pub connections: &'a Connections,
 }
 
@@ -83,7 +86,7 @@
     /// Tells the fleet that this router leaves; only now, as its lease ends with it.
     async fn leave_fleet(&self) {
         if let Some(fleet) = &self.state.fleet {
-            fleet.tell(|node, now| node.leave(now));
+            fleet.tell(Node::leave);
             self.wait_poll_interval().await;
         }
     }
--- a/crates/router/src/signed_urls/mod.rs
+++ b/crates/router/src/signed_urls/mod.rs
@@ -146,9 +146,9 @@
         let clock = self.clock.borrow();
         if let Some(estimate) = clock.estimate()
             && estimate.offset_ms.unsigned_abs() > self.skew_ms.max(MIN_LOGGED_OFFSET_MS)
-            && let Some(occurrences) = self.offset_log.record()
+            && let Some(times) = self.offset_log.record()
         {
-            tracing::warn!(?estimate, occurrences, "the system clock is off by more than the allowed skew");
+            tracing::warn!(?estimate, times, "the system clock is off by more than the allowed skew");
         }
         clock.now(unix_ms, self.skew_ms)
     }
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -10,9 +10,11 @@
 
 /// A connection, counted from before it is established until it is dropped.
 pub struct EndpointConnection {
+    /// The socket.
     pub stream: Async<TcpStream>,
     /// The generation of the endpoint that it was made to.
     pub generation: u64,
+    /// Counts it as open.
     pub _permit: ConnectionPermit,
 }
 
@@ -26,7 +28,9 @@
 
 /// A connection that waits for its next use.
 pub struct IdleConnection {
+    /// The connection.
     pub connection: EndpointConnection,
+    /// Since when it has been idle.
     pub since: Instant,
 }
 
--- a/crates/router/src/upstream/endpoint_table.rs
+++ b/crates/router/src/upstream/endpoint_table.rs
@@ -10,14 +10,17 @@
 
 /// An endpoint with its idle connections.
 pub struct Endpoint {
+    /// Its id in the endpoint list.
     pub name: String,
+    /// Where it listens.
     pub address: Option<SocketAddr>,
+    /// Whether it takes requests.
     pub state: EndpointState,
     /// When its state or address last changed.
     changed: Instant,
     /// Counts changes of its state and address, also across endpoints that had the same id.
     pub generation: u64,
-    /// The latest last.
+    /// Its idle connections, the latest last.
     pub idle: Vec<IdleConnection>,
 }
 
@@ -34,15 +37,18 @@
 /// Endpoints by id and by name.
 #[derive(Default)]
 pub struct EndpointTable {
+    /// The endpoints, by their ids.
     pub endpoints: Vec<Endpoint>,
     ids: HashMap<String, EndpointId>,
 }
 
 impl EndpointTable {
+    /// The endpoint with this id.
     pub fn get(&self, id: EndpointId) -> &Endpoint {
         &self.endpoints[id.0 as usize]
     }
 
+    /// The endpoint with this id.
     pub fn get_mut(&mut self, id: EndpointId) -> &mut Endpoint {
         &mut self.endpoints[id.0 as usize]
     }
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -81,8 +81,8 @@
     ) -> AttemptResult {
         // Sends stop before reads do, as each is made only while there is memory for the largest response.
         if budget.free_bytes() < self.limits.max_body_bytes + self.limits.max_head_bytes {
-            if let Some(occurrences) = self.exhausted_log.record() {
-                tracing::warn!(occurrences, "no memory for a response; attempt not sent");
+            if let Some(times) = self.exhausted_log.record() {
+                tracing::warn!(times, "no memory for a response; attempt not sent");
             }
             return AttemptResult::without_response(AttemptStatus::Superseded);
         }
@@ -192,9 +192,9 @@
 
     fn status_of(&self, head: &ResponseHead) -> AttemptStatus {
         tindoor_http::attempt_status(head.status, head.rejected).unwrap_or_else(|| {
-            if let Some(occurrences) = self.unknown_response_log.record() {
+            if let Some(times) = self.unknown_response_log.record() {
                 let (status, rejected) = (head.status, head.rejected);
-                tracing::warn!(status, rejected, occurrences, "response with an unknown status");
+                tracing::warn!(status, rejected, times, "response with an unknown status");
             }
             AttemptStatus::Error
         })
@@ -203,8 +203,8 @@
     fn detail_of(&self, head: &ResponseHead) -> OutcomeDetail {
         let remark = head.remark.as_deref().unwrap_or_default();
         tindoor_http::outcome_detail(remark).unwrap_or_else(|| {
-            if let Some(occurrences) = self.unknown_response_log.record() {
-                tracing::warn!(remark, occurrences, "response with an unknown remark");
+            if let Some(times) = self.unknown_response_log.record() {
+                tracing::warn!(remark, times, "response with an unknown remark");
             }
             OutcomeDetail::Unknown
         })
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -177,8 +177,8 @@
     /// stay within the limit, too.
     fn admit_connection(&self, id: EndpointId) -> Option<ConnectionPermit> {
         if self.open_connections.get() >= self.limits.max_connections && !self.close_oldest_idle() {
-            if let Some(occurrences) = self.exhausted_log.record() {
-                tracing::warn!(occurrences, "all connections to endpoints are in use; attempt not sent");
+            if let Some(times) = self.exhausted_log.record() {
+                tracing::warn!(times, "all connections to endpoints are in use; attempt not sent");
             }
             return None;
         }
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -346,7 +346,7 @@
     let last = TcpListener::bind("127.0.0.1:0").unwrap();
     let router = Router::start_at(&configuration(log.address, members), last.local_addr().unwrap());
     let logged = |word: &'static str| {
-        router.log.wait("the router's log", |log| log.iter().any(|line| line.contains(word)).then_some(()))
+        router.log.wait("the router's log", |log| log.iter().any(|line| line.contains(word)).then_some(()));
     };
     logged("in use");
     drop(last);
