--- /dev/null
+++ b/crates/router/src/configuration/mod.rs
@@ -0,0 +1,17 @@
+//! The configuration files and the limits that are derived from them. No other module reads configuration.
+
+mod error;
+mod file;
+mod fronts;
+pub mod limits;
+mod line_numbers;
+mod request_classes;
+mod section;
+mod signed_urls;
+
+pub use error::ConfigurationError;
+pub use file::{Configuration, FixedSettings};
+pub use fronts::Fronts;
+pub use line_numbers::line_of_value;
+pub use request_classes::RequestClass;
+pub use signed_urls::{SignedUrlSettings, TokenFormatSettings, TokenSource};
--- /dev/null
+++ b/crates/router/src/discovery/mod.rs
@@ -0,0 +1,8 @@
+//! The discovery watch: follows the change stream and applies its events to the connections, the routing engine and
+//! the requests that proxies carry out.
+
+mod apply;
+mod watch;
+
+pub use apply::apply_event;
+pub use watch::watch;
--- /dev/null
+++ b/crates/router/src/discovery/watch.rs
@@ -0,0 +1,101 @@
+//! Follows the change stream over one connection after another.
+
+use std::convert::Infallible;
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::{Async, Timer};
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use tindoor_discovery::{Progress, WatchError};
+
+use super::apply::apply_event;
+use crate::configuration::limits::WatchLimits;
+use crate::log_throttle::LogThrottle;
+use crate::state::RouterState;
+use crate::timeout::with_timeout;
+
+/// Why a connection to the change stream ended.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionEnd {
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    #[error("{0}")]
+    Watch(#[from] WatchError),
+    #[error("closed by the other side")]
+    Closed,
+}
+
+/// Follows the change stream from the known position on; never returns. It may be dropped at any time, and another watch
+/// may take its place.
+pub async fn watch(state: Rc<RouterState>, address: SocketAddr) -> Infallible {
+    let reconnect_log = LogThrottle::default();
+    loop {
+        let Err(error) = follow_connection(&state, address).await;
+        if let Some(times) = reconnect_log.record() {
+            let sequence = state.watch_position.borrow().sequence;
+            tracing::warn!(%error, sequence, times, "discovery watch disconnected; reconnecting");
+        }
+        let backoff = state.limits.watch.backoff;
+        let jitter = Duration::from_secs_f64(backoff.as_secs_f64() * fastrand::f64());
+        Timer::after(backoff + jitter).await;
+    }
+}
+
+/// Follows one connection to its end.
+async fn follow_connection(state: &RouterState, address: SocketAddr) -> Result<Infallible, ConnectionEnd> {
+    let limits = state.limits.watch;
+    let mut stream = with_timeout(limits.connect_timeout, Async::<TcpStream>::connect(address)).await?;
+    let request = format!("since {}\n", state.watch_position.borrow().sequence);
+    stream.write_all(request.as_bytes()).await?;
+    state.watch_position.borrow_mut().reconnected();
+    let mut lines = LineReader { stream, buffer: Vec::new(), limits };
+    while let Some(line) = lines.next_line().await? {
+        apply_line(state, &line)?;
+    }
+    Err(ConnectionEnd::Closed)
+}
+
+fn apply_line(state: &RouterState, line: &[u8]) -> Result<(), WatchError> {
+    let progress = state.watch_position.borrow_mut().accept_line(line)?;
+    match progress {
+        Progress::UpToDate => {}
+        Progress::Event(event) => apply_event(state, event),
+        Progress::Skipped(error) => {
+            tracing::warn!(%error, "discovery line can't be parsed; skipped");
+        }
+    }
+    Ok(())
+}
+
+/// Reads lines of the change stream.
+struct LineReader {
+    stream: Async<TcpStream>,
+    buffer: Vec<u8>,
+    limits: WatchLimits,
+}
+
+impl LineReader {
+    /// The next line; `None` where the other side has closed. The time for a line bounds the whole of it, so that bytes
+    /// that trickle in don't keep the endpoint list out of date.
+    async fn next_line(&mut self) -> io::Result<Option<Vec<u8>>> {
+        let begun = Instant::now();
+        loop {
+            if let Some(line) = tindoor_discovery::take_line(&mut self.buffer) {
+                return Ok(Some(line));
+            }
+            // The rest of a line over the limit is dropped: the line fails to parse, and the next ones don't.
+            self.buffer.truncate(self.limits.max_line_bytes);
+            let filled = self.buffer.len();
+            self.buffer.resize(filled + self.limits.read_chunk_bytes, 0);
+            let time_remaining = self.limits.line_timeout.saturating_sub(begun.elapsed());
+            let timeout = time_remaining.min(self.limits.read_timeout);
+            let received = with_timeout(timeout, self.stream.read(&mut self.buffer[filled..])).await?;
+            self.buffer.truncate(filled + received);
+            if received == 0 {
+                return Ok(None);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/downstream/mod.rs
@@ -0,0 +1,13 @@
+//! Clients: the listener, their connections, and the requests on them.
+
+mod connection;
+mod connections;
+mod frame_reader;
+mod listener;
+mod request;
+mod request_fields;
+mod session;
+mod writer;
+
+pub use connections::Connections;
+pub use listener::{Listener, bind};
--- /dev/null
+++ b/crates/router/src/downstream/request.rs
@@ -0,0 +1,211 @@
+//! The life of one request of a client, from its call to its reply.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::Timer;
+use bytes::Bytes;
+use futures_lite::future;
+use tindoor::host::{AttemptStatus, Outcome, RequestSlot};
+use tindoor::time::Span;
+use tindoor_http::EndpointRequest;
+use tindoor_request_runtime::{
+    Attempt, AttemptEnd, FinalAnswer, IncomingRequest, Mailbox, RequestTransport, run_request,
+};
+use tindoor_thrift::{Answer, Fields, Reply, aborted, answer, try_later};
+
+use super::connection::Connection;
+use super::request_fields::{InvalidField, REQUEST_ID, RequestFields, read_fields};
+use crate::state::RouterState;
+use crate::upstream::{AttemptResult, MemoryReservation, PendingRequest, RoutingSnapshot};
+
+/// A call as its client sent it; its texts are slices of the frame.
+pub struct Call {
+    /// The number that its reply carries.
+    pub sequence_id: i32,
+    /// Its fields, unchecked.
+    pub fields: Fields,
+    /// Its body.
+    pub body: Bytes,
+    /// When its last byte was read.
+    pub arrived: Instant,
+    /// The memory that the frame takes.
+    pub _memory: MemoryReservation,
+}
+
+/// A call whose request is in flight.
+pub struct OpenCall {
+    /// The call.
+    pub call: Call,
+    /// The request's number in the routing engine.
+    pub slot: RequestSlot,
+    /// Where the engine's actions for it arrive.
+    pub mailbox: Rc<Mailbox>,
+}
+
+/// Carries one request: its attempts go to endpoints, its answer to the client's connection.
+struct ClientTransport<'a> {
+    state: &'a RouterState,
+    connection: &'a Connection,
+    open_call: &'a OpenCall,
+    fields: &'a RequestFields<'a>,
+}
+
+impl RequestTransport for ClientTransport<'_> {
+    type Payload = AttemptResult;
+
+    async fn send(&self, attempt: Attempt) -> AttemptEnd<AttemptResult> {
+        let result = self.run_attempt(attempt).await;
+        AttemptEnd { outcome: Outcome::new(result.status, result.detail), payload: result }
+    }
+
+    fn answer(&self, final_answer: FinalAnswer<AttemptResult>) {
+        let sequence_id = self.open_call.call.sequence_id;
+        let (reply, memory) = match final_answer {
+            FinalAnswer::Served(AttemptResult { body, not_modified, memory, .. }) => {
+                let fields: &[_] = if not_modified { &[("valid", "1")] } else { &[] };
+                (answer("call", sequence_id, Answer { body, fields, good: true }), memory)
+            }
+            FinalAnswer::Rejected(retry_after) => (rejected(sequence_id, retry_after), None),
+            FinalAnswer::Failed | FinalAnswer::Abandoned => (aborted(sequence_id, &[]), None),
+        };
+        self.connection.finish_call(sequence_id, &self.open_call.mailbox, reply, memory);
+    }
+}
+
+impl ClientTransport<'_> {
+    /// Runs one attempt within its timeout.
+    async fn run_attempt(&self, attempt: Attempt) -> AttemptResult {
+        let request = AttemptRequest::new(self, attempt);
+        let exchange = self.state.endpoints.exchange(attempt.endpoint, &request, &self.state.memory);
+        let finished = async { Some(exchange.await) };
+        let timeout = async {
+            Timer::at(request.deadline).await;
+            None
+        };
+        match future::or(finished, timeout).await {
+            Some(result) => result,
+            None if request.is_sent.get() => AttemptResult::without_response(AttemptStatus::TimedOut),
+            None => AttemptResult::without_response(AttemptStatus::Unreachable),
+        }
+    }
+}
+
+/// The request of one attempt.
+struct AttemptRequest<'a> {
+    transport: &'a ClientTransport<'a>,
+    attempt: Attempt,
+    /// What the attempt was decided by.
+    snapshot: RoutingSnapshot,
+    /// The name of the endpoint to fill from, where it is another one.
+    fill_source: Option<String>,
+    deadline: Instant,
+    is_sent: Cell<bool>,
+}
+
+impl<'a> AttemptRequest<'a> {
+    fn new(transport: &'a ClientTransport<'a>, attempt: Attempt) -> Self {
+        let endpoints = &transport.state.endpoints;
+        let source = attempt.directives.map(|directives| directives.source);
+        let other_source = source.filter(|source| *source != attempt.endpoint);
+        Self {
+            transport,
+            attempt,
+            snapshot: endpoints.snapshot(attempt.endpoint, source),
+            fill_source: other_source.map(|source| endpoints.name(source)),
+            deadline: attempt.issued_at + attempt.timeout,
+            is_sent: Cell::new(false),
+        }
+    }
+
+    fn endpoint_request(&self, timeout_ms: u64) -> EndpointRequest<'_> {
+        let directives = self.attempt.directives;
+        let max_age = directives.and_then(|directives| directives.max_age);
+        EndpointRequest {
+            timeout_ms,
+            fill_source: self.fill_source.as_deref(),
+            retention_rank: directives.map_or(0, |directives| directives.retention_rank),
+            // Rounded down, but not to 0, which would accept any fresh copy.
+            max_age_ms: max_age.map(|max_age| (max_age.as_micros() / 1000).max(1)),
+            join_fill: directives.is_some_and(|directives| directives.join_fill),
+            only_if_cached: directives.is_some_and(|directives| directives.only_if_cached),
+            refresh: directives.is_some_and(|directives| directives.refresh),
+            ..self.transport.fields.endpoint_request
+        }
+    }
+}
+
+impl PendingRequest for AttemptRequest<'_> {
+    async fn encode_head(&self) -> Option<String> {
+        let ClientTransport { state, connection, .. } = self.transport;
+        // The client may have left, or the list may have changed, while a connection was established.
+        connection.let_reader_catch_up().await;
+        let is_client_waiting = connection.is_client_waiting(state.limits.client.max_read_backlog);
+        let time_remaining = self.deadline.saturating_duration_since(Instant::now());
+        let timeout_ms = time_remaining.as_millis() as u64;
+        let source = self.attempt.directives.map(|directives| directives.source);
+        let is_current = state.endpoints.snapshot(self.attempt.endpoint, source) == self.snapshot;
+        let may_send = is_current && is_client_waiting && timeout_ms > 0;
+        may_send.then(|| self.endpoint_request(timeout_ms).encode_head())
+    }
+
+    fn body(&self) -> &Bytes {
+        &self.transport.open_call.call.body
+    }
+
+    fn mark_sent(&self) {
+        self.is_sent.set(true);
+    }
+}
+
+/// Serves one call: checks its fields, then runs its request to the final answer.
+pub async fn serve_call(state: Rc<RouterState>, connection: Rc<Connection>, open_call: OpenCall) {
+    if let Err(reply) = run_call(&state, &connection, &open_call).await {
+        connection.finish_call(open_call.call.sequence_id, &open_call.mailbox, reply, None);
+    }
+    state.engine.close_request(open_call.slot);
+}
+
+/// Runs a call's request; the error is the reply to a call that can't be run.
+async fn run_call(state: &RouterState, connection: &Connection, open_call: &OpenCall) -> Result<(), Reply> {
+    let OpenCall { call, slot, mailbox } = open_call;
+    let fields = read_fields(&call.fields, &call.body, &state.classes, &state.limits.client);
+    let fields = fields.map_err(|InvalidField(field)| {
+        if let Some(times) = state.malformed_log.record() {
+            tracing::warn!(field, times, "call with a missing or invalid field");
+        }
+        aborted(call.sequence_id, &[("reason", field)])
+    })?;
+    // Cancelled, or its connection is being closed: it never reaches the routing engine.
+    if !mailbox.is_empty() {
+        return Err(aborted(call.sequence_id, &[]));
+    }
+    // Endpoints tell requests apart by their ids.
+    let _id = state
+        .in_flight_ids
+        .reserve(fields.id)
+        .ok_or_else(|| aborted(call.sequence_id, &[("reason", REQUEST_ID)]))?;
+    let time_remaining = time_remaining(state, call, fields.timeout);
+    let transport = ClientTransport { state, connection, open_call, fields: &fields };
+    let request = IncomingRequest { slot: *slot, mailbox, meta: fields.meta, time_remaining };
+    run_request(&state.engine, request, &transport).await;
+    Ok(())
+}
+
+/// The time that is left for a request: the client's timeout, bounded by the limit and by a shutdown.
+fn time_remaining(state: &RouterState, call: &Call, timeout: Span) -> Span {
+    let span = |duration: Duration| Span::micros(duration.as_micros() as u64);
+    let elapsed = span(call.arrived.elapsed());
+    let shutdown = state.shutdown_deadline.get();
+    let until_shutdown = shutdown.map(|deadline| span(deadline.saturating_duration_since(Instant::now())));
+    let max_timeout = span(state.limits.client.max_request_timeout);
+    (timeout - elapsed).min(until_shutdown.unwrap_or(timeout)).min(max_timeout)
+}
+
+/// The reply to a call that never ran, and may be retried after this time.
+pub fn rejected(sequence_id: i32, retry_after: Option<Span>) -> Reply {
+    let retry_after_ms = retry_after.map(|span| (span.as_micros() / 1000).to_string());
+    let fields: Vec<_> = retry_after_ms.iter().map(|text| ("pause", text.as_str())).collect();
+    try_later(sequence_id, &fields)
+}
--- /dev/null
+++ b/crates/router/src/downstream/session.rs
@@ -0,0 +1,148 @@
+//! One connection of a client from its accept to its close, and what each message on it leads to.
+
+use std::io;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Instant;
+
+use bytes::Bytes;
+use futures_lite::future;
+use tindoor_thrift::{
+    Answer, ApplicationExceptionKind, Fields, Message, ParseError, aborted, answer, application_exception,
+};
+
+use super::connection::{Connection, Phase};
+use super::frame_reader::{Frame, FrameError, FrameReader};
+use super::request::{Call, OpenCall, rejected, serve_call};
+use super::writer::write_replies;
+use crate::configuration::limits::ClientLimits;
+use crate::state::RouterState;
+use crate::timeout::with_timeout;
+
+/// Which side of a connection ended first, and how.
+enum SessionEnd {
+    Reader(Result<(), FrameError>),
+    Writer(io::Result<()>),
+}
+
+/// Serves one connection until either side closes it; calls that are still open then are abandoned.
+pub async fn serve_connection(state: Rc<RouterState>, connection: Rc<Connection>) {
+    let limits = &state.limits.client;
+    // The writer lives on while the connection is closed, as a reply that is written in part must be completed.
+    let mut writer = pin!(write_replies(limits, &connection));
+    let reading = async { SessionEnd::Reader(read_calls(&state, &connection).await) };
+    let writing = async { SessionEnd::Writer(writer.as_mut().await) };
+    match future::or(reading, writing).await {
+        SessionEnd::Reader(Ok(())) if connection.phase() == Phase::Open => {
+            tracing::debug!(open = connection.open_call_count(), "client closed its connection");
+        }
+        SessionEnd::Reader(Ok(())) => close(limits, &connection, writer).await,
+        SessionEnd::Reader(Err(FrameError::Io(error))) | SessionEnd::Writer(Err(error)) => {
+            tracing::debug!(%error, open = connection.open_call_count(), "client connection failed");
+        }
+        SessionEnd::Reader(Err(error)) => {
+            if let Some(times) = state.malformed_log.record() {
+                tracing::warn!(%error, times, "client connection closed: malformed or incomplete frame");
+            }
+            close(limits, &connection, writer).await;
+        }
+        SessionEnd::Writer(Ok(())) => close(limits, &connection, future::ready(Ok(()))).await,
+    }
+    connection.end();
+}
+
+/// Writes the last replies, closes the router's side, and drops what still arrives for a bounded time: unread bytes
+/// would reset the connection and destroy replies that the client has not read.
+async fn close(limits: &ClientLimits, connection: &Connection, writer: impl Future<Output = io::Result<()>>) {
+    connection.stop_accepting_calls();
+    if with_timeout(limits.final_write_timeout, writer).await.is_err() {
+        return;
+    }
+    connection.half_close();
+    tracing::debug!("client connection closed");
+    let discard = connection.discard_until_closed(limits.read_chunk_bytes);
+    let _ = with_timeout(limits.linger_timeout, discard).await;
+}
+
+/// Reads and dispatches messages until the connection is to be closed.
+async fn read_calls(state: &Rc<RouterState>, connection: &Rc<Connection>) -> Result<(), FrameError> {
+    let limits = state.limits.client;
+    let mut frames = FrameReader::new(connection, limits);
+    while let Some(frame) = frames.next_frame().await? {
+        connection.record_frame(frame.arrived);
+        dispatch(state, connection, frame, &limits)?;
+        // Rejections and health replies reserve no memory, so their number is bounded here.
+        connection.wait_for_reply_capacity(limits.max_unwritten_replies).await;
+    }
+    Ok(())
+}
+
+/// Handles one message; an error closes the connection.
+fn dispatch(
+    state: &Rc<RouterState>,
+    connection: &Rc<Connection>,
+    frame: Frame,
+    limits: &ClientLimits,
+) -> Result<(), FrameError> {
+    let Frame { bytes, arrived } = frame;
+    let frame_size = bytes.len();
+    let is_copied = frame_size <= limits.max_copied_frame_bytes;
+    let bytes = if is_copied { Bytes::copy_from_slice(&bytes) } else { bytes };
+    match tindoor_thrift::parse(bytes) {
+        Ok(Message::Health { sequence_id }) => {
+            let health = Answer { good: state.is_healthy(), ..Answer::default() };
+            connection.send(answer("health", sequence_id, health), None);
+        }
+        Ok(Message::Cancel { sequence_id }) => connection.cancel_call(sequence_id),
+        Ok(Message::Call { sequence_id, fields, body }) => {
+            let call = ReceivedCall { sequence_id, fields, body, arrived, frame_size };
+            open_call(state, connection, call);
+        }
+        Err(ParseError::UnknownMethod { sequence_id }) => {
+            let kind = ApplicationExceptionKind::UnknownMethod;
+            connection.send(application_exception(sequence_id, kind, "no such method"), None);
+        }
+        Err(ParseError::BadArguments { sequence_id, reason }) => {
+            if let Some(times) = state.malformed_log.record() {
+                tracing::warn!(reason, times, "call with malformed arguments");
+            }
+            connection.send(aborted(sequence_id, &[("reason", reason)]), None);
+        }
+        Err(error @ ParseError::Unreadable(_)) => return Err(error.into()),
+    }
+    Ok(())
+}
+
+/// A call before it is admitted.
+struct ReceivedCall {
+    sequence_id: i32,
+    fields: Fields,
+    body: Bytes,
+    arrived: Instant,
+    frame_size: usize,
+}
+
+/// Opens a request for a call, or rejects it where there is no capacity.
+fn open_call(state: &Rc<RouterState>, connection: &Rc<Connection>, call: ReceivedCall) {
+    let ReceivedCall { sequence_id, fields, body, arrived, frame_size } = call;
+    if connection.is_open_call(sequence_id) {
+        let message = "a call with this sequence number is open";
+        let kind = ApplicationExceptionKind::BadSequenceId;
+        return connection.send(application_exception(sequence_id, kind, message), None);
+    }
+    let has_capacity = state.engine.has_capacity(state.limits.max_open_requests)
+        && connection.open_call_count() < state.limits.client.max_open_calls;
+    let Some(memory) = state.memory.reserve(frame_size).filter(|_| has_capacity) else {
+        if let Some(times) = state.overload_log.record() {
+            let requests = state.engine.open_requests();
+            tracing::warn!(requests, times, "call rejected: no capacity");
+        }
+        return connection.send(rejected(sequence_id, state.engine.retry_after()), None);
+    };
+    let (slot, mailbox) = state.engine.open_request();
+    connection.add_call(sequence_id, &mailbox);
+    let call = Call { sequence_id, fields, body, arrived, _memory: memory };
+    let open_call = OpenCall { call, slot, mailbox };
+    let task = serve_call(Rc::clone(state), Rc::clone(connection), open_call);
+    state.executor.spawn(task).detach();
+}
--- a/crates/router/src/external/grpc/exchange.rs
+++ b/crates/router/src/external/grpc/exchange.rs
@@ -17,12 +17,12 @@
     CheckedRequest, bad_request, final_response_to_request, read_request, unix_ms,
 };
 use crate::external::target;
-use crate::limits::within;
-use crate::router::Router;
+use crate::state::RouterState;
+use crate::timeout::with_timeout;
 
 /// Serves one request.
 pub async fn serve(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     stream: &mut MessageStream<'_>,
     names: &HeaderNames,
 ) -> Result<(), StreamEnd> {
@@ -46,10 +46,10 @@
 
 /// The first message, which must be the request's headers; none where the proxy closed its side at once.
 async fn request_headers(
-    router: &Router,
+    router: &RouterState,
     stream: &mut MessageStream<'_>,
 ) -> Result<Option<HttpHeaders>, StreamEnd> {
-    let first = within(router.limits.frame_wait, async { Ok(stream.next().await) }).await;
+    let first = with_timeout(router.limits.proxy.frame_timeout, async { Ok(stream.next().await) }).await;
     match first.map_err(|_| StreamEnd::timed_out("no headers came in time"))?? {
         Some(Phase::RequestHeaders(headers)) => Ok(Some(headers)),
         Some(_) => Err(StreamEnd::invalid("the first message is not the request's headers")),
@@ -60,7 +60,7 @@
 /// Waits for the decision and sends it; none where a final response was sent in its place. A proxy that ends its
 /// stream meanwhile has given the request up.
 async fn send_decision(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     stream: &mut MessageStream<'_>,
     call: &Call,
     request: &CheckedRequest,
@@ -94,7 +94,7 @@
 
 /// Waits for the headers of the response, which are the report.
 async fn receive_report(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     stream: &mut MessageStream<'_>,
     call: &Call,
     decision: &RoutingDecision,
@@ -122,16 +122,16 @@
 }
 
 fn apply_report(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     call: &Call,
     decision: &RoutingDecision,
     headers: &HttpHeaders,
 ) -> Result<(), StreamEnd> {
     let headers = headers_of(headers);
-    if let Some(links) = &router.links {
+    if let Some(links) = &router.signed_urls {
         // Endpoints tell the time by the date of their responses; 0 stands for the discovery service.
         let participant = 1 + u64::from(decision.endpoint.0);
-        links.heard_date(participant, &headers, unix_ms(router));
+        links.observe_date_header(participant, &headers, unix_ms(router));
     }
     let report = read_report(&headers).map_err(|error| {
         tracing::debug!(%error, "unusable report of an external proxy");
@@ -153,15 +153,15 @@
 }
 
 async fn reply_to_report(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     stream: &mut MessageStream<'_>,
     call: &Call,
     request: &CheckedRequest,
 ) -> Result<(), StreamEnd> {
     let message = match next_reply(call, stream).await? {
         CallReply::PassThrough => {
-            let links = router.links.as_ref().zip(request.playback.as_ref());
-            let cookie = links.and_then(|(links, playback)| links.renewal(playback, unix_ms(router)));
+            let links = router.signed_urls.as_ref().zip(request.playback.as_ref());
+            let cookie = links.and_then(|(links, playback)| links.renewal_cookie(playback, unix_ms(router)));
             response::pass_through(cookie)
         }
         CallReply::AwaitRetry => response::request_retry(),
@@ -192,10 +192,10 @@
 }
 
 /// Passes on the phases that come after the last reply, until the proxy closes its side.
-async fn drain(router: &Router, stream: &mut MessageStream<'_>) -> Result<(), StreamEnd> {
+async fn drain(router: &RouterState, stream: &mut MessageStream<'_>) -> Result<(), StreamEnd> {
     let drained = async { Ok(pass_remaining(stream).await) };
     let left_open = Err(StreamEnd::timed_out("the stream was left open"));
-    within(router.limits.patience, drained).await.unwrap_or(left_open)
+    with_timeout(router.limits.proxy.max_request_timeout, drained).await.unwrap_or(left_open)
 }
 
 async fn pass_remaining(stream: &mut MessageStream<'_>) -> Result<(), StreamEnd> {
--- a/crates/router/src/external/grpc/mod.rs
+++ b/crates/router/src/external/grpc/mod.rs
@@ -18,8 +18,9 @@
 use tindoor_extproc::request::HeaderNames;
 use tokio_util::compat::{Compat, FuturesAsyncReadCompatExt};
 
-use crate::limits::{Limits, within};
-use crate::router::Router;
+use crate::configuration::limits::ProxyLimits;
+use crate::state::RouterState;
+use crate::timeout::with_timeout;
 use stream::{GrpcStatus, MessageStream, StreamEnd};
 
 const PROCESS_PATH: &str = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
@@ -29,19 +30,19 @@
 
 /// Serves one connection until either side ends it.
 pub async fn serve_connection(
-    router: Rc<Router>,
+    router: Rc<RouterState>,
     stream: Async<TcpStream>,
     names: Rc<HeaderNames>,
 ) -> io::Result<()> {
-    let limits = &router.limits;
+    let limits = &router.limits.proxy;
     let builder = connection_builder(limits);
     let handshake = async { builder.handshake(stream.compat()).await.map_err(io::Error::other) };
-    let mut connection: Connection = within(limits.frame_wait, handshake).await?;
+    let mut connection: Connection = with_timeout(limits.frame_timeout, handshake).await?;
     // Each open stream holds a clone.
     let open_streams = Rc::new(());
     let mut last_used = Instant::now();
     // One timer for the life of the connection, as setting one costs a system call.
-    let mut idle = Timer::after(limits.proxy_idle);
+    let mut idle = Timer::after(limits.idle_timeout);
     loop {
         let accepted = or(async { Some(connection.accept().await) }, async {
             (&mut idle).await;
@@ -50,8 +51,8 @@
         let (request, respond) = match accepted.await {
             Some(None) => return Ok(()),
             Some(Some(accepted)) => accepted.map_err(io::Error::other)?,
-            None if Rc::strong_count(&open_streams) > 1 || last_used.elapsed() < limits.proxy_idle => {
-                idle.set_after(limits.proxy_idle);
+            None if Rc::strong_count(&open_streams) > 1 || last_used.elapsed() < limits.idle_timeout => {
+                idle.set_after(limits.idle_timeout);
                 continue;
             }
             None => return close_idle(connection, limits).await,
@@ -70,31 +71,31 @@
 
 /// Bounds what one proxy may cost: streams, resets before they are accepted, and headers; continuation frames count
 /// as headers.
-fn connection_builder(limits: &Limits) -> server::Builder {
+fn connection_builder(limits: &ProxyLimits) -> server::Builder {
     let mut builder = server::Builder::new();
     builder
-        .max_concurrent_streams(limits.streams as u32)
-        .max_header_list_size(limits.header_list as u32)
-        .max_frame_size(limits.read as u32)
-        .max_pending_accept_reset_streams(limits.resets)
-        .max_concurrent_reset_streams(limits.resets)
-        .max_local_error_reset_streams(Some(limits.resets))
-        .data_frame_budget(limits.small_frames)
-        .max_send_buffer_size(limits.unsent)
-        .initial_window_size(limits.message as u32);
+        .max_concurrent_streams(limits.max_streams as u32)
+        .max_header_list_size(limits.max_header_list_bytes as u32)
+        .max_frame_size(limits.read_chunk_bytes as u32)
+        .max_pending_accept_reset_streams(limits.max_reset_streams)
+        .max_concurrent_reset_streams(limits.max_reset_streams)
+        .max_local_error_reset_streams(Some(limits.max_reset_streams))
+        .data_frame_budget(limits.data_frame_budget)
+        .max_send_buffer_size(limits.max_unsent_bytes)
+        .initial_window_size(limits.max_message_bytes as u32);
     builder
 }
 
-async fn close_idle(mut connection: Connection, limits: &Limits) -> io::Result<()> {
+async fn close_idle(mut connection: Connection, limits: &ProxyLimits) -> io::Result<()> {
     connection.graceful_shutdown();
     let closed =
         async { future::poll_fn(|context| connection.poll_closed(context)).await.map_err(io::Error::other) };
-    within(limits.frame_wait, closed).await
+    with_timeout(limits.frame_timeout, closed).await
 }
 
 /// Serves one call of the service: its messages, and its status at the end.
 async fn serve_stream(
-    router: &Rc<Router>,
+    router: &Rc<RouterState>,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
     names: &HeaderNames,
@@ -111,7 +112,7 @@
         Err(StreamEnd::Gone) => return,
     };
     if status != GrpcStatus::OK
-        && let Some(times) = router.unreadable.told()
+        && let Some(times) = router.malformed_log.record()
     {
         let GrpcStatus { code, message } = status;
         tracing::warn!(code, message, times, "stream of an external proxy ended with an error");
--- a/crates/router/src/external/grpc/stream.rs
+++ b/crates/router/src/external/grpc/stream.rs
@@ -9,8 +9,9 @@
 use tindoor_extproc::frames::{self, FrameError};
 use tindoor_extproc::messages::{Phase, ProcessingRequest, ProcessingResponse};
 
-use crate::limits::{Limits, within};
-use crate::router::Router;
+use crate::configuration::limits::ProxyLimits;
+use crate::state::RouterState;
+use crate::timeout::with_timeout;
 
 /// The status of a call: a code and a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,21 +79,21 @@
 
 /// The two directions of one stream.
 pub struct MessageStream<'a> {
-    limits: &'a Limits,
+    limits: &'a ProxyLimits,
     sender: SendStream<Bytes>,
     receiver: RecvStream,
     received: BytesMut,
 }
 
 impl<'a> MessageStream<'a> {
-    pub fn new(router: &'a Router, sender: SendStream<Bytes>, receiver: RecvStream) -> Self {
-        Self { limits: &router.limits, sender, receiver, received: BytesMut::new() }
+    pub fn new(router: &'a RouterState, sender: SendStream<Bytes>, receiver: RecvStream) -> Self {
+        Self { limits: &router.limits.proxy, sender, receiver, received: BytesMut::new() }
     }
 
     /// The next phase; none at the end of the proxy's side. May be dropped and called again.
     pub async fn next(&mut self) -> Result<Option<Phase>, StreamEnd> {
         loop {
-            if let Some(message) = frames::decode(&mut self.received, self.limits.message)? {
+            if let Some(message) = frames::decode(&mut self.received, self.limits.max_message_bytes)? {
                 return phase_of(message).map(Some);
             }
             match self.receiver.data().await {
@@ -128,7 +129,7 @@
             }
             Ok(())
         };
-        match within(self.limits.untaken, reserved).await {
+        match with_timeout(self.limits.write_timeout, reserved).await {
             Ok(()) => Ok(()),
             Err(error) if error.kind() == io::ErrorKind::TimedOut => {
                 self.sender.send_reset(Reason::CANCEL);
--- a/crates/router/src/external/http.rs
+++ b/crates/router/src/external/http.rs
@@ -17,8 +17,8 @@
     CheckedRequest, bad_request, final_response, final_response_to_request, read_request, unix_ms,
 };
 use super::target;
-use crate::limits::within;
-use crate::router::Router;
+use crate::state::RouterState;
+use crate::timeout::with_timeout;
 
 const REPORT_PATH: &str = "/report";
 /// The id of a call, by which it is reported.
@@ -35,7 +35,7 @@
 
 /// One connection: each request is answered before the next is read.
 struct Connection {
-    router: Rc<Router>,
+    router: Rc<RouterState>,
     names: Rc<HeaderNames>,
     stream: Async<TcpStream>,
     received: Vec<u8>,
@@ -43,7 +43,7 @@
 
 /// Serves one connection until either side ends it.
 pub async fn serve_connection(
-    router: Rc<Router>,
+    router: Rc<RouterState>,
     stream: Async<TcpStream>,
     names: Rc<HeaderNames>,
 ) -> io::Result<()> {
@@ -75,7 +75,7 @@
                 self.received.drain(..size);
                 return Ok(Some(head));
             }
-            if self.received.len() > self.router.limits.header_list {
+            if self.received.len() > self.router.limits.proxy.max_header_list_bytes {
                 return Err(invalid("the head is over the limit"));
             }
             if self.receive().await? == 0 {
@@ -85,11 +85,11 @@
     }
 
     async fn receive(&mut self) -> io::Result<usize> {
-        let limits = &self.router.limits;
-        let wait = if self.received.is_empty() { limits.proxy_idle } else { limits.frame_wait };
+        let limits = &self.router.limits.proxy;
+        let wait = if self.received.is_empty() { limits.idle_timeout } else { limits.frame_timeout };
         let filled = self.received.len();
-        self.received.resize(filled + limits.first_read, 0);
-        let received = within(wait, self.stream.read(&mut self.received[filled..])).await;
+        self.received.resize(filled + limits.initial_read_bytes, 0);
+        let received = with_timeout(wait, self.stream.read(&mut self.received[filled..])).await;
         self.received.truncate(filled + received.as_ref().map_or(0, |received| *received));
         received
     }
@@ -103,7 +103,7 @@
             head.push_str("connection: close\r\n");
         }
         head.push_str("content-length: 0\r\n\r\n");
-        within(self.router.limits.untaken, self.stream.write_all(head.as_bytes())).await
+        with_timeout(self.router.limits.proxy.write_timeout, self.stream.write_all(head.as_bytes())).await
     }
 
     /// Responds with a decision or a final refusal. A proxy that closes its connection before has given the request
@@ -238,7 +238,7 @@
 
 /// The response that carries a decision.
 fn decision_response(
-    router: &Router,
+    router: &RouterState,
     call: &Call,
     request: &CheckedRequest,
     reply: &CallReply,
@@ -251,8 +251,8 @@
         response::decision_headers(&request.request, decision, &target, *use_within, *time_remaining);
     fields.push(HeaderField::new(LEASE, call.id.0.to_string()));
     fields.extend(request.path.iter().map(|path| HeaderField::new("x-tindoor-path", path)));
-    let links = router.links.as_ref().zip(request.playback.as_ref());
-    let cookie = links.and_then(|(links, playback)| links.renewal(playback, unix_ms(router)));
+    let links = router.signed_urls.as_ref().zip(request.playback.as_ref());
+    let cookie = links.and_then(|(links, playback)| links.renewal_cookie(playback, unix_ms(router)));
     fields.extend(cookie.map(|cookie| HeaderField::new("x-tindoor-set-cookie", cookie)));
     FinalResponse { status: 200, fields }
 }
--- a/crates/router/src/external/listener.rs
+++ b/crates/router/src/external/listener.rs
@@ -6,13 +6,13 @@
 
 use async_io::{Async, Timer};
 
-use crate::router::Router;
+use crate::state::RouterState;
 
 /// Accepts connections for as long as the router runs, and spawns `serve` for each of them.
 pub async fn accept_connections<F>(
-    router: Rc<Router>,
+    router: Rc<RouterState>,
     listener: Async<TcpListener>,
-    serve: impl Fn(Rc<Router>, Async<TcpStream>) -> F,
+    serve: impl Fn(Rc<RouterState>, Async<TcpStream>) -> F,
 ) where
     F: Future<Output = io::Result<()>> + 'static,
 {
@@ -20,8 +20,8 @@
     let open_connections = Rc::new(());
     loop {
         // Connections over the limit wait in the listener's backlog.
-        if Rc::strong_count(&open_connections) > router.limits.proxies {
-            Timer::after(router.limits.look_again).await;
+        if Rc::strong_count(&open_connections) > router.limits.proxy.max_connections {
+            Timer::after(router.limits.poll_interval).await;
             continue;
         }
         match listener.accept().await {
@@ -38,11 +38,11 @@
                 router.executor.spawn(task).detach();
             }
             Err(error) => {
-                if let Some(times) = router.no_room.told() {
+                if let Some(times) = router.overload_log.record() {
                     tracing::warn!(%error, times, "can't accept a connection of an external proxy");
                 }
-                router.caches.sweep();
-                Timer::after(router.limits.look_again).await;
+                router.endpoints.sweep_idle();
+                Timer::after(router.limits.poll_interval).await;
             }
         }
     }
--- a/crates/router/src/external/request.rs
+++ b/crates/router/src/external/request.rs
@@ -6,8 +6,8 @@
 use tindoor_extproc::response::{self, FinalResponse, REASON};
 use tindoor_signed_urls::playback::Playback;
 
-use crate::links::Judged;
-use crate::router::Router;
+use crate::signed_urls::AuthorizedRequest;
+use crate::state::RouterState;
 
 const BAD_GATEWAY: u16 = 502;
 const FORBIDDEN: u16 = 403;
@@ -25,28 +25,28 @@
 }
 
 /// Unix milliseconds, by the router's clock.
-pub fn unix_ms(router: &Router) -> u64 {
+pub fn unix_ms(router: &RouterState) -> u64 {
     router.engine.clock.now().since(Moment::default()).as_micros() / 1000
 }
 
 /// Reads a request and checks its signed URL; an error names the header at fault.
 pub fn read_request(
-    router: &Router,
+    router: &RouterState,
     headers: &Headers,
     names: &HeaderNames,
 ) -> Result<CheckedRequest, HeaderError> {
-    let Some(links) = &router.links else {
-        let request = headers_of::read_request(headers, names, &router.asked)?;
+    let Some(links) = &router.signed_urls else {
+        let request = headers_of::read_request(headers, names, &router.header_classes)?;
         return Ok(CheckedRequest { request, path: None, denial: None, playback: None });
     };
     let path = headers.one(&names.path).unwrap_or_default();
-    let judged = links.judge(path, headers, unix_ms(router));
+    let judged = links.authorize(path, headers, unix_ms(router));
     let judged = judged.map_err(|_| HeaderError { header: names.path.clone(), problem: "no normal form" })?;
     let others = headers.0.iter().copied().filter(|header| header.0 != names.path);
     let headers = Headers(others.chain([(names.path.as_str(), judged.path.as_bytes())]).collect());
-    let mut request = headers_of::read_request(&headers, names, &router.asked)?;
-    let Judged { path, authorization, why, playback } = judged;
-    if !links.needs(request.class) {
+    let mut request = headers_of::read_request(&headers, names, &router.header_classes)?;
+    let AuthorizedRequest { path, authorization, refusal_reason: why, playback } = judged;
+    if !links.needs_signature(request.class) {
         return Ok(CheckedRequest { request, path: Some(path), denial: None, playback: None });
     }
     request.authorization = authorization;
--- a/crates/router/src/external/target.rs
+++ b/crates/router/src/external/target.rs
@@ -3,16 +3,16 @@
 use tindoor_external_requests::RoutingDecision;
 use tindoor_extproc::response::RoutingTarget;
 
-use crate::router::Router;
+use crate::state::RouterState;
 
 /// Resolves the endpoint and the source of a decision.
-pub fn resolve(router: &Router, decision: &RoutingDecision) -> RoutingTarget {
-    let address = router.caches.address(decision.endpoint).map(|address| address.to_string());
+pub fn resolve(router: &RouterState, decision: &RoutingDecision) -> RoutingTarget {
+    let address = router.endpoints.address(decision.endpoint).map(|address| address.to_string());
     let source = decision.directives.map(|directives| directives.source);
     let source = source.filter(|source| *source != decision.endpoint);
     RoutingTarget {
-        endpoint: router.caches.id(decision.endpoint),
+        endpoint: router.endpoints.name(decision.endpoint),
         address: address.unwrap_or_default(),
-        source: source.map(|source| router.caches.id(source)),
+        source: source.map(|source| router.endpoints.name(source)),
     }
 }
--- a/crates/router/src/fleet/peers.rs
+++ b/crates/router/src/fleet/peers.rs
@@ -13,7 +13,9 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use tindoor_consensus::Envelope;
 
-use crate::limits::{PeerLimits, Seldom, within};
+use crate::configuration::limits::PeerLimits;
+use crate::log_throttle::LogThrottle;
+use crate::timeout::with_timeout;
 
 /// What the first line on each connection begins with. The names of the fleet and of the sender follow.
 const PREFACE: &str = "tindoor-membership 1";
@@ -73,7 +75,7 @@
     preface: String,
     queues: RefCell<HashMap<String, Rc<SendQueue>>>,
     sent: Cell<SentTraffic>,
-    unreadable: Seldom,
+    unreadable: LogThrottle,
 }
 
 impl Peers {
@@ -89,7 +91,7 @@
             preface: format!("{PREFACE} {fleet} {name}\n"),
             queues: RefCell::default(),
             sent: Cell::default(),
-            unreadable: Seldom::default(),
+            unreadable: LogThrottle::default(),
         })
     }
 
@@ -101,7 +103,7 @@
     /// Queues a message for a peer. It is dropped if it is too long, or if there is no connection for it.
     pub fn send(self: &Rc<Self>, address: &str, envelope: &Envelope) {
         let bytes = envelope.to_bytes();
-        if bytes.len() > self.limits.frame {
+        if bytes.len() > self.limits.max_message_bytes {
             tracing::error!(address, size = bytes.len(), "a message to a peer is too long, and dropped");
             return;
         }
@@ -109,7 +111,7 @@
         self.sent.set(SentTraffic { bytes: sent.bytes + bytes.len() as u64, messages: sent.messages + 1 });
         let known = self.queues.borrow().get(address).cloned();
         if let Some(queue) = known.or_else(|| self.open_queue(address)) {
-            queue.push(bytes, self.limits.queue);
+            queue.push(bytes, self.limits.max_queued_messages);
         }
     }
 
@@ -117,7 +119,7 @@
     /// connections as are allowed: each holds a descriptor.
     fn open_queue(self: &Rc<Self>, address: &str) -> Option<Rc<SendQueue>> {
         let socket_address: SocketAddr = address.parse().ok()?;
-        if self.queues.borrow().len() >= self.limits.connections {
+        if self.queues.borrow().len() >= self.limits.max_connections {
             return None;
         }
         let queue = Rc::<SendQueue>::default();
@@ -141,12 +143,12 @@
             let Some(open) = &mut stream else {
                 // What is queued was for that moment. It is requested again, after a pause.
                 queue.clear();
-                Timer::after(self.limits.pause).await;
+                Timer::after(self.limits.backoff).await;
                 continue;
             };
             let length = (frame.len() as u32).to_be_bytes();
             let bytes = [&length[..], &frame].concat();
-            if within(self.limits.write, open.write_all(&bytes)).await.is_err() {
+            if with_timeout(self.limits.write_timeout, open.write_all(&bytes)).await.is_err() {
                 stream = None;
             }
         }
@@ -155,22 +157,24 @@
     async fn next_frame(&self, queue: &SendQueue) -> Option<Vec<u8>> {
         let next = async { Some(queue.pop().await) };
         let idle = async {
-            Timer::after(self.limits.idle).await;
+            Timer::after(self.limits.idle_timeout).await;
             None
         };
         future::or(next, idle).await
     }
 
     async fn connect(&self, address: SocketAddr) -> Option<Async<TcpStream>> {
-        let mut stream = match within(self.limits.connect, Async::<TcpStream>::connect(address)).await {
-            Ok(stream) => stream,
-            Err(error) => {
-                tracing::debug!(%address, %error, "a peer can't be reached");
-                return None;
-            }
-        };
+        let mut stream =
+            match with_timeout(self.limits.connect_timeout, Async::<TcpStream>::connect(address)).await {
+                Ok(stream) => stream,
+                Err(error) => {
+                    tracing::debug!(%address, %error, "a peer can't be reached");
+                    return None;
+                }
+            };
         let _ = stream.get_ref().set_nodelay(true);
-        let written = within(self.limits.write, stream.write_all(self.preface.as_bytes())).await;
+        let written =
+            with_timeout(self.limits.write_timeout, stream.write_all(self.preface.as_bytes())).await;
         written.ok().map(|()| stream)
     }
 
@@ -184,9 +188,9 @@
         loop {
             future::yield_now().await;
             let stream = match listener.accept().await {
-                Ok((stream, _)) if open.get() < self.limits.connections => stream,
+                Ok((stream, _)) if open.get() < self.limits.max_connections => stream,
                 _ => {
-                    Timer::after(self.limits.pause).await;
+                    Timer::after(self.limits.backoff).await;
                     continue;
                 }
             };
@@ -204,7 +208,7 @@
 
     fn log_unreadable(&self, error: &io::Error) {
         if error.kind() == io::ErrorKind::InvalidData
-            && let Some(times) = self.unreadable.told()
+            && let Some(times) = self.unreadable.record()
         {
             tracing::warn!(%error, times, "a peer's connection is closed: it can't be read");
         }
@@ -222,13 +226,14 @@
         loop {
             // A peer that sends without end is not preferred to others.
             future::yield_now().await;
-            within(limits.idle * ACCEPTED_IDLE_TIMEOUTS, stream.read_exact(&mut length)).await?;
+            with_timeout(limits.idle_timeout * ACCEPTED_IDLE_TIMEOUTS, stream.read_exact(&mut length))
+                .await?;
             let length = u32::from_be_bytes(length) as usize;
-            if length > limits.frame {
+            if length > limits.max_message_bytes {
                 return Err(invalid_data("a frame is too long"));
             }
             let mut bytes = vec![0; length];
-            within(limits.write, stream.read_exact(&mut bytes)).await?;
+            with_timeout(limits.write_timeout, stream.read_exact(&mut bytes)).await?;
             receive(Envelope::from_bytes(&bytes).map_err(|_| invalid_data("a frame is no message"))?);
         }
     }
@@ -238,13 +243,13 @@
         let mut line = Vec::new();
         let read = async {
             let mut byte = [0];
-            while line.last() != Some(&b'\n') && line.len() < self.limits.hello {
+            while line.last() != Some(&b'\n') && line.len() < self.limits.max_hello_bytes {
                 stream.read_exact(&mut byte).await?;
                 line.extend(byte);
             }
             Ok(())
         };
-        within(self.limits.write, read).await?;
+        with_timeout(self.limits.write_timeout, read).await?;
         let line = String::from_utf8_lossy(&line);
         if without_sender(&line) == without_sender(&self.preface) {
             Ok(())
--- a/crates/router/src/fleet/runtime.rs
+++ b/crates/router/src/fleet/runtime.rs
@@ -24,7 +24,7 @@
 use super::peers::{Peers, SentTraffic};
 use super::replica_storage::ReplicaStorage;
 use super::transitions::{log_leadership, log_transition};
-use crate::limits::PeerLimits;
+use crate::configuration::limits::PeerLimits;
 
 /// The exit status of a process whose node has failed.
 const NODE_FAILURE_EXIT_STATUS: i32 = 101;
--- a/crates/router/src/operate.rs
+++ b/crates/router/src/operate.rs
@@ -16,7 +16,7 @@
 use tindoor_signed_urls::{TokenFormat, check_key, key_set_editor, keys, normalize};
 
 use crate::command::{Algorithm, Form, Keys, Link, NewKey, Of};
-use crate::links::read_keys;
+use crate::signed_urls::read_keys;
 
 fn unix() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
--- /dev/null
+++ b/crates/router/src/server/mod.rs
@@ -0,0 +1,78 @@
+//! The router as a process: composes its parts, reloads its configuration, and shuts it down.
+
+mod files;
+mod reload;
+mod shutdown;
+mod signals;
+mod startup;
+
+use std::rc::Rc;
+
+use anyhow::{Context, Result};
+use async_executor::LocalExecutor;
+use async_signal::{Signal, Signals};
+use futures_lite::{StreamExt, future};
+
+use crate::command::Files;
+use crate::downstream::{Connections, Listener};
+use crate::signed_urls::SignedUrls;
+use files::{LoadedFiles, load_files};
+use reload::Reloader;
+use shutdown::Shutdown;
+
+/// Reads the files and serves until SIGTERM or SIGINT.
+pub fn start(files: Files) -> Result<()> {
+    let loaded = load_files(&files)?;
+    let executor = Rc::new(LocalExecutor::new());
+    async_io::block_on(executor.run(run(Rc::clone(&executor), files, loaded)))
+}
+
+/// Checks everything that a start would read, the keys of signed URLs included.
+pub fn check(files: &Files) -> Result<()> {
+    let LoadedFiles { configuration, fronts } = load_files(files)?;
+    if let Some(settings) = fronts.signed_urls {
+        SignedUrls::start(settings, &startup::header_classes(&configuration.classes), 0).context("fronts")?;
+    }
+    if let Some(fleet) = fronts.fleet {
+        fleet.timings().context("fronts")?;
+    }
+    Ok(())
+}
+
+async fn run(executor: Rc<LocalExecutor<'static>>, files: Files, loaded: LoadedFiles) -> Result<()> {
+    // Before anything else: a signal that is not subscribed to ends the process.
+    let reload_signals = signals::subscribe(&[Signal::Hup]).context("signals")?;
+    let mut stop_signals = signals::subscribe(&[Signal::Term, Signal::Int]).context("signals")?;
+    let LoadedFiles { mut configuration, mut fronts } = loaded;
+    let state = startup::create_state(&executor, &mut configuration, &mut fronts)?;
+    let bind = async { Some(crate::downstream::bind(configuration.listen, &state.limits).await) };
+    // Stopped while it waits for its address, the router has nothing to shut down.
+    let Some(socket) = future::or(until_first(&mut stop_signals), bind).await else { return Ok(()) };
+    let socket = socket.with_context(|| format!("listen: {}", configuration.listen))?;
+    let bound = socket.get_ref().local_addr().context("listen")?;
+    let connections = Rc::new(Connections::default());
+    let listener = Rc::new(Listener::new(Rc::clone(&state), Rc::clone(&connections), socket));
+    let reloader = Reloader::start(
+        Rc::clone(&state),
+        files.configuration().unwrap_or_default(),
+        configuration.discovery,
+        configuration.fixed,
+    );
+    executor.spawn(reloader.run(reload_signals)).detach();
+    let accepting = executor.spawn({
+        let listener = Rc::clone(&listener);
+        async move { listener.accept().await }
+    });
+    startup::listen_for_proxies(&state, fronts)?;
+    startup::spawn_timers(&state);
+    tracing::info!(name = configuration.name, %bound, "ready");
+    while stop_signals.next().await.is_some_and(|signal| signal.is_err()) {}
+    Shutdown { state: &state, connections: &connections }.run(accepting, listener).await;
+    Ok(())
+}
+
+/// Gives nothing once the first signal has come.
+async fn until_first<T>(signals: &mut Signals) -> Option<T> {
+    signals.next().await;
+    None
+}
