--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -1,6 +1,5 @@
 //! The state of a node, its construction, and what its owner calls at events.
 
-mod actions;
 mod activation;
 mod clocks;
 mod commands;
@@ -30,7 +29,7 @@
 use crate::config::{Limits, LocalIdentity, NodeConfig, SafetyChecks};
 use crate::errors::{BootstrapError, StartError};
 use crate::leadership::Leadership;
-use crate::messages::Command;
+use crate::messages::{Command, Envelope, Message};
 use crate::replica::Replica;
 use crate::storage::{RaftLog, StoredState};
 
@@ -219,6 +218,16 @@
         &self.identity
     }
 
+    fn send(&mut self, address: &str, message: Message) {
+        let envelope = Envelope {
+            fleet: self.fleet.clone(),
+            sender: self.identity.incarnation,
+            sender_address: self.identity.address.clone(),
+            message,
+        };
+        self.actions.push(Action::Send { address: address.to_string(), envelope });
+    }
+
     fn is_member(&self) -> bool {
         self.agreed.members.contains(self.identity.incarnation)
     }
--- a/crates/router/src/fleet/admission.rs
+++ b/crates/router/src/fleet/admission.rs
@@ -84,7 +84,7 @@
 
     /// Each budget that is known here: what this router may spend of it, and the whole fleet.
     pub fn quotas(&self) -> Vec<(BudgetKey, Quota, Quota)> {
-        self.with_quota(|participant, now| participant.shares(now))
+        self.with_quota(Participant::shares)
     }
 }
 
--- a/crates/router/src/fleet/runtime.rs
+++ b/crates/router/src/fleet/runtime.rs
@@ -181,7 +181,7 @@
         let interval = Duration::from_micros(self.node.borrow().tick_interval().as_micros());
         loop {
             Timer::after(interval).await;
-            self.with_node(|node, now| node.tick(now));
+            self.with_node(Node::tick);
         }
     }
 
@@ -254,7 +254,7 @@
 
     /// The status of this router.
     pub fn status(&self) -> FleetStatus {
-        FleetStatus { node: self.with_node(|node, now| node.status(now)), sent: self.peers.sent() }
+        FleetStatus { node: self.with_node(Node::status), sent: self.peers.sent() }
     }
 
     /// Whether requests are accepted now.
