--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,9 +5,7 @@
 mod callers;
 mod client;
 mod clients;
-mod command;
 mod configuration;
-mod council;
 mod external;
 mod feed;
 mod fleet;
@@ -16,7 +14,7 @@
 mod limits;
 mod links;
 mod locate;
-mod operate;
+mod operator;
 mod peers;
 mod places;
 mod processor;
@@ -44,13 +42,14 @@
 
 use caches::{Budget, Caches};
 use clap::Parser;
-use command::{Deed, Files, Line, LogFormat};
 use configuration::{Deployment, Fixed};
 use external::ExternalProcessing;
 use fleet::Fleet;
 use fronts::Fronts;
 use limits::{PeerLimits, Seldom};
 use links::Links;
+use operator::command_line::{self, Command, CommandLine, Files, LogFormat};
+use operator::control_socket;
 use router::Router;
 use tindoor::time::Span;
 use tindoor_discovery::Place;
@@ -58,7 +57,7 @@
 use tindoor_request_runtime::{AdmissionGate, EngineHandle, InFlightIds};
 
 fn main() -> ExitCode {
-    let line = Line::parse();
+    let line = CommandLine::parse();
     let level = std::env::var("TINDOOR_LOG").ok().and_then(|level| level.parse().ok());
     let level = level.unwrap_or(tracing::level_filters::LevelFilter::INFO);
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_max_level(level);
@@ -66,22 +65,23 @@
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().init(),
     }
-    let done = match line.deed {
-        Some(Deed::Check(files)) => check(&files).map(|()| println!("ok")),
-        Some(Deed::Guards) => {
-            command::GUARDS.iter().filter(|_| cfg!(debug_assertions)).for_each(|guard| println!("{guard}"));
+    let done = match line.command {
+        Some(Command::Check(files)) => check(&files).map(|()| println!("ok")),
+        Some(Command::DisableableChecks) => {
+            let checks = command_line::DISABLEABLE_CHECKS.iter().filter(|_| cfg!(debug_assertions));
+            checks.for_each(|check| println!("{check}"));
             Ok(())
         }
-        Some(Deed::Keys(deed)) => operate::keys(deed),
-        Some(Deed::Link(deed)) => operate::link(deed),
-        Some(Deed::Policy(deed)) => match council::run(deed) {
+        Some(Command::Keys(command)) => operator::run_key_command(command),
+        Some(Command::SignedUrl(command)) => operator::run_signed_url_command(command),
+        Some(Command::Policy(command)) => match operator::run_policy_command(command) {
             Ok(code) => return code,
             Err(what) => {
                 eprintln!("{what:#}");
                 return ExitCode::from(2);
             }
         },
-        Some(Deed::Serve(files)) => start(files),
+        Some(Command::Serve(files)) => start(files),
         None => start(line.files),
     };
     match done {
@@ -202,8 +202,12 @@
             let fleet = Fleet::start(&executor, told, place).context("fronts")?;
             engine.set_gate(Rc::clone(&fleet) as Rc<dyn AdmissionGate>);
             if let Some(path) = told.operator.clone() {
-                let heard =
-                    council::listen(Rc::clone(&executor), Rc::clone(&fleet), path, PeerLimits::default());
+                let heard = control_socket::serve(
+                    Rc::clone(&executor),
+                    Rc::clone(&fleet),
+                    path,
+                    PeerLimits::default(),
+                );
                 let heard = async move {
                     if let Err(what) = heard.await {
                         tracing::error!("the operator is not heard: {what:#}");
--- /dev/null
+++ b/crates/router/src/operator/control_socket.rs
@@ -0,0 +1,182 @@
+//! The control socket of a running router: a Unix socket that only its owner can open.
+
+use std::os::unix::fs::PermissionsExt;
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+
+use anyhow::{Context, Error, Result};
+use async_executor::LocalExecutor;
+use async_io::Async;
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use serde_json::{Value, json};
+use tindoor_consensus::Command;
+use tindoor_policy::budgets::Budget;
+use tindoor_policy::{PolicyVersion, Proposal, keys};
+use tindoor_quota::{Quota, QuotaStatus, UNIT};
+
+use super::control_protocol::{ControlRequest, PolicyChanges};
+use crate::fleet::Fleet;
+use crate::limits::{PeerLimits, within};
+
+/// Access for the owner alone.
+const OWNER_ONLY: u32 = 0o600;
+
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// The note of a revert in the history.
+const REVERT_NOTE: &str = "undone by its operator";
+
+/// Serves the control socket.
+pub async fn serve(
+    executor: Rc<LocalExecutor<'static>>,
+    fleet: Rc<Fleet>,
+    path: PathBuf,
+    limits: PeerLimits,
+) -> Result<()> {
+    let listener = Async::new(bind(&path)?)?;
+    tracing::info!(path = %path.display(), "the operator is heard");
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            async_io::Timer::after(limits.pause).await;
+            continue;
+        };
+        let fleet = Rc::clone(&fleet);
+        executor.spawn(async move { serve_connection(&fleet, stream, &limits).await }).detach();
+    }
+}
+
+/// Binds the socket under a temporary path until only its owner can open it, then renames it.
+fn bind(path: &Path) -> Result<UnixListener> {
+    let temporary = path.with_extension("new");
+    let _ = std::fs::remove_file(&temporary);
+    let listener =
+        UnixListener::bind(&temporary).with_context(|| format!("fleet.operator: {}", path.display()))?;
+    std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(OWNER_ONLY))?;
+    std::fs::rename(&temporary, path)?;
+    Ok(listener)
+}
+
+/// Answers the one request of a connection.
+async fn serve_connection(fleet: &Fleet, mut stream: Async<UnixStream>, limits: &PeerLimits) {
+    let mut line = Vec::new();
+    let read = read_line(&mut stream, &mut line, limits.frame);
+    if within(limits.write, read).await.is_err() {
+        return;
+    }
+    let answer = match serde_json::from_slice::<ControlRequest>(&line) {
+        Ok(request) => respond(fleet, request).unwrap_or_else(|error| json!({"error": error.to_string()})),
+        Err(error) => json!({"error": format!("not understood: {error}")}),
+    };
+    let _ = within(limits.write, stream.write_all(format!("{answer}\n").as_bytes())).await;
+}
+
+/// Reads up to the end of a line, of the stream, or of the bound.
+async fn read_line(
+    stream: &mut Async<UnixStream>,
+    line: &mut Vec<u8>,
+    max_bytes: usize,
+) -> std::io::Result<()> {
+    let mut buffer = [0; READ_BUFFER_BYTES];
+    while line.last() != Some(&b'\n') && line.len() < max_bytes {
+        match stream.read(&mut buffer).await? {
+            0 => break,
+            size => line.extend(&buffer[..size]),
+        }
+    }
+    Ok(())
+}
+
+fn respond(fleet: &Fleet, request: ControlRequest) -> Result<Value> {
+    match request {
+        ControlRequest::Status => status(fleet),
+        ControlRequest::Policy => {
+            let version = version_in_force(fleet)?;
+            let PolicyVersion { generation, hash, policy, .. } = version;
+            Ok(json!({"generation": generation, "hash": hash, "policy": policy.0}))
+        }
+        ControlRequest::History => Ok(fleet.tell(|node, _| json!(node.agreed().past))),
+        ControlRequest::Quotas => Ok(Value::Array(fleet.lines().into_iter().map(quota_status).collect())),
+        ControlRequest::Bootstrap { changes } => bootstrap(fleet, changes),
+        ControlRequest::Propose { changes, base_generation, author, note } => {
+            propose(fleet, changes, base_generation, author, note)
+        }
+        ControlRequest::Revert { generation, author } => revert(fleet, generation, &author),
+        ControlRequest::Withdraw { generation } => {
+            send_command(fleet, Command::Withdraw { generation })?;
+            Ok(json!({}))
+        }
+        ControlRequest::RemoveMember { name } => {
+            send_command(fleet, Command::Forget { name })?;
+            Ok(json!({}))
+        }
+        ControlRequest::Outcome { token } => {
+            Ok(fleet
+                .tell(|node, _| node.agreed().past_proposal(token).map_or(Value::Null, |past| json!(past))))
+        }
+    }
+}
+
+fn status(fleet: &Fleet) -> Result<Value> {
+    let (status, [bytes, messages]) = fleet.status();
+    let mut value = serde_json::to_value(status)?;
+    value["sent"] = json!({"bytes": bytes, "messages": messages});
+    Ok(value)
+}
+
+fn quota_status(status: QuotaStatus) -> Value {
+    let QuotaStatus { key, own, total } = status;
+    let scope = format!("{:x}", key.scope);
+    json!({"budget": Budget::name(key), "of": scope, "own": quota(own), "whole": quota(total)})
+}
+
+fn quota(quota: Quota) -> Value {
+    json!({"per_s": quota.rate as f64 / UNIT as f64, "stock": quota.burst as f64 / UNIT as f64})
+}
+
+fn version_in_force(fleet: &Fleet) -> Result<PolicyVersion> {
+    fleet.tell(|node, _| node.in_force().cloned()).context("no fleet is founded yet")
+}
+
+fn bootstrap(fleet: &Fleet, changes: PolicyChanges) -> Result<Value> {
+    let own = fleet.first_policy();
+    let policy = own.changed(changes);
+    keys::check_change(&own, &policy, fleet.classes())?;
+    let number = fleet.tell(|node, now| node.found(now, policy)).map_err(Error::msg)?;
+    Ok(json!({"fleet": format!("{number:016x}")}))
+}
+
+fn propose(
+    fleet: &Fleet,
+    changes: PolicyChanges,
+    base_generation: Option<u64>,
+    author: String,
+    note: String,
+) -> Result<Value> {
+    let token = fleet.tell(|node, _| node.token());
+    let in_force = version_in_force(fleet)?;
+    let policy = in_force.policy.changed(changes);
+    // Checked here so that an invalid change is rejected at once; each router checks it again against its own state.
+    keys::check_change(&in_force.policy, &policy, fleet.classes())?;
+    let base_generation = base_generation.unwrap_or(in_force.generation);
+    submit(fleet, Proposal { token, base_generation, policy, reverts: None, author, note })
+}
+
+fn revert(fleet: &Fleet, generation: Option<u64>, author: &str) -> Result<Value> {
+    let proposal = fleet.tell(|node, _| {
+        let generation = generation.unwrap_or(node.agreed().generation());
+        node.undoing(generation, author, REVERT_NOTE)
+    });
+    submit(fleet, proposal.map_err(Error::msg)?)
+}
+
+/// Submits a proposal, and returns the token by which its outcome is found.
+fn submit(fleet: &Fleet, proposal: Proposal) -> Result<Value> {
+    let token = proposal.token;
+    send_command(fleet, Command::Propose(proposal))?;
+    Ok(json!({"token": token}))
+}
+
+fn send_command(fleet: &Fleet, command: Command) -> Result<()> {
+    fleet.tell(|node, now| node.command(now, command)).map_err(Error::msg)
+}
--- /dev/null
+++ b/crates/router/src/operator/signed_url_commands.rs
@@ -0,0 +1,138 @@
+//! The commands on signed URLs.
+
+use std::net::IpAddr;
+
+use anyhow::{Context, Result, bail};
+use base64::Engine;
+use base64::engine::general_purpose::URL_SAFE_NO_PAD;
+use tindoor_signed_urls::claims::{Asked, Now};
+use tindoor_signed_urls::hmac_form::{Fields, HmacForm};
+use tindoor_signed_urls::keys::Key;
+use tindoor_signed_urls::prefix::PrefixSignature;
+use tindoor_signed_urls::uri_signing::{Signed, UriSigning};
+use tindoor_signed_urls::{Format, holds, normal};
+
+use super::command_line::{SignedUrlCommand, SignedUrlOptions, TokenForm};
+use super::unix_time::unix_seconds;
+use crate::links::read_keys;
+
+/// The client's address where none is given.
+const ANY_CLIENT: &str = "0.0.0.0";
+
+const MILLIS_PER_SECOND: u64 = 1000;
+
+/// Runs a command.
+pub fn run(command: SignedUrlCommand) -> Result<()> {
+    match command {
+        SignedUrlCommand::Sign { options, seconds, id } => sign(options, seconds, id),
+        SignedUrlCommand::Check { options, token } => check(&options, &token),
+        SignedUrlCommand::Explain { token } => explain(&token),
+    }
+}
+
+/// Splits a URL into scheme and host, and path with query.
+fn split_url(url: &str) -> Result<(&str, &str)> {
+    let host = url.find("://").context("the URL has no scheme")? + 3;
+    let slash = url[host..].find('/').context("the URL has no path")?;
+    Ok(url.split_at(host + slash))
+}
+
+fn sign(options: SignedUrlOptions, seconds: u64, id: Option<String>) -> Result<()> {
+    let key_set = read_keys(&options.file)?;
+    let key = match &options.key {
+        Some(id) => key_set.key(id).with_context(|| format!("no key {id:?}"))?,
+        None => key_set.signer(unix_seconds()).context("no key of the set signs now")?,
+    };
+    let expires = unix_seconds().saturating_add(seconds);
+    let token = match options.form {
+        TokenForm::Hmac => sign_hmac(key, options, id, expires)?,
+        TokenForm::UriSigning => sign_uri_signing(key, options, id, expires)?,
+        TokenForm::Prefix if options.client.is_some() || id.is_some() => {
+            bail!("the prefix form carries neither a client nor an id")
+        }
+        TokenForm::Prefix => PrefixSignature.sign(key, &options.url, expires),
+    };
+    println!("{}", token.context("the key does not sign, not by this form, or a field does not fit it")?);
+    Ok(())
+}
+
+fn sign_hmac(
+    key: &Key,
+    options: SignedUrlOptions,
+    id: Option<String>,
+    expires: u64,
+) -> Result<Option<String>> {
+    let (_, path) = split_url(&options.url)?;
+    let is_pattern = path.contains(['*', '?']);
+    let patterns = if is_pattern { vec![path.to_string()] } else { Vec::new() };
+    let path = if is_pattern { String::new() } else { normal::target(path)?.path };
+    let fields = Fields { not_before: None, expires, patterns, client: options.client, id, data: None };
+    Ok(HmacForm { keys: vec![] }.sign(key, &fields, &path))
+}
+
+fn sign_uri_signing(
+    key: &Key,
+    options: SignedUrlOptions,
+    id: Option<String>,
+    expires: u64,
+) -> Result<Option<String>> {
+    let (base, path) = split_url(&options.url)?;
+    let url = format!("{base}{}", normal::target(path)?.text());
+    let claims = Signed {
+        cdniuc: UriSigning::hash_of(&url),
+        exp: Some(expires),
+        jti: id,
+        cdniip: options.client,
+        ..Signed::default()
+    };
+    Ok(UriSigning::default().sign(key, &claims))
+}
+
+/// Prints whether a token authorizes a request, and until when.
+fn check(options: &SignedUrlOptions, token: &str) -> Result<()> {
+    let key_set = read_keys(&options.file)?;
+    let (base, path) = split_url(&options.url)?;
+    let target = normal::target(path)?;
+    let client = options.client.as_deref().unwrap_or(ANY_CLIENT);
+    let client: IpAddr = client.parse().with_context(|| format!("{client}: no address"))?;
+    let request = Asked { base, target: &target, client };
+    let key_ids = match &options.key {
+        Some(id) => vec![id.clone()],
+        None => key_set.iter().map(|key| key.id.clone()).collect(),
+    };
+    let (hmac, uri_signing) = (HmacForm { keys: key_ids }, UriSigning::default());
+    let format: &dyn Format = match options.form {
+        TokenForm::Hmac => &hmac,
+        TokenForm::UriSigning => &uri_signing,
+        TokenForm::Prefix => &PrefixSignature,
+    };
+    let now = Now { unix_ms: unix_seconds() * MILLIS_PER_SECOND, skew_ms: 0 };
+    let claims = format.check(token, &key_set, &request)?;
+    holds(&claims, &key_set, now)?;
+    match claims.judge(&request, now)? {
+        u64::MAX => println!("passes, without an end, by the key {}", claims.key),
+        until => println!("passes until {}, by the key {}", until / MILLIS_PER_SECOND, claims.key),
+    }
+    Ok(())
+}
+
+/// Prints the readable parts of a token, without a check of its signature.
+fn explain(token: &str) -> Result<()> {
+    let parts: Vec<String> = match token {
+        token if token.contains("~hmac=") => token.split('~').map(str::to_string).collect(),
+        token if token.contains("&Signature=") => token.split('&').map(str::to_string).collect(),
+        token => token.split('.').take(2).filter_map(decode_part).collect(),
+    };
+    if parts.is_empty() {
+        bail!("no form that is known");
+    }
+    for part in parts {
+        println!("{part}");
+    }
+    println!("not checked: `tindoor link check` says whether it passes");
+    Ok(())
+}
+
+fn decode_part(part: &str) -> Option<String> {
+    URL_SAFE_NO_PAD.decode(part).ok().and_then(|bytes| String::from_utf8(bytes).ok())
+}
--- a/crates/router/tests/unit/council.rs
+++ b/crates/router/tests/unit/control_protocol.rs
@@ -5,38 +5,43 @@
 //! cargo test -p tindoor-router -- --ignored record_control_socket
 //! ```
 
-use super::*;
+use std::path::PathBuf;
+
+use serde_json::{Value, json};
 use tindoor_consensus::{Status, UnavailableReason};
+use tindoor_policy::{PastProposal, ProposalOutcome};
+
+use super::{ControlRequest, PolicyChanges};
 
 fn recorded_file() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/control-socket.txt")
 }
 
-fn sample_changes() -> Changes {
-    Changes::from([("cold_floor".to_string(), Some(0.25)), ("budget.looks.per_s".to_string(), None)])
+fn sample_changes() -> PolicyChanges {
+    PolicyChanges::from([("cold_floor".to_string(), Some(0.25)), ("budget.looks.per_s".to_string(), None)])
 }
 
-fn propose(from: Option<u64>) -> Ask {
-    let (by, note) = ("operator".to_string(), "raise the floor".to_string());
-    Ask::Propose { changes: sample_changes(), from, by, note }
+fn propose(base_generation: Option<u64>) -> ControlRequest {
+    let (author, note) = ("operator".to_string(), "raise the floor".to_string());
+    ControlRequest::Propose { changes: sample_changes(), base_generation, author, note }
 }
 
-fn requests() -> Vec<(&'static str, Ask)> {
-    let by = || "operator".to_string();
+fn requests() -> Vec<(&'static str, ControlRequest)> {
+    let author = || "operator".to_string();
     vec![
-        ("request-status", Ask::Status),
-        ("request-policy", Ask::Policy),
-        ("request-history", Ask::History),
-        ("request-quotas", Ask::Shares),
-        ("request-bootstrap", Ask::Found { like: sample_changes() }),
-        ("request-bootstrap-unchanged", Ask::Found { like: Changes::new() }),
+        ("request-status", ControlRequest::Status),
+        ("request-policy", ControlRequest::Policy),
+        ("request-history", ControlRequest::History),
+        ("request-quotas", ControlRequest::Quotas),
+        ("request-bootstrap", ControlRequest::Bootstrap { changes: sample_changes() }),
+        ("request-bootstrap-unchanged", ControlRequest::Bootstrap { changes: PolicyChanges::new() }),
         ("request-propose", propose(Some(300))),
         ("request-propose-from-current", propose(None)),
-        ("request-rollback", Ask::Undo { generation: Some(300), by: by() }),
-        ("request-rollback-current", Ask::Undo { generation: None, by: by() }),
-        ("request-withdraw", Ask::Withdraw { generation: 300 }),
-        ("request-remove-member", Ask::Forget { name: "router-1".into() }),
-        ("request-outcome", Ask::Outcome { token: u64::MAX }),
+        ("request-rollback", ControlRequest::Revert { generation: Some(300), author: author() }),
+        ("request-rollback-current", ControlRequest::Revert { generation: None, author: author() }),
+        ("request-withdraw", ControlRequest::Withdraw { generation: 300 }),
+        ("request-remove-member", ControlRequest::RemoveMember { name: "router-1".into() }),
+        ("request-outcome", ControlRequest::Outcome { token: u64::MAX }),
     ]
 }
 
@@ -101,7 +106,8 @@
 /// All samples, one a line.
 fn samples() -> Vec<String> {
     let line = |name: &str, json: String| format!("{name}\t{json}");
-    let requests = requests().into_iter().map(|(name, ask)| line(name, serde_json::to_string(&ask).unwrap()));
+    let requests =
+        requests().into_iter().map(|(name, request)| line(name, serde_json::to_string(&request).unwrap()));
     let answers = answers().into_iter().map(|(name, answer)| line(name, answer.to_string()));
     requests.chain(answers).collect()
 }
@@ -116,9 +122,9 @@
     line.unwrap_or_else(|| panic!("{name} is not recorded"))[prefix.len()..].to_string()
 }
 
-/// `Ask` has no equality of its own: its variant and fields as text.
-fn text(ask: &Ask) -> String {
-    format!("{ask:?}")
+/// `ControlRequest` has no equality of its own: its variant and fields as text.
+fn text(request: &ControlRequest) -> String {
+    format!("{request:?}")
 }
 
 #[test]
@@ -128,17 +134,17 @@
 
 #[test]
 fn recorded_requests_of_the_control_socket_are_parsed() {
-    for (name, ask) in requests() {
-        let parsed: Ask = serde_json::from_str(&recorded_json(name)).unwrap();
-        assert_eq!(text(&parsed), text(&ask), "{name}");
+    for (name, request) in requests() {
+        let parsed: ControlRequest = serde_json::from_str(&recorded_json(name)).unwrap();
+        assert_eq!(text(&parsed), text(&request), "{name}");
     }
 }
 
 #[test]
 fn requests_without_optional_fields_are_parsed() {
     for (short, name) in SHORT_REQUESTS {
-        let parsed: Ask = serde_json::from_str(short).unwrap();
-        let whole: Ask = serde_json::from_str(&recorded_json(name)).unwrap();
+        let parsed: ControlRequest = serde_json::from_str(short).unwrap();
+        let whole: ControlRequest = serde_json::from_str(&recorded_json(name)).unwrap();
         assert_eq!(text(&parsed), text(&whole), "{short}");
     }
 }
@@ -146,7 +152,7 @@
 #[test]
 fn requests_with_unknown_parts_are_rejected() {
     for request in [r#""restart""#, r#"{"withdraw":{"generation":1,"now":true}}"#, r#"{"forget":{}}"#, "{}"] {
-        assert!(serde_json::from_str::<Ask>(request).is_err(), "{request}");
+        assert!(serde_json::from_str::<ControlRequest>(request).is_err(), "{request}");
     }
 }
 
