--- a/crates/policy/src/probation.rs
+++ b/crates/policy/src/probation.rs
@@ -82,8 +82,8 @@
 /// The counts of a cell before a change.
 #[derive(Clone, Copy, Debug)]
 struct Baseline {
-    /// Over the whole window.
-    whole: OutcomeCount,
+    /// Over the full window.
+    full: OutcomeCount,
     /// Just before the change.
     recent: OutcomeCount,
 }
@@ -154,12 +154,12 @@
         change: GenerationChange,
         began: Moment,
     ) -> Self {
-        let whole = outcomes.totals(change.from, began - limits.baseline_window);
+        let full = outcomes.totals(change.from, began - limits.baseline_window);
         let recent = outcomes.totals(change.from, began - limits.recent_window);
-        let baseline = |(cell, whole): (TrafficCell, OutcomeCount)| {
-            (cell, Baseline { whole, recent: recent.get(&cell).copied().unwrap_or_default() })
+        let baseline = |(cell, full): (TrafficCell, OutcomeCount)| {
+            (cell, Baseline { full, recent: recent.get(&cell).copied().unwrap_or_default() })
         };
-        Self { limits, change, began, baselines: whole.into_iter().map(baseline).collect() }
+        Self { limits, change, began, baselines: full.into_iter().map(baseline).collect() }
     }
 
     /// The generations that are compared.
@@ -188,7 +188,7 @@
     fn comparisons(&self, outcomes: &OutcomeWindow) -> Vec<Comparison> {
         let after = outcomes.totals(self.change.to, self.began);
         let known =
-            self.baselines.iter().filter(|(_, baseline)| baseline.whole.requests >= self.limits.min_requests);
+            self.baselines.iter().filter(|(_, baseline)| baseline.full.requests >= self.limits.min_requests);
         known
             .map(|(cell, baseline)| Comparison {
                 cell: *cell,
@@ -210,9 +210,9 @@
     fn test_cell(&self, comparison: &Comparison, all: &[Comparison], thresholds: Thresholds) -> CellFinding {
         let Comparison { cell, baseline, after } = *comparison;
         // A cell that began to fail before the change is compared with what was left of it then.
-        let whole = baseline.whole.fraction_in_time();
+        let full = baseline.full.fraction_in_time();
         let has_recent = baseline.recent.requests >= self.limits.min_requests / 3;
-        let recent = if has_recent { baseline.recent.fraction_in_time().min(whole) } else { whole };
+        let recent = if has_recent { baseline.recent.fraction_in_time().min(full) } else { full };
         let retained = retained_elsewhere(all, cell);
         let test = |expected: f64| self.log_likelihood_ratio(after, expected);
         let [alone, with_others] = [recent, recent * retained].map(test);
@@ -223,7 +223,7 @@
             CellFinding::Harm(CellLoss { cell, before: recent, after: after.fraction_in_time() })
         } else if alone >= thresholds.harm {
             CellFinding::FaultElsewhereAsWell
-        } else if test(whole) >= thresholds.harm {
+        } else if test(full) >= thresholds.harm {
             CellFinding::FaultBegunBefore
         } else if alone <= thresholds.no_harm {
             CellFinding::NoHarm
@@ -280,7 +280,7 @@
     let mut by_location = BTreeMap::<u16, (OutcomeCount, OutcomeCount)>::new();
     for other in others {
         let (before, after) = by_location.entry(other.cell.location).or_default();
-        before.add(other.baseline.whole);
+        before.add(other.baseline.full);
         after.add(other.after);
     }
     let mut retained: Vec<f64> = by_location
--- /dev/null
+++ b/crates/policy/tests/keys.rs
@@ -0,0 +1,59 @@
+//! Tests of the keys of a policy, and of its hash.
+
+use std::collections::BTreeMap;
+
+use tindoor::settings::{AttemptSettings, ClassSettings, PurgeSettings, RejectionSettings, Settings};
+use tindoor::time::Span;
+use tindoor_policy::{Policy, keys};
+
+fn deployment() -> (Settings, Vec<String>) {
+    let settings = Settings {
+        attempts: AttemptSettings { drain_grace: Span::millis(500), ..AttemptSettings::default() },
+        rejection: RejectionSettings {
+            max_retry_after: Some(Span::millis(500)),
+            ..RejectionSettings::default()
+        },
+        purges: PurgeSettings { copies_gone_after: Some(Span::secs(60.0)), ..PurgeSettings::default() },
+        classes: vec![ClassSettings {
+            deadline: Span::millis(3000),
+            latency_objective: Span::millis(300),
+            max_age: Some(Span::secs(8.0)),
+            ..ClassSettings::default()
+        }],
+        ..Settings::default()
+    };
+    (settings, vec!["pages".to_string()])
+}
+
+#[test]
+fn a_policy_follows_the_settings_and_changes_only_keys_that_may_change() {
+    let (settings, classes) = deployment();
+    let own = keys::from_settings(&settings, &classes);
+    assert_eq!(own.0["offering.pages.latency_goal_ms"], 300.0);
+    assert_eq!(
+        keys::apply_to_settings(&own, &settings, &classes).unwrap(),
+        settings,
+        "applying a policy restores the settings that it was made from"
+    );
+    let change = |name: &str, number: f64| own.with([(name.to_string(), number)]);
+    let check = |new: &Policy| keys::check_change(&own, new, &classes);
+    assert_eq!(check(&change("offering.pages.latency_goal_ms", 250.0)), Ok(()));
+    let why = |name: &str, number: f64| check(&change(name, number)).unwrap_err().to_string();
+    assert!(why("offering.pages.cut_off_ms", 2000.0).contains("at a start only"));
+    assert!(why("offering.videos.fresh_ms", 1.0).contains("no offering"));
+    assert!(why("fresh", 1.0).contains("no such key"));
+    assert!(why("most_dispatches", 2.5).contains("whole number"));
+    assert!(why("longest_come_back_ms", f64::NAN).contains("is not from"));
+    assert!(why("offering.pages.latency_goal_ms", 4000.0).contains("cut-off"));
+    assert!(why("offering.pages.fresh_ms", 70_000.0).contains("outlive the memory of its purge"));
+}
+
+fn policy(number: f64) -> Policy {
+    Policy(BTreeMap::from([("longest_come_back_ms".to_string(), number)]))
+}
+
+#[test]
+fn equal_policies_have_equal_hashes_and_others_do_not() {
+    assert_eq!(policy(0.0).hash(), policy(-0.0).hash());
+    assert_ne!(policy(1.0).hash(), policy(2.0).hash());
+}
--- a/crates/quota/tests/division.rs
+++ b/crates/quota/tests/division.rs
@@ -1,13 +1,12 @@
-//! Tests of the division of budgets: grants that are made, returned, expire and move, and totals that are never exceeded.
+//! Tests of the division of budgets among routers: grants that are made, returned, expire and move, and totals that are
+//! never exceeded.
 
-use proptest::prelude::*;
-use tindoor::time::{Moment, Span};
+mod support;
+
+use support::{at, concurrency, rate};
+use tindoor::time::Span;
 use tindoor_membership::{Incarnation, Timings};
-use tindoor_quota::{
-    BudgetKey, BudgetKind, BudgetLimit, BudgetPlan, Claim, Grant, LeaseLedger, LedgerChecks, LendingTerms,
-    LoanRequest, Participant, Quota, RetryBudget, SafetyChecks, TokenBucket, UNIT, WeightedDemand,
-    max_min_fair_shares,
-};
+use tindoor_quota::{BudgetKey, BudgetLimit, BudgetPlan, Participant, Quota, SafetyChecks, UNIT};
 
 const KEY: BudgetKey = BudgetKey { budget: 1, scope: 0 };
 
@@ -21,36 +20,10 @@
     }
 }
 
-fn rate(per_second: f64, burst: f64) -> BudgetLimit {
-    let guaranteed = Quota { rate: 0, burst: UNIT };
-    BudgetLimit {
-        kind: BudgetKind::Rate,
-        total: Quota::rate(per_second, burst),
-        guaranteed,
-        max_routers: 4,
-        release_lag: Span::ZERO,
-    }
-}
-
-fn concurrency(most: f64) -> BudgetLimit {
-    let total = Quota::concurrency(most);
-    BudgetLimit {
-        kind: BudgetKind::Concurrency,
-        total,
-        guaranteed: Quota::NONE,
-        max_routers: 4,
-        release_lag: Span::millis(10),
-    }
-}
-
 fn plan(limit: BudgetLimit) -> BudgetPlan {
     BudgetPlan { by_budget: [(KEY.budget, limit)].into(), ..BudgetPlan::default() }
 }
 
-fn at(ms: u64) -> Moment {
-    Moment::at_micros(10_000_000 + ms * 1000)
-}
-
 fn participant(id: u64, plan: &BudgetPlan, checks: SafetyChecks) -> Participant {
     let mut participant = Participant::new(Incarnation(id), timings(), checks, 1);
     participant.set_plan(at(0), plan.clone(), None);
@@ -220,50 +193,6 @@
     assert!(granted_sum.within(Quota::rate(100.0, 16.0)) && granted_sum.rate > 80_000, "{granted_sum:?}");
 }
 
-fn request(ledger: &mut LeaseLedger, ms: u64, borrower: u64, demand: Quota, holdings: Quota) -> Grant {
-    let claim = Claim { demand, weight: 1 };
-    let checks = LedgerChecks { drift: Span::ZERO, count_until_expired: true, count_until_returned: true };
-    let limit = rate(100.0, 20.0);
-    let terms = LendingTerms { limit, confirmed: None, carried_over: None, checks };
-    ledger.grant(at(ms), LoanRequest { borrower: Incarnation(borrower), claim, holdings }, &terms)
-}
-
-#[test]
-fn a_kept_grant_is_not_extended_while_others_hold_too_much() {
-    let (ten, none) = (Quota::rate(10.0, 10.0), Quota::NONE);
-    let mut ledger = LeaseLedger::default();
-    ledger.set_income(ten.plus(ten), at(1000));
-    assert_eq!(request(&mut ledger, 0, 1, ten, none), Grant { quota: ten, expires: at(1000) });
-    assert_eq!(request(&mut ledger, 0, 2, ten, none).quota, ten);
-    // Half of it is left to grant, and each of both holds as much as that.
-    ledger.set_income(ten, at(1500));
-    let kept = request(&mut ledger, 500, 1, ten, ten);
-    assert!(kept.quota != none && kept.expires == at(1000), "{kept:?}");
-    let other = request(&mut ledger, 500, 2, ten, ten);
-    let after = [kept, other].into_iter().filter(|grant| grant.expires > at(1000));
-    let after = after.map(|grant| grant.quota).fold(none, Quota::plus);
-    assert!(after.within(ten), "{after:?} of {ten:?} after the first expiry");
-}
-
-#[test]
-fn grants_of_another_lender_are_not_accounted_here() {
-    let (ten, none) = (Quota::rate(10.0, 10.0), Quota::NONE);
-    let mut ledger = LeaseLedger::default();
-    ledger.set_income(ten, at(1000));
-    assert_eq!(request(&mut ledger, 0, 1, none, ten).quota, none);
-    assert_eq!(request(&mut ledger, 0, 2, ten, none).quota, ten);
-}
-
-#[test]
-fn a_charge_under_an_earlier_grant_is_not_refunded() {
-    let mut bucket = TokenBucket::new(rate(10.0, 4.0), at(0));
-    bucket.set_grant(at(0), Quota::rate(10.0, 3.0), at(60_000));
-    assert_eq!((0..2).filter(|_| bucket.spend(at(2000))).count(), 2);
-    bucket.set_grant(at(2001), Quota::rate(10.0, 2.0), at(60_000));
-    bucket.settle(at(2002), at(2000), false);
-    assert_eq!((0..9).filter(|_| bucket.spend(at(2003))).count(), 2);
-}
-
 #[test]
 fn a_router_suspended_past_its_lease_spends_only_its_guaranteed_minimum() {
     let [_, mut other] = leader_and_other(SafetyChecks::default());
@@ -352,31 +281,6 @@
     assert!(sum.within(Quota::rate(40.0, 20.0)), "{sum:?}");
 }
 
-#[test]
-fn units_in_flight_count_after_their_grant_was_lowered() {
-    let limit = concurrency(10.0);
-    let mut bucket = TokenBucket::new(limit, at(0));
-    bucket.set_grant(at(0), Quota::concurrency(8.0), at(1000));
-    assert_eq!((0..12).filter(|_| bucket.spend(at(1))).count(), 8);
-    bucket.set_grant(at(2), Quota::concurrency(2.0), at(1000));
-    assert_eq!(bucket.holdings(at(3)), Quota::concurrency(8.0), "until they are released");
-    (0..7).for_each(|_| bucket.release(at(1)));
-    assert_eq!(bucket.holdings(at(4)), Quota::concurrency(2.0));
-}
-
-#[test]
-fn units_spent_before_the_limit_existed_release_nothing() {
-    let limit = concurrency(10.0);
-    let mut bucket = TokenBucket::new(limit, at(100));
-    bucket.set_grant(at(100), Quota::concurrency(2.0), at(1000));
-    assert_eq!((0..5).filter(|_| bucket.spend(at(101))).count(), 2);
-    // Three that were spent before the limit existed, and were not counted, end.
-    (0..3).for_each(|_| bucket.release(at(50)));
-    assert!(!bucket.spend(at(102)));
-    bucket.release(at(101));
-    assert!(bucket.spend(at(103)));
-}
-
 #[test]
 fn routers_take_turns_where_there_are_fewer_units_than_routers() {
     let limit = concurrency(2.0);
@@ -425,147 +329,3 @@
     // A key without a limit can always be spent.
     assert!((0..50).all(|_| leader.spend(at(4500), &[BudgetKey { budget: 9, scope: 0 }])));
 }
-
-#[test]
-fn a_lowered_fraction_counts_for_its_sliding_window() {
-    let fraction = |thousandths: u64| Quota { rate: 0, burst: thousandths };
-    let limit = BudgetLimit {
-        kind: BudgetKind::Fraction,
-        total: fraction(1000),
-        guaranteed: Quota::NONE,
-        max_routers: 4,
-        release_lag: Span::secs(1.0),
-    };
-    let mut bucket = TokenBucket::new(limit, at(0));
-    bucket.set_grant(at(0), fraction(800), at(5000));
-    bucket.set_grant(at(100), fraction(200), at(5000));
-    assert!((bucket.share_fraction(at(100)) - 0.2).abs() < 1e-9);
-    assert_eq!(bucket.holdings(at(900)), fraction(800));
-    assert_eq!(bucket.holdings(at(1200)), fraction(200));
-}
-
-#[test]
-fn an_unused_charge_is_refunded_once_and_never_beyond_the_burst() {
-    let mut bucket = TokenBucket::new(rate(10.0, 4.0), at(0));
-    bucket.set_grant(at(0), Quota::rate(10.0, 3.0), at(60_000));
-    let full = at(2000);
-    assert_eq!((0..9).filter(|_| bucket.spend(full)).count(), 4);
-    // The tokens are those that would be there without the charges: tokens added since are not added twice.
-    (0..9).for_each(|_| bucket.settle(full + Span::millis(90), full, false));
-    let again = (0..9).filter(|_| bucket.spend(full + Span::millis(90))).count();
-    assert_eq!(again, 4);
-    // Charges older than the refund window are final.
-    (0..9).for_each(|_| bucket.settle(full + Span::millis(400), full + Span::millis(90), false));
-    assert_eq!((0..9).filter(|_| bucket.spend(full + Span::millis(400))).count(), 3);
-}
-
-#[test]
-fn retries_are_bounded_by_successes() {
-    let mut budget = RetryBudget::new(0.5);
-    for _ in 0..10 {
-        assert!(budget.can_afford());
-        budget = budget.after_retry();
-    }
-    assert!(!budget.can_afford(), "without a success there are no more retries");
-    budget = budget.after_success();
-    assert!(!budget.can_afford() && budget.after_success().can_afford());
-    let full = (0..100).fold(budget, |budget, _| budget.after_success());
-    assert!(
-        !(0..10).fold(full, |budget, _| budget.after_retry()).can_afford(),
-        "no more credit is kept than at the start"
-    );
-    assert!(
-        budget.with_per_success(2.0).after_success().can_afford(),
-        "the credit stays when the number per success changes"
-    );
-}
-
-#[test]
-fn a_new_bucket_has_no_tokens() {
-    let mut bucket = TokenBucket::new(rate(10.0, 20.0), at(0));
-    assert!(!bucket.spend(at(0)), "the process before it may just have spent the burst");
-    bucket.set_grant(at(0), Quota::rate(10.0, 19.0), at(60_000));
-    assert!(!bucket.spend(at(50)) && bucket.spend(at(150)));
-}
-
-proptest! {
-    /// Shares never exceed the total nor any demand, and whoever gets less than its demand gets, by weight, no less than
-    /// anybody else but one granularity.
-    #[test]
-    fn shares_are_max_min_fair(
-        total in 0u64..100_000,
-        amounts in prop::collection::vec((0u64..20_000, 1u64..5), 0..40),
-        rotation in 0usize..50,
-    ) {
-        let demands: Vec<WeightedDemand> = amounts.iter().map(|(amount, weight)| WeightedDemand { amount: *amount, weight: *weight }).collect();
-        let shares = max_min_fair_shares(total, &demands, 1, rotation);
-        let sum: u64 = shares.iter().sum();
-        let wanted: u64 = demands.iter().map(|demand| demand.amount).sum();
-        prop_assert!(sum <= total);
-        prop_assert!(sum + demands.len() as u64 >= total.min(wanted));
-        for (demand, share) in demands.iter().zip(&shares) {
-            prop_assert!(*share <= demand.amount);
-            if *share < demand.amount {
-                for (other, other_share) in demands.iter().zip(&shares) {
-                    prop_assert!(other_share / other.weight <= share / demand.weight + 2);
-                }
-            }
-        }
-    }
-
-    /// A change of one demand changes no share by more than that.
-    #[test]
-    fn a_small_change_of_demand_changes_shares_little(
-        amounts in prop::collection::vec(0u64..20_000, 2..30),
-        more in 0u64..50,
-    ) {
-        let demand = |amount: &u64| WeightedDemand { amount: *amount, weight: 1 };
-        let before = max_min_fair_shares(100_000, &amounts.iter().map(demand).collect::<Vec<_>>(), 1, 0);
-        let mut moved = amounts.clone();
-        moved[0] += more;
-        let after = max_min_fair_shares(100_000, &moved.iter().map(demand).collect::<Vec<_>>(), 1, 0);
-        for (old, new) in before.iter().zip(&after) {
-            prop_assert!(old.abs_diff(*new) <= more + 1);
-        }
-    }
-
-    /// Whatever is granted, spent and refunded, and when: in no window does the bucket spend more than its largest burst
-    /// and what its largest rate adds.
-    #[test]
-    fn a_bucket_never_spends_more_than_it_was_granted(
-        steps in prop::collection::vec((0u64..400, 0u8..4, 0u64..50, 0u64..10), 1..200),
-    ) {
-        let limit = rate(60.0, 40.0);
-        let mut bucket = TokenBucket::new(limit, at(0));
-        let (mut now, mut spent) = (0u64, Vec::<(u64, bool)>::new());
-        for (wait, action, rate, burst) in steps {
-            now += wait;
-            match action {
-                0 => {
-                    let quota = Quota::rate(rate as f64, burst as f64);
-                    bucket.set_grant(at(now), quota, at(now + 700));
-                }
-                1 => {
-                    for (spent_at, used) in spent.iter_mut().rev().take(3) {
-                        if *used && now - *spent_at < 240 {
-                            *used = false;
-                            bucket.settle(at(now), at(*spent_at), false);
-                        }
-                    }
-                }
-                _ => (0..burst).for_each(|_| {
-                    if bucket.spend(at(now)) {
-                        spent.push((now, true));
-                    }
-                }),
-            }
-        }
-        // The largest grants are 49 a second and 9 units, the guaranteed minimum is one unit.
-        let (mut left, mut last) = (10.0f64, 0u64);
-        for (spent_at, _) in spent.iter().filter(|(_, used)| *used) {
-            left = (left + (spent_at - last) as f64 / 1000.0 * 49.0).min(10.0) - 1.0;
-            last = *spent_at;
-            prop_assert!(left > -1e-6, "at {spent_at}");
-        }
-    }
-}
