--- a/crates/router/src/fleet/mod.rs
+++ b/crates/router/src/fleet/mod.rs
@@ -12,4 +12,4 @@
 mod transitions;
 
 pub use configuration::FleetConfiguration;
-pub use runtime::{Fleet, LocalRouter};
+pub use runtime::{Fleet, FleetStatus, LocalRouter};
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,14 +1,12 @@
 //! The `tindoor` program: parses the command line and runs the subcommand.
 
-mod command;
 mod configuration;
-mod council;
 mod discovery;
 mod downstream;
 mod external;
 mod fleet;
 mod log_throttle;
-mod operate;
+mod operator;
 mod server;
 mod signed_urls;
 mod state;
@@ -19,25 +17,25 @@
 
 use anyhow::Result;
 use clap::Parser;
-use command::{Deed, Line, LogFormat};
+use operator::command_line::{self, Command, CommandLine, LogFormat, PolicyCommand};
 use tracing::level_filters::LevelFilter;
 
-/// The exit code of a fleet command that could not be carried out.
-const FLEET_COMMAND_FAILED: u8 = 2;
+/// The exit code of a policy command that could not be carried out.
+const POLICY_COMMAND_FAILED: u8 = 2;
 
 fn main() -> ExitCode {
-    let line = Line::parse();
+    let line = CommandLine::parse();
     start_logging(line.log_format);
-    let result = match line.deed {
-        Some(Deed::Policy(command)) => return run_fleet_command(command),
-        Some(Deed::Check(files)) => server::check(&files).map(|()| println!("ok")),
-        Some(Deed::Guards) => {
+    let result = match line.command {
+        Some(Command::Policy(command)) => return run_policy_command(command),
+        Some(Command::Check(files)) => server::check(&files).map(|()| println!("ok")),
+        Some(Command::DisableableChecks) => {
             list_disableable_checks();
             Ok(())
         }
-        Some(Deed::Keys(command)) => operate::keys(command),
-        Some(Deed::Link(command)) => operate::link(command),
-        Some(Deed::Serve(files)) => server::start(files),
+        Some(Command::Keys(command)) => operator::run_key_command(command),
+        Some(Command::SignedUrl(command)) => operator::run_signed_url_command(command),
+        Some(Command::Serve(files)) => server::start(files),
         None => server::start(line.files),
     };
     exit_code(result)
@@ -53,17 +51,17 @@
     }
 }
 
-fn run_fleet_command(command: command::Fleet) -> ExitCode {
-    council::run(command).unwrap_or_else(|error| {
+fn run_policy_command(command: PolicyCommand) -> ExitCode {
+    operator::run_policy_command(command).unwrap_or_else(|error| {
         eprintln!("{error:#}");
-        ExitCode::from(FLEET_COMMAND_FAILED)
+        ExitCode::from(POLICY_COMMAND_FAILED)
     })
 }
 
 /// Prints the checks that a fault experiment may disable: none in a release build.
 fn list_disableable_checks() {
     if cfg!(debug_assertions) {
-        command::GUARDS.iter().for_each(|check| println!("{check}"));
+        command_line::DISABLEABLE_CHECKS.iter().for_each(|check| println!("{check}"));
     }
 }
 
--- a/crates/router/src/server/files.rs
+++ b/crates/router/src/server/files.rs
@@ -4,8 +4,8 @@
 
 use anyhow::{Context, Result};
 
-use crate::command::Files;
 use crate::configuration::{Configuration, Fronts, line_of_value};
+use crate::operator::command_line::Files;
 
 /// What a start reads.
 pub struct LoadedFiles {
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -13,8 +13,8 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
 
-use crate::command::Files;
 use crate::downstream::{Connections, Listener};
+use crate::operator::command_line::Files;
 use crate::signed_urls::SignedUrls;
 use files::{LoadedFiles, load_files};
 use reload::Reloader;
--- a/crates/router/src/server/startup.rs
+++ b/crates/router/src/server/startup.rs
@@ -15,11 +15,11 @@
 
 use crate::configuration::limits::{Limits, PeerLimits};
 use crate::configuration::{Configuration, Fronts, RequestClass};
-use crate::council;
 use crate::discovery::apply_event;
 use crate::external::{ExternalProcessing, grpc, http, listener};
 use crate::fleet::{Fleet, LocalRouter};
 use crate::log_throttle::LogThrottle;
+use crate::operator::control_socket;
 use crate::signed_urls::SignedUrls;
 use crate::state::RouterState;
 use crate::upstream::{EndpointPool, MemoryBudget};
@@ -125,7 +125,7 @@
 }
 
 fn spawn_operator_socket(executor: &Rc<LocalExecutor<'static>>, fleet: &Rc<Fleet>, path: PathBuf) {
-    let socket = council::listen(Rc::clone(executor), Rc::clone(fleet), path, PeerLimits::default());
+    let socket = control_socket::serve(Rc::clone(executor), Rc::clone(fleet), path, PeerLimits::default());
     let task = async move {
         if let Err(error) = socket.await {
             tracing::error!("operator socket failed: {error:#}");
