--- a/crates/router/src/operator/control_socket.rs
+++ b/crates/router/src/operator/control_socket.rs
@@ -36,7 +36,7 @@
     limits: PeerLimits,
 ) -> Result<()> {
     let listener = Async::new(bind(&path)?)?;
-    tracing::info!(path = %path.display(), "the operator is heard");
+    tracing::info!(path = %path.display(), "control socket listens");
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             async_io::Timer::after(limits.backoff).await;
