--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -4,6 +4,7 @@
 
 use std::io::Write;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 use serde_json::json;
 use support::*;
--- a/crates/router/tests/signed.rs
+++ b/crates/router/tests/signed.rs
@@ -4,6 +4,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::os::unix::fs::PermissionsExt;
+use std::path::Path;
 
 use serde_json::json;
 use tindoor_testbed::figures::Figures;
@@ -36,6 +37,25 @@
     assert!(figures.more["other_than_must"].as_u64() > Some(0), "{}", figures.table());
 }
 
+/// The exit code of `tindoor check`, and what it wrote to standard error.
+fn check(configuration: &Path, fronts: &Path) -> (Option<i32>, String) {
+    let mut command = std::process::Command::new(program());
+    let output = command.arg("check").arg(configuration).arg("--fronts").arg(fronts).output().unwrap();
+    (output.status.code(), String::from_utf8(output.stderr).unwrap())
+}
+
+/// The answer of the plain call to a request whose token has a wrong signature.
+fn request_with_bad_signature(router: &Router) -> String {
+    let mut stream = TcpStream::connect(router.front("call")).unwrap();
+    let page =
+        format!("GET /v1/store/pages/{OBJECT}/0?t=exp=9999999999~acl=*~hmac={} HTTP/1.1", "0".repeat(64));
+    let head = format!("{page}\r\nx-ticket: 00000000000000d1\r\nconnection: close\r\n\r\n");
+    stream.write_all(head.as_bytes()).unwrap();
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).unwrap();
+    answer
+}
+
 #[test]
 fn a_key_file_that_others_can_read_is_refused_at_the_start_and_a_bad_one_later_changes_nothing() {
     let (cache, log) = (Cache::start(|_| Deed::Say(served(b"x"))), ChangeLog::start());
@@ -58,27 +78,14 @@
         "forms": [{"form": "hmac", "from": {"query": "t"}, "keys": ["a"]}]}});
     std::fs::write(&named, configuration.to_string()).unwrap();
     std::fs::write(&fronts, told.to_string()).unwrap();
-    let start = || {
-        let mut command = std::process::Command::new(program());
-        let output = command.arg("check").arg(&named).arg("--fronts").arg(&fronts).output().unwrap();
-        (output.status.code(), String::from_utf8(output.stderr).unwrap())
-    };
+    let start = || check(&named, &fronts);
     let (code, said) = start();
     assert!(code == Some(1) && said.contains("others can read it") && said.contains("keys.json"), "{said}");
     allow(0o600);
     assert_eq!(start().0, Some(0));
 
     let router = Router::start_with(&configuration, &Start { fronts: Some(told), ..Start::default() });
-    let ask = || {
-        let mut stream = TcpStream::connect(router.front("call")).unwrap();
-        let page =
-            format!("GET /v1/store/pages/{OBJECT}/0?t=exp=9999999999~acl=*~hmac={} HTTP/1.1", "0".repeat(64));
-        let head = format!("{page}\r\nx-ticket: 00000000000000d1\r\nconnection: close\r\n\r\n");
-        stream.write_all(head.as_bytes()).unwrap();
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).unwrap();
-        answer
-    };
+    let ask = || request_with_bad_signature(&router);
     let refused = ask();
     assert!(
         refused.starts_with("HTTP/1.1 403") && refused.contains("the signature is not the key's"),
