--- a/crates/router/src/fleet/peers.rs
+++ b/crates/router/src/fleet/peers.rs
@@ -104,7 +104,7 @@
     pub fn send(self: &Rc<Self>, address: &str, envelope: &Envelope) {
         let bytes = envelope.to_bytes();
         if bytes.len() > self.limits.max_message_bytes {
-            tracing::error!(address, size = bytes.len(), "a message to a peer is too long, and dropped");
+            tracing::error!(address, size = bytes.len(), "message to a peer is too long; dropped");
             return;
         }
         let sent = self.sent.get();
@@ -210,7 +210,7 @@
         if error.kind() == io::ErrorKind::InvalidData
             && let Some(times) = self.unreadable.record()
         {
-            tracing::warn!(%error, times, "a peer's connection is closed: it can't be read");
+            tracing::warn!(%error, times, "peer connection closed: malformed message");
         }
     }
 
--- a/crates/router/src/fleet/policy_objections.rs
+++ b/crates/router/src/fleet/policy_objections.rs
@@ -13,9 +13,9 @@
         let generation = version.generation;
         if let Some(Objection { reason, permanent }) = &objection {
             if *permanent {
-                tracing::error!(generation, reason, "can't go by that policy");
+                tracing::error!(generation, reason, "policy can't be applied by this router");
             } else {
-                tracing::warn!(generation, reason, "speaks against that policy");
+                tracing::warn!(generation, reason, "policy rejected by this router");
             }
         }
         objection
--- a/crates/router/src/fleet/replica_storage.rs
+++ b/crates/router/src/fleet/replica_storage.rs
@@ -50,7 +50,7 @@
             }
             Err(error) => {
                 let aside = unused_damaged_path(directory);
-                tracing::error!(%error, aside = %aside.display(), "the folder is damaged: it counts as lost");
+                tracing::error!(%error, aside = %aside.display(), "replica storage is damaged; it counts as lost");
                 std::fs::rename(&file, &aside).with_context(|| format!("{}", file.display()))?;
                 Self::open_file(&file, replica_id, incarnation)
             }
--- a/crates/router/src/fleet/runtime.rs
+++ b/crates/router/src/fleet/runtime.rs
@@ -194,7 +194,7 @@
                 let storage = Arc::clone(storage);
                 if let Err(error) = blocking::unblock(move || storage.write(&write)).await {
                     // A write that failed is never reported as completed: this replica does not vote any more.
-                    tracing::error!(%error, "the folder can't be written: this voter stands still from now on");
+                    tracing::error!(%error, "replica storage can't be written; this voter stops voting");
                     return;
                 }
             }
@@ -210,7 +210,7 @@
             let mut node = self.node.borrow_mut();
             let (now, has_jumped) = self.clock.now();
             if has_jumped {
-                tracing::warn!("the clock has jumped: leases and clock readings are discarded");
+                tracing::warn!("clock jumped; lease and clock readings discarded");
                 node.clock_jumped(now);
             }
             let result = event(&mut node, now);
--- a/crates/router/src/fleet/transitions.rs
+++ b/crates/router/src/fleet/transitions.rs
@@ -5,17 +5,17 @@
 /// Logs one line for a change of the agreed state.
 pub(super) fn log_transition(transition: &Transition) {
     match transition {
-        Transition::Joined(incarnation) => tracing::info!(%incarnation, "fleet: listed"),
-        Transition::Removed(incarnation) => tracing::info!(%incarnation, "fleet: no longer listed"),
-        Transition::Proposed(generation) => tracing::info!(generation, "policy: proposed"),
-        Transition::Rejected(token, reason) => tracing::warn!(token, reason, "policy: refused"),
-        Transition::Decided(generation, at) => tracing::info!(generation, at = at.0, "policy: decided"),
+        Transition::Joined(incarnation) => tracing::info!(%incarnation, "fleet member joined"),
+        Transition::Removed(incarnation) => tracing::info!(%incarnation, "fleet member removed"),
+        Transition::Proposed(generation) => tracing::info!(generation, "policy proposed"),
+        Transition::Rejected(token, reason) => tracing::warn!(token, reason, "policy rejected"),
+        Transition::Decided(generation, at) => tracing::info!(generation, at = at.0, "policy decided"),
         Transition::Cancelled(generation, reason) => {
-            tracing::warn!(generation, reason, "policy: called off");
+            tracing::warn!(generation, reason, "policy cancelled");
         }
-        Transition::Activated(generation) => tracing::info!(generation, "policy: in force"),
+        Transition::Activated(generation) => tracing::info!(generation, "policy activated"),
         Transition::ProbationEnded(generation, finding) => {
-            tracing::info!(generation, finding, "policy: off probation");
+            tracing::info!(generation, finding, "policy probation ended");
         }
     }
 }
@@ -23,7 +23,7 @@
 /// Logs that this router leads the voters in that term, or, with none, that it no longer does.
 pub(super) fn log_leadership(term: Option<u64>) {
     match term {
-        Some(term) => tracing::info!(term, "fleet: leads the voters"),
-        None => tracing::info!("fleet: no longer leads the voters"),
+        Some(term) => tracing::info!(term, "became leader"),
+        None => tracing::info!("no longer leader"),
     }
 }
