--- a/crates/router/src/downstream/session.rs
+++ b/crates/router/src/downstream/session.rs
@@ -59,7 +59,7 @@
         return;
     }
     connection.half_close();
-    tracing::debug!("client connection closed");
+    tracing::debug!(open = connection.open_call_count(), "client connection closed");
     let discard = connection.discard_until_closed(limits.read_chunk_bytes);
     let _ = with_timeout(limits.linger_timeout, discard).await;
 }
