--- a/crates/testbed/src/signed.rs
+++ b/crates/testbed/src/signed.rs
@@ -254,7 +254,7 @@
                         let ticket = format!("{:016x}", chance.random::<u64>());
                         let offs = (plan.signer_off, plan.router_off.unwrap_or_default());
                         let (target, headers, must) = request(kind, key, revoked, offs, &mut chance);
-                        let got = ask(address, &target, &headers, &ticket).await.map(|answer| answer.0);
+                        let got = ask(address, &target, &headers, &ticket).await.map(|answer| answer.status);
                         let mut figures = figures.lock().unwrap();
                         figures.requests += 1;
                         let was = match got {
@@ -318,11 +318,10 @@
             let ends = unix_ms() as i64 / 1000 + off - 1;
             let text = format!("ip=10.1.0.0/16~st={}~exp={ends}~acl=/v1/store/pages/*", ends - 600);
             let link = hmac("new", &text, &text).replace('=', "%3d");
-            let mut ticket = 0x5000_0000_0000_0000 + no * 16;
+            let mut ticket = 0x5000_0000_0000_0000 + no * TICKETS_OF_A_PLAYBACK;
             let mut part = async |path: String, client: &str, cookie: &str| {
-                ticket += 1;
                 let headers = format!("x-envoy-external-address: {client}\r\ncookie: play={cookie}\r\n");
-                ask(address, &path, &headers, &format!("{ticket:016x}")).await
+                ask_until_not_overloaded(address, &path, &headers, &mut ticket).await
             };
             let (object, own) = (format!("{:016x}", 0x1000 + no % 40), format!("10.1.7.{no}"));
             let path = |nth: u64| format!("/v1/store/pages/{object}/{nth}");
@@ -331,13 +330,14 @@
             if begun.elapsed() > Duration::from_millis(700) {
                 return Vec::new();
             }
-            let cookie = first.as_ref().and_then(|first| first.1.split(';').next()?.strip_prefix("play="));
+            let cookie =
+                first.as_ref().and_then(|first| first.set_cookie.split(';').next()?.strip_prefix("play="));
             let cookie = cookie.unwrap_or_default().to_string();
             tokio::time::sleep(std::time::Duration::from_secs(3)).await;
-            let status = |got: Option<(u16, String)>| got.map_or(0, |got| got.0);
+            let status = |answer: Option<CallAnswer>| answer.map_or(0, |answer| answer.status);
             let linked = |nth| format!("{}?t={link}", path(nth));
             let next = part(linked(1), &own, &cookie).await;
-            let renewed = next.as_ref().is_some_and(|next| next.1.starts_with("play="));
+            let renewed = next.as_ref().is_some_and(|next| next.set_cookie.starts_with("play="));
             let without_link = status(part(path(9), &own, &cookie).await);
             let without_renewal = status(part(linked(2), &own, "").await);
             let copied = status(part(linked(2), "10.1.8.1", &cookie).await);
@@ -380,13 +380,50 @@
     }
 }
 
-/// The status that a client got, with the cookie that was set; none without a whole answer.
-async fn ask(address: SocketAddr, target: &str, headers: &str, ticket: &str) -> Option<(u16, String)> {
+/// The tickets that the requests of one playback may use, retries included.
+const TICKETS_OF_A_PLAYBACK: u64 = 64;
+/// How often a client comes again after its request was given up.
+const MAX_RETRIES: usize = 8;
+
+/// The answer of the plain call.
+struct CallAnswer {
+    status: u16,
+    set_cookie: String,
+    /// When the client may come again; none unless the request was given up, as under overload.
+    retry_after: Option<Duration>,
+}
+
+/// Asks, and comes again as told where the request was given up: then the answer says nothing of its link.
+async fn ask_until_not_overloaded(
+    address: SocketAddr,
+    target: &str,
+    headers: &str,
+    ticket: &mut u64,
+) -> Option<CallAnswer> {
+    for _ in 0..MAX_RETRIES {
+        *ticket += 1;
+        let answer = ask(address, target, headers, &format!("{ticket:016x}")).await?;
+        let Some(retry_after) = answer.retry_after else { return Some(answer) };
+        tokio::time::sleep(retry_after).await;
+    }
+    *ticket += 1;
+    ask(address, target, headers, &format!("{ticket:016x}")).await
+}
+
+/// What a client got; none without a whole answer.
+async fn ask(address: SocketAddr, target: &str, headers: &str, ticket: &str) -> Option<CallAnswer> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let head = format!("GET {target} HTTP/1.1\r\nx-ticket: {ticket}\r\nx-max-ms: 3000\r\n{headers}\r\n");
     stream.write_all(head.as_bytes()).await.ok()?;
     let mut rest = Vec::new();
-    let answer = tokio::time::timeout(std::time::Duration::from_secs(10), read(&mut stream, &mut rest));
+    let answer = tokio::time::timeout(Duration::from_secs(10), read(&mut stream, &mut rest));
     let answer = answer.await.ok()?.ok()??;
-    Some((answer.what.parse().ok()?, answer.fields.get("set-cookie").cloned().unwrap_or_default()))
+    let field = |name| answer.fields.get(name).cloned().unwrap_or_default();
+    let was_given_up = answer.what == "503" && field("x-tindoor-reason") == "given-up";
+    let retry_after_ms = field("x-tindoor-pause-ms").parse().ok().filter(|_| was_given_up);
+    Some(CallAnswer {
+        status: answer.what.parse().ok()?,
+        set_cookie: field("set-cookie"),
+        retry_after: retry_after_ms.map(Duration::from_millis),
+    })
 }
