--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -22,7 +22,7 @@
 use crate::figures::Figures;
 use crate::fleet::Fleet;
 use crate::relay::Relay;
-use crate::simulated::named;
+use crate::simulation::many_days::parse_faults;
 use crate::stand_in::{Router, Start, configuration};
 
 /// Faults that every experiment can inject; each experiment has others of its own beside them.
@@ -165,7 +165,7 @@
         if let Some(check) = &plan.without {
             ensure_check_is_known(check, checks)?;
         }
-        let faults = named(&plan.faults, &[FAULTS, own_faults].concat())?;
+        let faults = parse_faults(&plan.faults, &[FAULTS, own_faults].concat())?;
         let directory = new_directory()?;
         let names: Vec<String> = (0..plan.routers).map(|index| format!("n{index}")).collect();
         let listens: BTreeMap<String, SocketAddr> =
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,6 @@
 //! The project's stand-ins and experiments on loopback. Nothing here shares code with the router: what is
-//! audited is seen at the caches and at the clients. One exception: `world` plays the router's own parts without I/O
-//! in virtual time.
+//! audited is seen at the caches and at the clients. One exception: [`simulation`] runs the router's own state machines
+//! without I/O in virtual time.
 
 pub mod budgets;
 pub mod called;
@@ -10,12 +10,9 @@
 pub mod figures;
 pub mod fleet;
 pub mod peer;
-pub mod plots;
 pub mod policy;
 pub mod proxy;
 pub mod relay;
 pub mod signed;
-pub mod simulated;
+pub mod simulation;
 pub mod stand_in;
-pub mod ways;
-pub mod world;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -7,8 +7,9 @@
 use tindoor_testbed::called;
 use tindoor_testbed::cluster::Plan;
 use tindoor_testbed::figures::Figures;
-use tindoor_testbed::ways::Way;
-use tindoor_testbed::{budgets, choices, demo, plots, policy, signed, simulated};
+use tindoor_testbed::simulation::baselines::Baseline;
+use tindoor_testbed::simulation::{many_days, plots};
+use tindoor_testbed::{budgets, choices, demo, policy, signed};
 
 /// Experiments on loopback with stand-ins; each ends with 1 where a rule was broken.
 #[derive(Parser)]
@@ -192,20 +193,20 @@
             (common, budgets::run(&plan))
         }
         Experiment::Simulated { common, days, routers, faults, without, way, budget, shown } => {
-            let plan = simulated::Plan {
+            let plan = many_days::Plan {
                 seed: common.seed,
                 seconds: common.seconds,
                 days,
                 routers,
                 faults,
-                without,
-                budget,
-                shown,
+                disabled_check: without,
+                fills_per_second: budget,
+                trace: shown,
             };
             let figures = match way.as_deref() {
-                None => simulated::run(&plan),
-                Some("told") => simulated::simple(&plan, Way::Told),
-                Some("two-phase") => simulated::simple(&plan, Way::TwoPhase),
+                None => many_days::run(&plan),
+                Some("told") => many_days::run_baseline(&plan, Baseline::FileReload),
+                Some("two-phase") => many_days::run_baseline(&plan, Baseline::TwoPhaseCommit),
                 Some(other) => Err(anyhow::anyhow!("no such way: {other}; there are told, two-phase")),
             };
             (common, figures)
--- /dev/null
+++ b/crates/testbed/src/simulation/audit.rs
@@ -0,0 +1,167 @@
+//! The audit of a simulated day against the true time.
+
+use std::collections::BTreeSet;
+
+use tindoor::time::Span;
+use tindoor_consensus::UnavailableReason;
+use tindoor_policy::{AgreedState, PastProposal, ProposalOutcome};
+
+use super::world::World;
+
+/// The generation with which a fleet begins.
+const FIRST_GENERATION: u64 = 1;
+/// By how much a rate measured by true time may exceed the nominal one because clocks drift.
+const CLOCK_RATE_TOLERANCE: f64 = 1.0005;
+
+/// The rate of fills that the fleet may use from a time on.
+struct RateLimit {
+    from_us: u64,
+    per_second: f64,
+}
+
+impl World {
+    /// Counts the violations of the day. Does nothing if no process runs.
+    pub(super) fn audit(&mut self) {
+        let Some(agreed) = self.most_advanced_node().map(|node| node.agreed().clone()) else { return };
+        self.outcome.stuck_changes = u64::from(agreed.has_undecided_change());
+        let removed = self.processes.iter().map(|process| process.members_removed).max();
+        self.outcome.members_removed = removed.unwrap_or_default();
+        self.audit_generations(&agreed);
+        self.audit_base_generations(&agreed);
+        self.audit_activations();
+        self.measure_activation_delays(&agreed);
+        if let Some(rate) = self.day.fills_per_second {
+            self.audit_fills(rate);
+        }
+        self.audit_final_state();
+    }
+
+    /// Counts requests decided by a generation that never came into force.
+    fn audit_generations(&mut self, agreed: &AgreedState) {
+        let mut activated = BTreeSet::from([FIRST_GENERATION]);
+        for past in &agreed.past {
+            match (&past.outcome, past.generation) {
+                (ProposalOutcome::Activated, Some(generation)) => {
+                    activated.insert(generation);
+                    self.outcome.activated += 1;
+                }
+                (ProposalOutcome::Rejected(_), _) => self.outcome.proposals_rejected += 1,
+                _ => self.outcome.proposals_cancelled += 1,
+            }
+        }
+        let staged = agreed.staged.iter().filter(|staged| staged.effective_at.is_some());
+        activated.extend(staged.map(|staged| staged.version.generation));
+        let oldest_known = oldest_known_generation(agreed);
+        for (generation, times) in &self.request_times {
+            if *generation >= oldest_known && !activated.contains(generation) {
+                self.outcome.unknown_policy_requests += times.len() as u64;
+            }
+        }
+    }
+
+    /// Counts activated proposals that were derived from a generation no longer in force.
+    fn audit_base_generations(&mut self, agreed: &AgreedState) {
+        let oldest_known = oldest_known_generation(agreed);
+        let mut in_force = FIRST_GENERATION;
+        for past in activated(agreed) {
+            let outdated = past.base_generation < in_force && past.generation >= Some(oldest_known);
+            self.outcome.lost_updates += u64::from(outdated);
+            in_force = past.generation.unwrap_or(in_force);
+        }
+    }
+
+    /// Counts requests decided by a generation after a newer one had decided one.
+    fn audit_activations(&mut self) {
+        let tolerance = self.clock_tolerance_us();
+        let times: Vec<&Vec<u64>> = self.request_times.values().collect();
+        for (index, new) in times.iter().enumerate() {
+            let first = new.iter().min().copied().unwrap_or(u64::MAX);
+            for old in &times[..index] {
+                let late = old.iter().filter(|time| **time > first + tolerance).count();
+                self.outcome.mixed_policy_requests += late as u64;
+            }
+        }
+    }
+
+    fn measure_activation_delays(&mut self, agreed: &AgreedState) {
+        for past in activated(agreed) {
+            let proposed = self.proposal_times.get(&past.token);
+            if let Some((proposed, first)) = proposed.zip(self.first_request(past)) {
+                let delay = Span::micros(first.saturating_sub(*proposed));
+                self.outcome.activation_delays.push(delay);
+            }
+        }
+    }
+
+    /// Counts fills beyond the rate and burst, by a token bucket that begins full: it covers all windows at once.
+    fn audit_fills(&mut self, initial_rate: f64) {
+        let burst = self.day.fill_budget("burst");
+        let limits = self.rate_limits(initial_rate);
+        let (mut tokens, mut last) = (burst, 0u64);
+        for time in &self.fill_times {
+            let limit = limits.iter().rev().find(|limit| limit.from_us <= *time).expect("one from the start");
+            let refill = (time - last) as f64 / 1e6 * limit.per_second * CLOCK_RATE_TOLERANCE;
+            tokens = (tokens + refill).min(burst) - 1.0;
+            last = *time;
+            if tokens < -1e-6 {
+                self.outcome.rate_violations += 1;
+                tokens = 0.0;
+            }
+        }
+    }
+
+    /// The rates in force over the day. Within the clock tolerance around an activation, the higher rate is allowed.
+    fn rate_limits(&self, initial_rate: f64) -> Vec<RateLimit> {
+        let tolerance = self.clock_tolerance_us();
+        let mut limits = vec![RateLimit { from_us: 0, per_second: initial_rate }];
+        let Some(node) = self.processes.iter().find_map(|process| process.node.as_ref()) else {
+            return limits;
+        };
+        for past in activated(node.agreed()) {
+            let rate = self.proposed_rates.get(&past.token);
+            let Some((first, per_second)) = self.first_request(past).zip(rate.copied()) else { continue };
+            let lowered = per_second < limits.last().expect("one from the start").per_second;
+            let from_us = if lowered { first + tolerance } else { first - tolerance };
+            limits.push(RateLimit { from_us, per_second });
+        }
+        limits
+    }
+
+    /// Counts the routers that could not decide requests at the end.
+    fn audit_final_state(&mut self) {
+        for index in 0..self.processes.len() {
+            let now = self.local_time(index);
+            let node = self.processes[index].node.as_mut();
+            let error = node.map(|node| node.active_policy(now).err());
+            if error == Some(None) {
+                continue;
+            }
+            let status = self.processes[index].node.as_mut().map(|node| node.status(now));
+            self.trace(index, &("out at the end", error, status));
+            if error == Some(Some(UnavailableReason::PolicyNotApplicable)) {
+                self.outcome.not_applicable_at_end += 1;
+            } else {
+                self.outcome.inactive_at_end += 1;
+            }
+        }
+    }
+
+    /// By how much the clocks of two processes may differ.
+    fn clock_tolerance_us(&self) -> u64 {
+        2 * self.day.timings.clock_bound.as_micros()
+    }
+
+    /// The true time of the first request decided by a proposal.
+    fn first_request(&self, past: &PastProposal) -> Option<u64> {
+        self.request_times.get(&past.generation?)?.iter().min().copied()
+    }
+}
+
+fn activated(agreed: &AgreedState) -> impl Iterator<Item = &PastProposal> {
+    agreed.past.iter().filter(|past| past.outcome == ProposalOutcome::Activated)
+}
+
+/// The oldest generation in the bounded history; older ones can no longer be checked.
+fn oldest_known_generation(agreed: &AgreedState) -> u64 {
+    agreed.past.iter().filter_map(|past| past.generation).min().unwrap_or(FIRST_GENERATION)
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/baselines.rs
@@ -0,0 +1,347 @@
+//! Baselines for the distribution of policy changes, simulated under the same faults as the fleet's own protocol:
+//! direct file reload and a plain two-phase commit.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use super::day::DaySettings;
+use super::events::EventQueue;
+
+/// The generation with which all routers begin.
+const FIRST_GENERATION: u64 = 1;
+/// How long a day goes on after its last fault, in microseconds.
+const RECOVERY_US: u64 = 12_000_000;
+/// When the first change is proposed, in microseconds.
+const FIRST_PROPOSAL_US: u64 = 2_000_000;
+/// When the first fault is injected, in microseconds.
+const FIRST_FAULT_US: u64 = 2_200_000;
+/// From one message of a coordinator to its retransmission, in microseconds.
+const RETRANSMIT_INTERVAL_US: u64 = 200_000;
+/// How long a coordinator waits for all votes, in microseconds.
+const VOTE_TIMEOUT_US: u64 = 2_000_000;
+
+/// A protocol that distributes policy changes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Baseline {
+    /// Each router applies a change as soon as it is notified.
+    FileReload,
+    /// All routers vote, then all commit. Messages are sent again until every router has acknowledged the commit.
+    TwoPhaseCommit,
+}
+
+/// The counts of a simulated day of a baseline.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct BaselineOutcome {
+    /// Requests decided.
+    pub requests: u64,
+    /// Requests decided by a policy after a newer one had decided one, by more than clocks may differ.
+    pub mixed_policy_requests: u64,
+    /// Changes proposed.
+    pub proposals: u64,
+    /// Changes that decided at least one request.
+    pub activated: u64,
+    /// Routers that did not have the newest policy at the end.
+    pub outdated_at_end: u64,
+}
+
+/// A message about the change to a generation.
+#[derive(Clone, Copy, Debug)]
+enum Message {
+    Reload(u64),
+    Prepare(u64),
+    Vote(u64),
+    Commit(u64),
+    Acknowledge(u64),
+}
+
+/// A message that arrived while its receiver was paused.
+#[derive(Clone, Copy)]
+struct QueuedMessage {
+    from: usize,
+    message: Message,
+}
+
+enum Event {
+    Request {
+        process: usize,
+    },
+    Message {
+        from: usize,
+        to: usize,
+        message: Message,
+    },
+    Propose,
+    Retransmit {
+        generation: u64,
+    },
+    Fault,
+    UnblockLinks,
+    /// A killed or paused process runs again.
+    Recover {
+        process: usize,
+    },
+}
+
+#[derive(Clone)]
+struct Process {
+    /// The generation in its file, which outlives the process.
+    generation: u64,
+    up: bool,
+    paused: bool,
+    queued_messages: Vec<QueuedMessage>,
+}
+
+/// A change at its coordinator.
+struct Change {
+    coordinator: usize,
+    proposed_at: u64,
+    votes: BTreeSet<usize>,
+    committed: bool,
+    acknowledged: BTreeSet<usize>,
+}
+
+/// The state of a simulated day. Times are true times in microseconds.
+struct World<'a> {
+    day: &'a DaySettings,
+    baseline: Baseline,
+    rng: Pcg64Mcg,
+    now: u64,
+    events: EventQueue<Event>,
+    processes: Vec<Process>,
+    blocked_links: BTreeSet<(usize, usize)>,
+    changes: BTreeMap<u64, Change>,
+    request_times: BTreeMap<u64, Vec<u64>>,
+    outcome: BaselineOutcome,
+}
+
+/// Simulates one day and audits it.
+pub fn simulate_day(day: &DaySettings, baseline: Baseline) -> BaselineOutcome {
+    let process =
+        Process { generation: FIRST_GENERATION, up: true, paused: false, queued_messages: Vec::new() };
+    let mut world = World {
+        day,
+        baseline,
+        rng: Pcg64Mcg::seed_from_u64(day.seed),
+        now: 0,
+        events: EventQueue::new(),
+        processes: vec![process; day.routers],
+        blocked_links: BTreeSet::new(),
+        changes: BTreeMap::new(),
+        request_times: BTreeMap::new(),
+        outcome: BaselineOutcome::default(),
+    };
+    world.run();
+    world.audit();
+    world.outcome
+}
+
+impl World<'_> {
+    fn schedule_in(&mut self, delay_us: u64, event: Event) {
+        self.events.schedule(self.now + delay_us, event);
+    }
+
+    fn faults_over(&self) -> bool {
+        self.now >= self.day.fault_duration.as_micros()
+    }
+
+    fn run(&mut self) {
+        let end = self.day.fault_duration.as_micros() + RECOVERY_US;
+        for process in 0..self.processes.len() {
+            self.schedule_in(1000 * process as u64, Event::Request { process });
+        }
+        self.schedule_in(FIRST_PROPOSAL_US, Event::Propose);
+        self.schedule_in(FIRST_FAULT_US, Event::Fault);
+        while let Some((time, event)) = self.events.pop().filter(|(time, _)| *time < end) {
+            self.now = time;
+            self.handle(event);
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Request { process } => self.handle_request(process),
+            Event::Message { from, to, message } => self.deliver(from, to, message),
+            Event::Propose => self.propose(),
+            Event::Retransmit { generation } => self.retransmit(generation),
+            Event::Fault if self.faults_over() => {
+                (0..self.processes.len()).for_each(|process| self.recover(process));
+            }
+            Event::Fault => self.inject_fault(),
+            Event::UnblockLinks => self.blocked_links.clear(),
+            Event::Recover { process } => self.recover(process),
+        }
+    }
+
+    fn handle_request(&mut self, index: usize) {
+        let mean = self.day.request_interval.as_micros();
+        let next = self.rng.random_range(mean / 2..mean * 3 / 2);
+        self.schedule_in(next, Event::Request { process: index });
+        let process = &self.processes[index];
+        if process.up && !process.paused {
+            self.outcome.requests += 1;
+            self.request_times.entry(process.generation).or_default().push(self.now);
+        }
+    }
+
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        let faulty = !self.faults_over();
+        let lost = faulty && self.day.has("drop") && self.rng.random_bool(0.1);
+        if self.blocked_links.contains(&(from, to)) || lost {
+            return;
+        }
+        let late = faulty && self.day.has("delay") && self.rng.random_bool(0.05);
+        let delay = if late { self.rng.random_range(0..600_000) } else { 0 };
+        let jitter = self.rng.random_range(0..self.day.latency_jitter.as_micros());
+        let latency = self.day.min_latency.as_micros() + jitter + delay;
+        self.schedule_in(latency, Event::Message { from, to, message });
+    }
+
+    fn broadcast(&mut self, from: usize, message: Message) {
+        (0..self.processes.len()).for_each(|to| self.send(from, to, message));
+    }
+
+    fn deliver(&mut self, from: usize, to: usize, message: Message) {
+        let process = &mut self.processes[to];
+        if process.up && process.paused {
+            process.queued_messages.push(QueuedMessage { from, message });
+        } else if process.up {
+            self.receive(from, to, message);
+        }
+    }
+
+    fn receive(&mut self, from: usize, to: usize, message: Message) {
+        match message {
+            Message::Reload(generation) => self.apply(to, generation),
+            Message::Prepare(generation) => self.send(to, from, Message::Vote(generation)),
+            Message::Vote(generation) => self.count_vote(from, to, generation),
+            Message::Commit(generation) => {
+                self.apply(to, generation);
+                self.send(to, from, Message::Acknowledge(generation));
+            }
+            Message::Acknowledge(generation) => {
+                if let Some(change) = self.changes.get_mut(&generation) {
+                    change.acknowledged.insert(from);
+                }
+            }
+        }
+    }
+
+    fn apply(&mut self, process: usize, generation: u64) {
+        let process = &mut self.processes[process];
+        process.generation = process.generation.max(generation);
+    }
+
+    fn count_vote(&mut self, voter: usize, coordinator: usize, generation: u64) {
+        let all = self.processes.len();
+        let Some(change) = self.changes.get_mut(&generation) else { return };
+        change.votes.insert(voter);
+        let in_time = self.now < change.proposed_at + VOTE_TIMEOUT_US;
+        if change.votes.len() == all && !change.committed && in_time {
+            change.committed = true;
+            self.broadcast(coordinator, Message::Commit(generation));
+        }
+    }
+
+    fn propose(&mut self) {
+        if self.faults_over() {
+            return;
+        }
+        self.schedule_in(self.day.proposal_interval.as_micros(), Event::Propose);
+        let coordinator = self.rng.random_range(0..self.processes.len());
+        if !self.processes[coordinator].up || self.processes[coordinator].paused {
+            return;
+        }
+        self.outcome.proposals += 1;
+        let generation = FIRST_GENERATION + self.outcome.proposals;
+        let change = Change {
+            coordinator,
+            proposed_at: self.now,
+            votes: BTreeSet::new(),
+            committed: false,
+            acknowledged: BTreeSet::new(),
+        };
+        self.changes.insert(generation, change);
+        match self.baseline {
+            Baseline::FileReload => self.broadcast(coordinator, Message::Reload(generation)),
+            Baseline::TwoPhaseCommit => {
+                self.broadcast(coordinator, Message::Prepare(generation));
+                self.schedule_in(RETRANSMIT_INTERVAL_US, Event::Retransmit { generation });
+            }
+        }
+    }
+
+    /// Sends the current message of a change again, until the change has timed out or all have acknowledged it.
+    fn retransmit(&mut self, generation: u64) {
+        let Some(change) = self.changes.get(&generation) else { return };
+        let (coordinator, committed) = (change.coordinator, change.committed);
+        let timed_out = !committed && self.now > change.proposed_at + VOTE_TIMEOUT_US;
+        let acknowledged = change.acknowledged.len() == self.processes.len();
+        if !self.processes[coordinator].up || timed_out || acknowledged {
+            return;
+        }
+        let message = if committed { Message::Commit(generation) } else { Message::Prepare(generation) };
+        self.broadcast(coordinator, message);
+        self.schedule_in(RETRANSMIT_INTERVAL_US, Event::Retransmit { generation });
+    }
+
+    /// Starts or resumes a process, which then receives the messages that arrived meanwhile.
+    fn recover(&mut self, index: usize) {
+        let process = &mut self.processes[index];
+        process.up = true;
+        process.paused = false;
+        for QueuedMessage { from, message } in std::mem::take(&mut process.queued_messages) {
+            self.receive(from, index, message);
+        }
+    }
+
+    fn inject_fault(&mut self) {
+        let next = self.rng.random_range(300_000..2_000_000);
+        self.schedule_in(next, Event::Fault);
+        let faults = ["oneway", "split", "kill", "pause"].into_iter();
+        let faults: Vec<&str> = faults.filter(|fault| self.day.has(fault)).collect();
+        if faults.is_empty() {
+            return;
+        }
+        let (count, duration) = (self.processes.len(), self.rng.random_range(200_000..5_000_000));
+        let process = self.rng.random_range(0..count);
+        match faults[self.rng.random_range(0..faults.len())] {
+            "oneway" => {
+                let other = self.rng.random_range(0..count);
+                self.blocked_links.insert((process, other));
+                self.schedule_in(duration, Event::UnblockLinks);
+            }
+            "split" => {
+                let sides: Vec<bool> = (0..count).map(|_| self.rng.random_bool(0.5)).collect();
+                let links = (0..count * count).map(|pair| (pair / count, pair % count));
+                self.blocked_links.extend(links.filter(|(from, to)| sides[*from] != sides[*to]));
+                self.schedule_in(duration, Event::UnblockLinks);
+            }
+            "kill" => {
+                self.processes[process].up = false;
+                self.processes[process].queued_messages.clear();
+                self.schedule_in(duration, Event::Recover { process });
+            }
+            _ => {
+                self.processes[process].paused = true;
+                self.schedule_in(duration, Event::Recover { process });
+            }
+        }
+    }
+
+    fn audit(&mut self) {
+        let tolerance = 2 * self.day.timings.clock_bound.as_micros();
+        let times: Vec<&Vec<u64>> = self.request_times.values().collect();
+        for (index, new) in times.iter().enumerate() {
+            let first = new.iter().min().copied().unwrap_or(u64::MAX);
+            let old = times[..index].iter().flat_map(|times| times.iter());
+            let late = old.filter(|time| **time > first + tolerance).count();
+            self.outcome.mixed_policy_requests += late as u64;
+        }
+        self.outcome.activated = times.len() as u64 - 1;
+        let newest = self.processes.iter().map(|process| process.generation).max();
+        let outdated = self.processes.iter().filter(|process| Some(process.generation) != newest);
+        self.outcome.outdated_at_end = outdated.count() as u64;
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/faults.rs
@@ -0,0 +1,209 @@
+//! Fault injection: processes, links, disks and clocks fail and recover.
+
+use rand::Rng;
+use tindoor_consensus::{Node, StoredState};
+use tindoor_membership::Timings;
+
+use super::world::{Event, World};
+
+/// The faults that are injected one after the other; the others of a day apply to each message or proposal.
+const INJECTED_FAULTS: [&str; 12] = [
+    "oneway", "split", "kill", "killmost", "pause", "restart", "forget", "leader", "away", "sleep", "deaf",
+    "clock",
+];
+/// How long a fault counts as a disturbance, in microseconds.
+const DISTURBANCE_US: u64 = 5_000_000;
+/// The least time between two clock jumps, in microseconds.
+const CLOCK_JUMP_INTERVAL_US: u64 = 8_000_000;
+
+impl World {
+    /// Injects a random fault, and schedules the next one.
+    pub(super) fn inject_fault(&mut self) {
+        if self.faults_over {
+            return;
+        }
+        let next = self.rng.random_range(300_000..2_000_000);
+        self.schedule_in(next, Event::Fault);
+        let faults: Vec<&str> = INJECTED_FAULTS.into_iter().filter(|fault| self.day.has(fault)).collect();
+        if faults.is_empty() {
+            return;
+        }
+        let fault = faults[self.rng.random_range(0..faults.len())];
+        self.disturbed_until = self.now + DISTURBANCE_US;
+        let process = self.rng.random_range(0..self.processes.len());
+        let duration = self.rng.random_range(200_000..5_000_000);
+        self.trace(process, &fault);
+        match fault {
+            "oneway" => self.block_one_way(process, duration),
+            "split" => self.partition(duration),
+            "kill" | "restart" => self.kill_and_restart(process, duration),
+            "forget" => self.lose_storage(process, duration),
+            "killmost" => self.kill_most(duration),
+            "away" => self.take_away(process, duration),
+            "pause" => self.pause(process, duration),
+            "leader" => self.kill_leader(duration),
+            "sleep" => self.suspend_all(duration),
+            "deaf" => self.block_leader(process, duration),
+            "clock" => self.jump_clock(process),
+            _ => {}
+        }
+    }
+
+    /// Ends all faults, and starts and resumes all processes.
+    pub(super) fn end_faults(&mut self) {
+        self.faults_over = true;
+        self.blocked_links.clear();
+        for index in 0..self.processes.len() {
+            match (&self.processes[index].node, self.processes[index].paused) {
+                (None, _) => self.start(index),
+                (Some(_), true) => self.resume(index),
+                _ => {}
+            }
+        }
+    }
+
+    fn block_one_way(&mut self, from: usize, duration: u64) {
+        let to = self.rng.random_range(0..self.processes.len());
+        self.blocked_links.insert((from, to));
+        self.schedule_in(duration, Event::UnblockLinks);
+    }
+
+    fn partition(&mut self, duration: u64) {
+        let count = self.processes.len();
+        let parts = self.rng.random_range(2..4u32);
+        let sides: Vec<u32> = (0..count).map(|_| self.rng.random_range(0..parts)).collect();
+        let links = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
+        self.blocked_links.extend(links.filter(|(from, to)| sides[*from] != sides[*to]));
+        self.schedule_in(duration, Event::UnblockLinks);
+    }
+
+    fn kill(&mut self, process: usize) {
+        self.processes[process].node = None;
+        self.processes[process].epoch += 1;
+        self.unreleased_fills.retain(|fill| fill.process != process);
+    }
+
+    fn kill_and_restart(&mut self, process: usize, duration: u64) {
+        self.kill(process);
+        self.schedule_in(duration, Event::Restart { process });
+    }
+
+    /// Loses the storage of one replica, while all others are there to have what it knew.
+    fn lose_storage(&mut self, process: usize, duration: u64) {
+        if !self.all_running() || !self.has_redundant_voters() {
+            return;
+        }
+        self.kill(process);
+        // The loss takes place now and not at the restart: another replica may have lost its storage by then.
+        if self.processes[process].replica_id.is_some() {
+            self.processes[process].storage = Some(StoredState::default());
+            self.processes[process].replica_id = Some(self.rng.random_range(1_000..u64::MAX));
+        }
+        self.schedule_in(duration, Event::Restart { process });
+    }
+
+    fn kill_most(&mut self, duration: u64) {
+        if !self.rng.random_bool(0.3) {
+            return;
+        }
+        for process in 0..self.processes.len() {
+            if self.rng.random_bool(0.7) {
+                self.kill(process);
+                let delay = duration + self.rng.random_range(0..1_000_000);
+                self.schedule_in(delay, Event::Restart { process });
+            }
+        }
+    }
+
+    /// Kills or isolates one process for longer than it stays a member. One at a time, and not the leader.
+    fn take_away(&mut self, process: usize, duration: u64) {
+        let undisturbed = self.has_redundant_voters() && self.all_running() && self.blocked_links.is_empty();
+        if !undisturbed || self.processes[process].is_leader() {
+            return;
+        }
+        let Timings { lease, quorum_loss_grace, .. } = self.day.timings;
+        let away = (quorum_loss_grace + lease * 4.0).as_micros() + duration;
+        if self.rng.random_bool(0.5) {
+            self.kill_and_restart(process, away);
+        } else {
+            let others = 0..self.processes.len();
+            self.blocked_links.extend(others.flat_map(|other| [(process, other), (other, process)]));
+            self.schedule_in(away, Event::UnblockLinks);
+        }
+    }
+
+    fn pause(&mut self, process: usize, duration: u64) {
+        if self.processes[process].node.is_some() {
+            self.processes[process].paused = true;
+            self.schedule_in(duration, Event::Resume { process });
+        }
+    }
+
+    fn kill_leader(&mut self, duration: u64) {
+        if let Some(leader) = self.leader() {
+            self.kill_and_restart(leader, duration);
+        }
+    }
+
+    /// Suspends all machines together, as on one host: every process sees its clock jump.
+    fn suspend_all(&mut self, duration: u64) {
+        if self.now <= self.last_clock_jump + CLOCK_JUMP_INTERVAL_US {
+            return;
+        }
+        self.last_clock_jump = self.now;
+        for process in 0..self.processes.len() {
+            self.shift_clock(process, duration as i64);
+        }
+    }
+
+    /// Blocks messages of the leader to half of the others; it still receives theirs.
+    fn block_leader(&mut self, process: usize, duration: u64) {
+        if let Some(leader) = self.leader() {
+            let others = (0..self.processes.len()).filter(|other| *other != leader);
+            let half = others.filter(|other| (other + process).is_multiple_of(2));
+            self.blocked_links.extend(half.map(|other| (leader, other)));
+            self.schedule_in(duration, Event::UnblockLinks);
+        }
+    }
+
+    /// Moves one clock beyond its stated bound; the process sees the jump. One at a time.
+    fn jump_clock(&mut self, process: usize) {
+        let offset_us = self.rng.random_range(-2_000_000..2_000_000);
+        if self.now < self.last_clock_jump + CLOCK_JUMP_INTERVAL_US {
+            return;
+        }
+        self.last_clock_jump = self.now;
+        self.shift_clock(process, offset_us);
+    }
+
+    fn shift_clock(&mut self, process: usize, offset_us: i64) {
+        self.processes[process].clock_offset_us += offset_us;
+        let now = self.local_time(process);
+        if let Some(node) = self.processes[process].node.as_mut() {
+            node.clock_jumped(now);
+        }
+    }
+
+    fn leader(&self) -> Option<usize> {
+        self.processes.iter().position(|process| process.is_leader())
+    }
+
+    fn all_running(&self) -> bool {
+        self.processes.iter().all(|process| process.is_running())
+    }
+
+    /// Whether three or more voters run and agree on the voters. A replica that loses its storage then is not the last
+    /// one that knew an entry; while a third voter is added to two, both are needed.
+    fn has_redundant_voters(&self) -> bool {
+        let Some(newest) = self.most_advanced_node() else { return false };
+        let voters = &newest.agreed().voters;
+        let agrees =
+            |node: &Node| node.agreed().voters == *voters && node.agreed().outgoing_voters.is_empty();
+        let settled = |replica_id: &u64| {
+            let process = self.processes.iter().find(|process| process.replica_id == Some(*replica_id));
+            let node = process.and_then(|process| process.node.as_ref());
+            node.is_some_and(|node| node.is_settled() && agrees(node))
+        };
+        voters.len() >= 3 && voters.iter().all(settled)
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulation/world.rs
@@ -0,0 +1,415 @@
+//! The simulated fleet: its processes, network and clock, and the loop that runs its events.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use tindoor::time::{Moment, Span};
+use tindoor_consensus::{
+    Action, Envelope, Limits, LocalIdentity, Node, NodeConfig, Objection, StorageWrite, StoredState,
+};
+use tindoor_membership::MemberList;
+use tindoor_policy::{PolicyVersion, Transition};
+
+use super::day::DaySettings;
+use super::events::EventQueue;
+use super::outcome::DayOutcome;
+use super::process::Process;
+use super::workload::{OBJECTIONABLE_SETTING, UnreleasedFill};
+
+/// The true time at which a day begins, in microseconds.
+const START_US: u64 = 1_000_000;
+/// From the begin of a day to the first proposal, in microseconds. Faults last from then on.
+const WARM_UP_US: u64 = 2_000_000;
+/// From the first proposal to the first fault, in microseconds.
+const FIRST_FAULT_DELAY_US: u64 = 200_000;
+/// The largest fleet whose members join one by one, and of whose messages all are measured.
+const SMALL_FLEET: usize = 64;
+/// Of how many messages of a larger fleet one is measured.
+const BYTE_SAMPLING: u64 = 64;
+/// How many messages wait for a paused process at most.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// The number of routers whose addresses each process knows from its configuration.
+const SEED_ADDRESSES: usize = 5;
+/// Short enough that a change can follow the one before it within the day.
+const MAX_PROBATION: Span = Span::millis(500);
+
+/// An event of a simulated day.
+pub(super) enum Event {
+    /// A timer tick of a process.
+    Tick { process: usize, epoch: u64 },
+    /// A request reaches a process.
+    Request { process: usize },
+    /// A message arrives.
+    Message { to: usize, envelope: Box<Envelope> },
+    /// A write has reached the disk.
+    WriteCompleted { process: usize, epoch: u64, write: Box<StorageWrite> },
+    /// A fault is to be injected.
+    Fault,
+    /// A policy change is to be proposed.
+    Propose,
+    /// A paused process resumes.
+    Resume { process: usize },
+    /// A killed process starts again.
+    Restart { process: usize },
+    /// All blocked links work again.
+    UnblockLinks,
+    /// A fill has ended at the origin.
+    FillCompleted { process: usize, epoch: u64, admitted_at: Moment },
+    /// The quotas of all processes are to be sampled.
+    SampleQuotas,
+    /// The load is to move between routers.
+    ShiftLoad,
+}
+
+/// The state of a simulated day. Times are true times in microseconds unless they are of the type [`Moment`].
+pub(super) struct World {
+    pub day: DaySettings,
+    pub rng: Pcg64Mcg,
+    pub now: u64,
+    events: EventQueue<Event>,
+    pub processes: Vec<Process>,
+    indexes_by_address: BTreeMap<String, usize>,
+    /// Links from one process to another on which all messages are lost.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    pub faults_over: bool,
+    pub last_clock_jump: u64,
+    /// Until when a fault counts as a disturbance.
+    pub disturbed_until: u64,
+    /// When each generation decided requests.
+    pub request_times: BTreeMap<u64, Vec<u64>>,
+    /// When each proposal was made, by token.
+    pub proposal_times: BTreeMap<u64, u64>,
+    /// The rate of fills that each proposal states, by token.
+    pub proposed_rates: BTreeMap<u64, f64>,
+    /// When fills were started.
+    pub fill_times: Vec<u64>,
+    pub fills_in_flight: u64,
+    pub unreleased_fills: Vec<UnreleasedFill>,
+    pub outcome: DayOutcome,
+}
+
+impl World {
+    /// Starts and bootstraps a fleet.
+    pub fn new(day: DaySettings) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(day.seed);
+        let processes: Vec<Process> = (0..day.routers).map(|index| Process::new(index, &mut rng)).collect();
+        let addresses = processes.iter().enumerate();
+        let indexes_by_address = addresses.map(|(index, process)| (process.address.clone(), index)).collect();
+        let mut world = Self {
+            day,
+            rng,
+            now: START_US,
+            events: EventQueue::new(),
+            processes,
+            indexes_by_address,
+            blocked_links: BTreeSet::new(),
+            faults_over: false,
+            last_clock_jump: 0,
+            disturbed_until: 0,
+            request_times: BTreeMap::new(),
+            proposal_times: BTreeMap::new(),
+            proposed_rates: BTreeMap::new(),
+            fill_times: Vec::new(),
+            fills_in_flight: 0,
+            unreleased_fills: Vec::new(),
+            outcome: DayOutcome::default(),
+        };
+        world.start_fleet();
+        world.schedule_first_events();
+        world
+    }
+
+    fn start_fleet(&mut self) {
+        for index in 0..self.processes.len() {
+            self.start(index);
+        }
+        let now = self.local_time(0);
+        let initial_policy = self.day.initial_policy();
+        let first = self.processes[0].node.as_mut().expect("just started");
+        first.bootstrap(now, initial_policy).expect("the first process can bootstrap the fleet");
+        if self.day.routers > SMALL_FLEET {
+            self.install_member_list();
+        }
+        for index in 0..self.processes.len() {
+            self.execute_actions(index);
+        }
+    }
+
+    /// Gives all processes of a large fleet the complete member list, as its joins are not what is simulated.
+    fn install_member_list(&mut self) {
+        let entries = self.processes.iter().enumerate();
+        let members =
+            entries.map(|(index, process)| (process.incarnation(index), process.member())).collect();
+        let first = self.processes[0].node.as_ref().expect("just started");
+        let mut agreed = first.agreed().clone();
+        agreed.members = MemberList::new(members);
+        // Stands for the log's second entry, which the leader's own first one follows.
+        agreed.index = 2;
+        for index in 0..self.processes.len() {
+            let now = self.local_time(index);
+            let node = self.processes[index].node.as_mut().expect("just started");
+            node.install_state(now, agreed.clone());
+        }
+    }
+
+    fn schedule_first_events(&mut self) {
+        // A day with a budget and without changes of it shows undisturbed use.
+        let changes_budget = ["lower", "proposers", "badchange"].iter().any(|fault| self.day.has(fault));
+        if self.day.fills_per_second.is_none() || changes_budget {
+            self.schedule_in(WARM_UP_US, Event::Propose);
+        }
+        if !self.day.faults.is_empty() {
+            self.schedule_in(WARM_UP_US + FIRST_FAULT_DELAY_US, Event::Fault);
+        }
+        if self.day.fills_per_second.is_some() {
+            self.schedule_in(WARM_UP_US, Event::SampleQuotas);
+        }
+        if self.day.has("shift") {
+            self.schedule_in(WARM_UP_US, Event::ShiftLoad);
+        }
+    }
+
+    /// Runs the day to its end.
+    pub fn run(&mut self) {
+        let faults_end = self.now + WARM_UP_US + self.day.fault_duration.as_micros();
+        let end = faults_end + self.day.recovery_duration().as_micros();
+        while let Some((time, event)) = self.events.pop() {
+            if time > end {
+                break;
+            }
+            self.now = time;
+            if !self.faults_over && self.now >= faults_end {
+                self.end_faults();
+            }
+            self.handle(event);
+        }
+    }
+
+    /// Schedules an event for a while from now, in microseconds.
+    pub fn schedule_in(&mut self, delay_us: u64, event: Event) {
+        self.events.schedule(self.now + delay_us, event);
+    }
+
+    /// The reading of a process's clock.
+    pub fn local_time(&self, process: usize) -> Moment {
+        self.processes[process].local_time(self.now)
+    }
+
+    /// The running node that has applied most of the log.
+    pub fn most_advanced_node(&self) -> Option<&Node> {
+        let nodes = self.processes.iter().filter_map(|process| process.node.as_ref());
+        nodes.max_by_key(|node| node.agreed().index)
+    }
+
+    /// Prints what happens at a process, if the day is traced.
+    pub fn trace(&self, process: usize, event: &dyn Debug) {
+        if self.day.trace {
+            eprintln!("{:9.3} n{process}: {event:?}", self.now as f64 / 1e6);
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Tick { process, epoch } => self.tick(process, epoch),
+            Event::Request { process } => self.generate_request(process),
+            Event::Message { to, envelope } => self.deliver(to, *envelope),
+            Event::WriteCompleted { process, epoch, write } => self.complete_write(process, epoch, *write),
+            Event::Resume { process } => {
+                if self.processes[process].paused {
+                    self.resume(process);
+                }
+            }
+            Event::Restart { process } => {
+                if self.processes[process].node.is_none() {
+                    self.trace(process, &"starts");
+                    self.start(process);
+                }
+            }
+            Event::UnblockLinks => self.blocked_links.clear(),
+            Event::FillCompleted { process, epoch, admitted_at } => {
+                self.complete_fill(process, epoch, admitted_at);
+            }
+            Event::SampleQuotas => self.sample_quotas(),
+            Event::ShiftLoad => self.shift_load(),
+            Event::Fault => self.inject_fault(),
+            Event::Propose => self.generate_proposals(),
+        }
+    }
+
+    /// Starts a process, from what its storage holds.
+    pub fn start(&mut self, index: usize) {
+        let now = self.local_time(index);
+        let random_seed = self.rng.random();
+        let process = &mut self.processes[index];
+        process.start_count += 1;
+        process.epoch += 1;
+        process.paused = false;
+        process.queued_messages.clear();
+        let epoch = process.epoch;
+        let node =
+            Node::start(self.node_config(index, random_seed), now).expect("stored state is consistent");
+        self.processes[index].node = Some(node);
+        let jitter = self.rng.random_range(1..40_000);
+        self.schedule_in(jitter, Event::Tick { process: index, epoch });
+        if epoch == 1 {
+            let jitter = self.rng.random_range(1..self.day.request_interval.as_micros());
+            self.schedule_in(jitter, Event::Request { process: index });
+        }
+        self.execute_actions(index);
+    }
+
+    fn node_config(&self, index: usize, random_seed: u64) -> NodeConfig {
+        let process = &self.processes[index];
+        let identity = LocalIdentity {
+            incarnation: process.incarnation(index),
+            name: process.name.clone(),
+            address: process.address.clone(),
+            location: process.location,
+            replica_id: process.replica_id,
+            predecessor: None,
+        };
+        let mut limits = Limits::default();
+        limits.probation.max_duration = MAX_PROBATION;
+        let seeds = self.processes.iter().take(SEED_ADDRESSES);
+        NodeConfig {
+            fleet: "lab".to_string(),
+            identity,
+            timings: self.day.timings,
+            limits,
+            checks: self.day.checks,
+            seeds: seeds.map(|seed| seed.address.clone()).collect(),
+            stored: process.storage.clone().filter(|stored| *stored != StoredState::default()),
+            random_seed,
+        }
+    }
+
+    /// Resumes a paused process.
+    pub fn resume(&mut self, process: usize) {
+        self.processes[process].paused = false;
+        while let Some(at) = self.unreleased_fills.iter().position(|fill| fill.process == process) {
+            let fill = self.unreleased_fills.swap_remove(at);
+            self.release_fill(process, fill.admitted_at);
+        }
+        // The worst order: a request is handled before all messages that arrived during the pause.
+        self.handle_request(process);
+        for envelope in std::mem::take(&mut self.processes[process].queued_messages) {
+            self.with_node(process, |node, now| node.receive(now, envelope));
+        }
+    }
+
+    fn tick(&mut self, process: usize, epoch: u64) {
+        if self.processes[process].epoch != epoch {
+            return;
+        }
+        let interval = self.day.timings.heartbeat_interval.as_micros() / 5;
+        self.schedule_in(interval, Event::Tick { process, epoch });
+        if !self.processes[process].paused {
+            self.with_node(process, |node, now| node.tick(now));
+        }
+    }
+
+    fn deliver(&mut self, to: usize, envelope: Envelope) {
+        let process = &mut self.processes[to];
+        if !process.paused {
+            self.with_node(to, |node, now| node.receive(now, envelope));
+        } else if process.queued_messages.len() < MAX_QUEUED_MESSAGES {
+            process.queued_messages.push(envelope);
+        }
+    }
+
+    fn complete_write(&mut self, index: usize, epoch: u64, write: StorageWrite) {
+        let process = &mut self.processes[index];
+        if process.epoch != epoch || process.node.is_none() {
+            return;
+        }
+        let number = write.number;
+        process.store(write);
+        self.with_node(index, |node, now| node.write_completed(now, number));
+    }
+
+    /// Passes an event to a process, if it is up, and executes the resulting actions.
+    pub fn with_node(&mut self, process: usize, apply: impl FnOnce(&mut Node, Moment)) {
+        let now = self.local_time(process);
+        if let Some(node) = self.processes[process].node.as_mut() {
+            apply(node, now);
+            self.execute_actions(process);
+        }
+    }
+
+    /// Executes the actions of a process until it has no more.
+    pub fn execute_actions(&mut self, process: usize) {
+        while let Some(node) = self.processes[process].node.as_mut() {
+            for action in node.take_actions() {
+                self.execute(process, action);
+            }
+            if self.processes[process].node.as_ref().is_some_and(Node::is_quiet) {
+                return;
+            }
+        }
+    }
+
+    fn execute(&mut self, process: usize, action: Action) {
+        match action {
+            Action::Send { address, envelope } => self.send(process, &address, envelope),
+            Action::Write(write) => self.write(process, write),
+            Action::CheckPolicy(version) => self.check_policy(process, &version),
+            Action::LeadershipChanged(term) => self.trace(process, &("leads", term)),
+            Action::Transition(transition) => {
+                self.trace(process, &transition);
+                let removed = matches!(transition, Transition::Removed(_));
+                self.processes[process].members_removed += u64::from(removed);
+            }
+        }
+    }
+
+    fn write(&mut self, process: usize, write: StorageWrite) {
+        let epoch = self.processes[process].epoch;
+        let duration = self.rng.random_range(500..4_000);
+        let completed_at = self.now.max(self.processes[process].disk_busy_until) + duration;
+        self.processes[process].disk_busy_until = completed_at;
+        let write = Box::new(write);
+        self.events.schedule(completed_at, Event::WriteCompleted { process, epoch, write });
+    }
+
+    /// The last router objects to policies with [`OBJECTIONABLE_SETTING`].
+    fn check_policy(&mut self, process: usize, version: &PolicyVersion) {
+        let objects = version.policy.0.contains_key(OBJECTIONABLE_SETTING) && process == self.day.routers - 1;
+        let objection = objects
+            .then(|| Objection { reason: "an offering would have no cache".to_string(), permanent: true });
+        let now = self.local_time(process);
+        let node = self.processes[process].node.as_mut().expect("it asked for this check");
+        node.policy_checked(now, version.generation, objection);
+    }
+
+    fn send(&mut self, from: usize, address: &str, envelope: Envelope) {
+        let Some(&to) = self.indexes_by_address.get(address) else { return };
+        self.outcome.messages += 1;
+        self.measure(&envelope);
+        let faulty = !self.faults_over;
+        if self.blocked_links.contains(&(from, to))
+            || faulty && self.day.has("drop") && self.rng.random_bool(self.day.loss)
+        {
+            return;
+        }
+        let jitter = self.rng.random_range(0..self.day.latency_jitter.as_micros().max(1));
+        let mut latency = self.day.min_latency.as_micros() + jitter;
+        if faulty && self.day.has("delay") && self.rng.random_bool(0.05) {
+            latency += self.rng.random_range(0..600_000);
+        }
+        if faulty && self.day.has("duplicate") && self.rng.random_bool(0.05) {
+            let later = latency + self.rng.random_range(0..300_000);
+            self.schedule_in(later, Event::Message { to, envelope: Box::new(envelope.clone()) });
+        }
+        self.schedule_in(latency, Event::Message { to, envelope: Box::new(envelope) });
+    }
+
+    /// Counts the bytes of a message; in a large fleet of a sample of the messages.
+    fn measure(&mut self, envelope: &Envelope) {
+        let sampling = if self.day.routers <= SMALL_FLEET { 1 } else { BYTE_SAMPLING };
+        if self.outcome.messages.is_multiple_of(sampling) {
+            self.outcome.bytes += envelope.to_bytes().len() as u64 * sampling;
+        }
+    }
+}
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -8,7 +8,7 @@
 
 use golden::Recording;
 use tindoor::time::Span;
-use tindoor_testbed::world::{Came, Day, FAULTS, play};
+use tindoor_testbed::simulation::{DayOutcome, DaySettings, FAULTS, simulate_day};
 
 fn recordings() -> Vec<Recording> {
     vec![("simulated_days.txt", simulated_days())]
@@ -45,78 +45,79 @@
 
 const SEEDS: [u64; 4] = [1, 2, 17, 1234];
 
-fn day(seed: u64, (routers, faults, budget): (usize, &str, Option<f64>)) -> Day {
-    let mut day = Day::new(seed, routers);
+fn day(seed: u64, (routers, faults, budget): (usize, &str, Option<f64>)) -> DaySettings {
+    let mut day = DaySettings::new(seed, routers);
     day.faults = match faults {
         "all" => FAULTS.iter().map(ToString::to_string).collect(),
         some => some.split(',').filter(|name| !name.is_empty()).map(str::to_string).collect(),
     };
-    day.lasts = Span::secs(if budget.is_some() { 15.0 } else { 20.0 });
-    day.budget = budget;
+    day.fault_duration = Span::secs(if budget.is_some() { 15.0 } else { 20.0 });
+    day.fills_per_second = budget;
     day
 }
 
 /// Every figure of a day, by a name that stays.
-fn figures(came: &Came) -> String {
-    let Came {
+fn figures(outcome: &DayOutcome) -> String {
+    let DayOutcome {
         requests,
         rejected,
-        changes,
-        took_hold,
-        refused,
-        cancelled,
-        mixed,
-        nowhere,
-        overwritten,
-        stuck,
+        proposals,
+        activated,
+        proposals_rejected,
+        proposals_cancelled,
+        mixed_policy_requests,
+        unknown_policy_requests,
+        lost_updates,
+        stuck_changes,
         messages,
         bytes,
-        held_after,
-        unfit_at_end,
-        out_at_end,
-        unlisted,
-        windows_over,
-        in_hand_over,
-        granted_over,
-        most_granted,
-        filled,
-        allowed,
-        starved,
-    } = came;
-    let held_after: Vec<String> = held_after.iter().map(|span| span.as_micros().to_string()).collect();
+        activation_delays,
+        not_applicable_at_end,
+        inactive_at_end,
+        members_removed,
+        rate_violations,
+        concurrency_violations,
+        overcommitted_samples,
+        peak_commitment_permille,
+        fills_admitted,
+        fills_allowed,
+        starved_routers,
+    } = outcome;
+    let activation_delays: Vec<String> =
+        activation_delays.iter().map(|span| span.as_micros().to_string()).collect();
     let figures = [
         ("requests", requests.to_string()),
         ("requests rejected", rejected.to_string()),
-        ("changes", changes.to_string()),
-        ("changes in force", took_hold.to_string()),
-        ("changes refused", refused.to_string()),
-        ("changes cancelled", cancelled.to_string()),
-        ("requests by two policies", mixed.to_string()),
-        ("requests by a policy never in force", nowhere.to_string()),
-        ("changes overwritten", overwritten.to_string()),
-        ("changes stuck", stuck.to_string()),
+        ("changes", proposals.to_string()),
+        ("changes in force", activated.to_string()),
+        ("changes refused", proposals_rejected.to_string()),
+        ("changes cancelled", proposals_cancelled.to_string()),
+        ("requests by two policies", mixed_policy_requests.to_string()),
+        ("requests by a policy never in force", unknown_policy_requests.to_string()),
+        ("changes overwritten", lost_updates.to_string()),
+        ("changes stuck", stuck_changes.to_string()),
         ("messages", messages.to_string()),
         ("bytes", bytes.to_string()),
-        ("in force after (us)", held_after.join(" ")),
-        ("unfit at the end", unfit_at_end.to_string()),
-        ("out at the end", out_at_end.to_string()),
-        ("taken off the list", unlisted.to_string()),
-        ("windows over the budget", windows_over.to_string()),
-        ("in hand over the budget", in_hand_over.to_string()),
-        ("granted over the budget", granted_over.to_string()),
-        ("most granted (thousandths)", most_granted.to_string()),
-        ("fills", filled.to_string()),
-        ("fills allowed", allowed.to_string()),
-        ("routers without fills", starved.to_string()),
+        ("in force after (us)", activation_delays.join(" ")),
+        ("unfit at the end", not_applicable_at_end.to_string()),
+        ("out at the end", inactive_at_end.to_string()),
+        ("taken off the list", members_removed.to_string()),
+        ("windows over the budget", rate_violations.to_string()),
+        ("in hand over the budget", concurrency_violations.to_string()),
+        ("granted over the budget", overcommitted_samples.to_string()),
+        ("most granted (thousandths)", peak_commitment_permille.to_string()),
+        ("fills", fills_admitted.to_string()),
+        ("fills allowed", fills_allowed.to_string()),
+        ("routers without fills", starved_routers.to_string()),
     ];
     figures.map(|(name, figure)| format!("    {name}: {figure}\n")).concat()
 }
 
-/// What came of one day, under its seed and row.
+/// The outcome of one day, under its seed and row.
 fn section(seed: u64, row: (usize, &str, Option<f64>)) -> String {
     let (routers, faults, budget) = row;
     let budget = budget.map_or(String::new(), |budget| format!(", {budget} fills a second"));
-    let figures = figures(&play(&day(seed, row)));
+    let figures = figures(&simulate_day(&day(seed, row)));
     format!("seed {seed}, {routers} routers, faults [{faults}]{budget}\n{figures}")
 }
 
--- a/crates/testbed/tests/simulated.rs
+++ b/crates/testbed/tests/simulated.rs
@@ -1,21 +1,25 @@
 //! Simulated days of a fleet: the parts that agree and take leases, under every fault, in virtual time.
 
 use tindoor_testbed::figures::Figures;
-use tindoor_testbed::simulated::{Plan, run, simple};
-use tindoor_testbed::ways::Way;
+use tindoor_testbed::simulation::baselines::Baseline;
+use tindoor_testbed::simulation::many_days::{Plan, run, run_baseline};
 
-fn plan(seed: u64, days: u64, routers: usize, faults: &str, without: Option<&str>) -> Plan {
-    let (faults, without) = (faults.to_string(), without.map(str::to_string));
-    Plan { seed, seconds: 25, days, routers, faults, without, budget: None, shown: false }
+fn plan(seed: u64, days: u64, routers: usize, faults: &str, disabled_check: Option<&str>) -> Plan {
+    let (faults, disabled_check) = (faults.to_string(), disabled_check.map(str::to_string));
+    Plan { seed, seconds: 25, days, routers, faults, disabled_check, fills_per_second: None, trace: false }
 }
 
-fn days(seed: u64, days: u64, routers: usize, faults: &str, without: Option<&str>) -> Figures {
-    run(&plan(seed, days, routers, faults, without)).expect("a plan that can be run")
+fn days(seed: u64, days: u64, routers: usize, faults: &str, disabled_check: Option<&str>) -> Figures {
+    run(&plan(seed, days, routers, faults, disabled_check)).expect("a plan that can be run")
 }
 
 /// Days on which a hundred fills a second by the origin are divided.
-fn divided(seed: u64, days: u64, routers: usize, faults: &str, without: Option<&str>) -> Figures {
-    let plan = Plan { seconds: 20, budget: Some(100.0), ..plan(seed, days, routers, faults, without) };
+fn divided(seed: u64, days: u64, routers: usize, faults: &str, disabled_check: Option<&str>) -> Figures {
+    let plan = Plan {
+        seconds: 20,
+        fills_per_second: Some(100.0),
+        ..plan(seed, days, routers, faults, disabled_check)
+    };
     run(&plan).expect("a plan that can be run")
 }
 
@@ -111,8 +115,10 @@
 #[test]
 fn the_simple_ways_have_requests_by_two_policies_under_the_same_faults() {
     let plan = plan(1, 10, 7, "drop,delay,oneway,split,kill,pause", None);
-    let mixed = |way| simple(&plan, way).expect("a plan that can be run").more["mixed_views"].as_u64();
-    let [told, two_phase] = [Way::Told, Way::TwoPhase].map(mixed);
-    assert!(told > two_phase && two_phase > Some(0), "{told:?} {two_phase:?}");
+    let mixed = |baseline| {
+        run_baseline(&plan, baseline).expect("a plan that can be run").more["mixed_views"].as_u64()
+    };
+    let [file_reload, two_phase] = [Baseline::FileReload, Baseline::TwoPhaseCommit].map(mixed);
+    assert!(file_reload > two_phase && two_phase > Some(0), "{file_reload:?} {two_phase:?}");
     assert_eq!(run(&plan).expect("a plan that can be run").rules_broken, 0);
 }
