--- a/crates/testbed/src/simulation/many_days.rs
+++ b/crates/testbed/src/simulation/many_days.rs
@@ -115,13 +115,13 @@
 }
 
 /// A simulated day.
-struct Day {
-    seed: u64,
-    outcome: DayOutcome,
+pub(super) struct Day {
+    pub seed: u64,
+    pub outcome: DayOutcome,
 }
 
 /// Simulates days with successive seeds on all cores, and returns them in the order of their seeds.
-fn simulate_days(first: &DaySettings, count: u64) -> Vec<Day> {
+pub(super) fn simulate_days(first: &DaySettings, count: u64) -> Vec<Day> {
     let next = AtomicU64::new(0);
     let days = Mutex::new(Vec::new());
     let worker = || {
@@ -188,7 +188,7 @@
         ("granted_over", total(days, |day| day.overcommitted_samples)),
         ("most_granted", json!(peak)),
         ("starved", total(days, |day| day.starved_routers)),
-        ("used_of_whole", json!(fill_utilization(days.iter().map(|day| &day.outcome)))),
+        ("used_of_whole", json!(fill_utilization(days))),
     ]
 }
 
@@ -202,9 +202,9 @@
 }
 
 /// The part of the allowed fills that were admitted in periods without disturbance.
-pub(super) fn fill_utilization<'a>(days: impl Iterator<Item = &'a DayOutcome> + Clone) -> f64 {
-    let admitted: f64 = days.clone().map(|day| day.fills_admitted).sum();
-    let allowed: f64 = days.map(|day| day.fills_allowed).sum();
+pub(super) fn fill_utilization(days: &[Day]) -> f64 {
+    let admitted: f64 = days.iter().map(|day| day.outcome.fills_admitted).sum();
+    let allowed: f64 = days.iter().map(|day| day.outcome.fills_allowed).sum();
     admitted / f64::max(allowed, 1.0)
 }
 
--- a/crates/testbed/src/simulation/network.rs
+++ b/crates/testbed/src/simulation/network.rs
@@ -9,6 +9,12 @@
 const MAX_QUEUED_MESSAGES: usize = 256;
 /// Of how many messages of a larger fleet one is measured.
 const BYTE_SAMPLING: u64 = 64;
+/// The probability that a message is delayed, and that it is duplicated, where these faults are injected.
+const FAULT_PROBABILITY: f64 = 0.05;
+/// The longest additional latency of a delayed message, in microseconds.
+const MAX_FAULT_DELAY_US: u64 = 600_000;
+/// The longest time from a message to its duplicate, in microseconds.
+const MAX_DUPLICATE_DELAY_US: u64 = 300_000;
 
 impl World {
     /// Sends a message, which may be lost, delayed or duplicated.
@@ -24,11 +30,11 @@
         }
         let jitter = self.rng.random_range(0..self.day.latency_jitter.as_micros().max(1));
         let mut latency = self.day.min_latency.as_micros() + jitter;
-        if faulty && self.day.has("delay") && self.rng.random_bool(0.05) {
-            latency += self.rng.random_range(0..600_000);
+        if faulty && self.day.has("delay") && self.rng.random_bool(FAULT_PROBABILITY) {
+            latency += self.rng.random_range(0..MAX_FAULT_DELAY_US);
         }
-        if faulty && self.day.has("duplicate") && self.rng.random_bool(0.05) {
-            let later = latency + self.rng.random_range(0..300_000);
+        if faulty && self.day.has("duplicate") && self.rng.random_bool(FAULT_PROBABILITY) {
+            let later = latency + self.rng.random_range(0..MAX_DUPLICATE_DELAY_US);
             self.schedule_in(later, Event::Message { to, envelope: Box::new(envelope.clone()) });
         }
         self.schedule_in(latency, Event::Message { to, envelope: Box::new(envelope) });
--- a/crates/testbed/src/simulation/plots.rs
+++ b/crates/testbed/src/simulation/plots.rs
@@ -1,14 +1,13 @@
 //! Plots of simulated days: activation delay and use of a budget, by fleet size and message loss, for several leases.
 
 use std::path::Path;
-use std::sync::Mutex;
 
 use anyhow::{Result, anyhow};
 use plotters::prelude::*;
 use tindoor::time::Span;
 
-use super::many_days::fill_utilization;
-use super::{DayOutcome, DaySettings, simulate_day};
+use super::DaySettings;
+use super::many_days::{Day, fill_utilization, simulate_days};
 
 const FLEET_SIZES: [usize; 6] = [3, 7, 15, 30, 60, 120];
 const LEASES_MS: [u64; 3] = [750, 1500, 3000];
@@ -110,24 +109,8 @@
     day
 }
 
-/// Simulates days with successive seeds, each on a thread of its own.
-fn simulate_days(first: &DaySettings, count: u64) -> Vec<DayOutcome> {
-    let outcomes = Mutex::new(Vec::new());
-    std::thread::scope(|scope| {
-        for index in 0..count {
-            let outcomes = &outcomes;
-            scope.spawn(move || {
-                let settings = DaySettings { seed: first.seed + index, ..first.clone() };
-                let outcome = simulate_day(&settings);
-                outcomes.lock().unwrap().push(outcome);
-            });
-        }
-    });
-    outcomes.into_inner().unwrap()
-}
-
-fn median_delay_s(days: &[DayOutcome]) -> Option<f64> {
-    let delays = days.iter().flat_map(|day| &day.activation_delays);
+fn median_delay_s(days: &[Day]) -> Option<f64> {
+    let delays = days.iter().flat_map(|day| &day.outcome.activation_delays);
     let mut delays_us: Vec<u64> = delays.map(|delay| delay.as_micros()).collect();
     delays_us.sort_unstable();
     Some(*delays_us.get(delays_us.len() / 2)? as f64 / 1e6)
@@ -139,7 +122,7 @@
         fault_duration: Span::secs(24.0),
         ..settings
     };
-    fill_utilization(simulate_days(&settings, 4).iter())
+    fill_utilization(&simulate_days(&settings, 4))
 }
 
 impl Plot {
