--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -23,7 +23,7 @@
 fn world_of_long_answers() -> World {
     let bytes = served(&long_body());
     world_with(
-        move |_| Deed::Say(bytes.clone()),
+        move |_| Behavior::Respond(bytes.clone()),
         |configuration| configuration["limits"]["sockets"] = json!(64),
     )
 }
@@ -31,7 +31,7 @@
 /// A client whose long answer has left the router, and lies for the most part in the system's buffers.
 fn client_with_answer_on_its_way(world: &World) -> Client {
     let mut client = Client::connect_small(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.heeds(" ended ");
     client
 }
@@ -60,11 +60,11 @@
     let mut others: Vec<_> = (0..18).map(|_| Client::connect(&world.router)).collect();
     others.iter_mut().for_each(|other| assert!(other.healthy(1)));
     world.heeds("client connection closed");
-    client.ask(2, OTHER);
+    client.request(2, OTHER);
     assert_eq!(client.reply(), (1, done(&long_body())));
     assert!(client.ends_in_order(), "and no reset");
     let other = others.last_mut().unwrap();
-    other.ask(3, OTHER);
+    other.request(3, OTHER);
     assert_eq!(other.reply(), (3, done(&long_body())));
     assert_eq!(world.cache.count(), 2, "what came after the close was not sent on");
 }
@@ -76,7 +76,7 @@
     world.stops();
     world.heeds("client connection closed");
     world.router.pause(true);
-    client.ask(2, OTHER);
+    client.request(2, OTHER);
     world.router.pause(false);
     assert_eq!(client.reply(), (1, done(&long_body())));
     assert!(client.ends_in_order(), "and no reset");
@@ -86,16 +86,16 @@
 
 #[test]
 fn what_lies_in_the_buffers_of_the_system_at_the_end_is_answered() {
-    let mut world = world(|_| Deed::Say(served(b"x")));
+    let mut world = world(|_| Behavior::Respond(served(b"x")));
     let mut resting = Client::connect(&world.router);
-    resting.ask(1, OBJECT);
+    resting.request(1, OBJECT);
     assert_eq!(resting.reply(), (1, done(b"x")));
     let told = world.stops();
     // A call on a connection that rests, and one on a connection that is not yet accepted.
     world.router.pause(true);
-    resting.ask(2, OTHER);
+    resting.request(2, OTHER);
     let mut waiting = Client::connect(&world.router);
-    waiting.ask(1, "00000000000000ab");
+    waiting.request(1, "00000000000000ab");
     world.passes(told, Duration::from_millis(1200));
     world.router.pause(false);
     assert_eq!(resting.reply(), (2, done(b"x")));
@@ -106,7 +106,7 @@
 
 #[test]
 fn half_a_frame_at_the_end_is_waited_for_and_answered() {
-    let mut world = world(|_| Deed::Say(served(b"x")));
+    let mut world = world(|_| Behavior::Respond(served(b"x")));
     let mut client = Client::connect(&world.router);
     let frame = call(1, &page(OBJECT, "3000"), b"");
     client.send(&frame[..30]);
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_client_that_rests_sees_an_orderly_end_and_the_router_waits_for_no_more() {
-    let mut world = world(|_| Deed::Say(served(b"x")));
+    let mut world = world(|_| Behavior::Respond(served(b"x")));
     let mut resting: Vec<_> = (0..20).map(|_| Client::connect(&world.router)).collect();
     resting.iter_mut().for_each(|client| assert!(client.healthy(1)));
     world.stops();
@@ -136,16 +136,16 @@
 
 #[test]
 fn a_connect_that_comes_up_as_its_client_closes_carries_nothing() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogCache::start();
     let (world, client) = stuck_world(&stuck);
     world.router.pause(true);
     drop(client);
     let asked = stuck.open();
-    stuck.came_up.wait("the connection to come up", |count| (*count > 0).then_some(()));
+    stuck.accepted.wait("the connection to come up", |count| (*count > 0).then_some(()));
     world.router.pause(false);
     world.heeds(" ended ");
     let mut other = Client::connect(&world.router);
-    other.ask(1, OTHER);
+    other.request(1, OTHER);
     assert_eq!(other.reply(), (1, done(b"stuck")));
     let asked = asked.change(|asked| asked.clone());
     assert!(asked.iter().all(|asked| !asked.contains(OBJECT)), "{asked:?}");
@@ -153,15 +153,15 @@
 
 #[test]
 fn a_connect_that_comes_up_as_its_call_is_withdrawn_carries_nothing() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogCache::start();
     let (world, mut client) = stuck_world(&stuck);
     world.router.pause(true);
     client.cancel(1);
     let asked = stuck.open();
-    stuck.came_up.wait("the connection to come up", |count| (*count > 0).then_some(()));
+    stuck.accepted.wait("the connection to come up", |count| (*count > 0).then_some(()));
     world.router.pause(false);
     world.heeds(" ended ");
-    client.ask(3, OTHER);
+    client.request(3, OTHER);
     assert_eq!(client.reply(), (3, done(b"stuck")));
     let asked = asked.change(|asked| asked.clone());
     assert!(asked.iter().all(|asked| !asked.contains(OBJECT)), "{asked:?}");
@@ -171,23 +171,23 @@
 fn an_error_that_comes_as(client_leaves: impl FnOnce(&mut Client)) {
     let gate = Watched::default();
     let held = gate.clone();
-    let world = world(move |seen| match seen.line.contains(OBJECT) {
-        true => Deed::Once(held.clone(), answer(500, "", b"")),
-        false => Deed::Say(served(b"x")),
+    let world = world(move |seen| match seen.request_line.contains(OBJECT) {
+        true => Behavior::RespondOnRelease(held.clone(), http_response(500, "", b"")),
+        false => Behavior::Respond(served(b"x")),
     });
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.cache.requests(1);
     world.router.pause(true);
     client_leaves(&mut client);
-    gate.let_go();
-    world.cache.let_go.wait("the error to be written", |count| (*count > 0).then_some(()));
+    gate.release();
+    world.cache.released.wait("the error to be written", |count| (*count > 0).then_some(()));
     world.router.pause(false);
     world.heeds(" ended ");
     // The pause before a further attempt is 20 ms at most.
     world.passes(Instant::now(), Duration::from_millis(200));
     let mut other = Client::connect(&world.router);
-    other.ask(1, OTHER);
+    other.request(1, OTHER);
     assert_eq!(other.reply(), (1, done(b"x")));
     assert_eq!(world.cache.count(), 2, "one for each call");
 }
@@ -207,12 +207,12 @@
     let gate = Watched::default();
     let held = gate.clone();
     // An error: a read goes again.
-    let world = world(move |seen| match seen.line.contains(OBJECT) {
-        true => Deed::Once(held.clone(), answer(500, "", b"")),
-        false => Deed::Say(served(b"x")),
+    let world = world(move |seen| match seen.request_line.contains(OBJECT) {
+        true => Behavior::RespondOnRelease(held.clone(), http_response(500, "", b"")),
+        false => Behavior::Respond(served(b"x")),
     });
     let mut client = Client::connect_small(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.cache.requests(1);
     // Far more answers than the buffers hold: the router does not read on, and can't see the close behind them.
     client.0.set_nonblocking(true).unwrap();
@@ -227,7 +227,7 @@
         assert!(full.elapsed() < Duration::from_secs(60));
     }
     client.0.shutdown(std::net::Shutdown::Write).unwrap();
-    gate.let_go();
+    gate.release();
     // The one attempt ends, and so do those that follow, without having been sent.
     let ended = |log: &mut Vec<String>| log.iter().filter(|line| line.contains("Superseded")).count();
     world.router.log.wait("a further attempt to be left", |log| (ended(log) > 0).then_some(()));
@@ -236,9 +236,11 @@
 
 #[test]
 fn an_unreadable_frame_ends_the_calls_before_it_with_their_answers() {
-    let world = world(|seen| if seen.line.contains(OBJECT) { Deed::Hang } else { Deed::Say(served(b"x")) });
+    let world = world(|seen| {
+        if seen.request_line.contains(OBJECT) { Behavior::Hang } else { Behavior::Respond(served(b"x")) }
+    });
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.cache.requests(1);
     client.send(&[0xff; 8]);
     let (seq, reply) = client.reply();
@@ -250,10 +252,10 @@
 #[test]
 fn an_unreadable_frame_cuts_no_answer_that_is_being_written() {
     let bytes = served(&long_body());
-    let world = world(move |_| Deed::Say(bytes.clone()));
+    let world = world(move |_| Behavior::Respond(bytes.clone()));
     let mut client = Client::connect_small(&world.router);
     let mut sender = client.0.try_clone().unwrap();
-    (1..=8).for_each(|seq| client.ask(seq, &format!("{seq:016x}")));
+    (1..=8).for_each(|seq| client.request(seq, &format!("{seq:016x}")));
     // The first bytes are here: far more are on their way than the system's buffers hold.
     client.0.peek(&mut [0]).unwrap();
     sender.write_all(&[0xff; 8]).unwrap();
@@ -266,69 +268,69 @@
 
 #[test]
 fn a_change_log_whose_bytes_trickle_and_make_no_line_is_asked_again() {
-    let world = world(|_| Deed::Say(served(b"x")));
-    world.log.asks(1);
-    world.log.beat.change(|beat| *beat = None);
+    let world = world(|_| Behavior::Respond(served(b"x")));
+    world.log.wait_for_subscriptions(1);
+    world.log.heartbeat.change(|heartbeat| *heartbeat = None);
     // It is never silent for long, and says nothing.
     until("the router to ask again", || {
-        world.log.say(" ");
+        world.log.send(" ");
         std::thread::sleep(Duration::from_millis(200));
-        world.log.asked.change(|asked| asked.len() > 1)
+        world.log.subscriptions.change(|asked| asked.len() > 1)
     });
-    world.log.say(&fleet(2, vec![member("c-9", world.cache.address, "cache", "active")]));
+    world.log.send(&fleet(2, vec![endpoint_entry("c-9", world.cache.address, "cache", "active")]));
     world.heeds("sequence: 2");
 }
 
 #[test]
 fn a_whole_list_that_comes_late_undoes_no_change_already_taken() {
-    let world = world(|_| Deed::Say(served(b"x")));
-    let second = Cache::start(|_| Deed::Say(served(b"second")));
-    world.log.asks(1);
-    world.log.beat.change(|beat| *beat = None);
-    let (old, new) = (member("c-1", world.cache.address, "cache", "leaving"), |phase| {
-        member("c-2", second.address, "cache", phase)
+    let world = world(|_| Behavior::Respond(served(b"x")));
+    let second = Cache::start(|_| Behavior::Respond(served(b"second")));
+    world.log.wait_for_subscriptions(1);
+    world.log.heartbeat.change(|heartbeat| *heartbeat = None);
+    let (old, new) = (endpoint_entry("c-1", world.cache.address, "cache", "leaving"), |phase| {
+        endpoint_entry("c-2", second.address, "cache", phase)
     });
-    world.log.say(&fleet(2, vec![old, new("active")]));
+    world.log.send(&fleet(2, vec![old, new("active")]));
     world.heeds("sequence: 2");
-    let active = member("c-1", world.cache.address, "cache", "active");
+    let active = endpoint_entry("c-1", world.cache.address, "cache", "active");
     let late = json!({"seq": 1, "fleet": {"revision": 1, "complete": true, "members": [active]}});
-    world.log.say(&format!("{late}\n{}", fleet(3, vec![new("active")])));
+    world.log.send(&format!("{late}\n{}", fleet(3, vec![new("active")])));
     world.heeds("sequence: 3");
     let mut client = Client::connect(&world.router);
     for seq in 1..=20 {
-        client.ask(seq, &format!("{seq:016x}"));
+        client.request(seq, &format!("{seq:016x}"));
         assert_eq!(client.reply(), (seq, done(b"second")));
     }
     // One that comes in its turn counts: what it does not name is gone.
-    let third = Cache::start(|_| Deed::Say(served(b"third")));
-    let members = vec![member("c-3", third.address, "cache", "active")];
+    let third = Cache::start(|_| Behavior::Respond(served(b"third")));
+    let members = vec![endpoint_entry("c-3", third.address, "cache", "active")];
     let whole = json!({"seq": 4, "fleet": {"revision": 4, "complete": true, "members": members}});
-    world.log.say(&format!("{whole}\n"));
+    world.log.send(&format!("{whole}\n"));
     world.heeds("sequence: 4");
-    client.ask(21, OBJECT);
+    client.request(21, OBJECT);
     assert_eq!(client.reply(), (21, done(b"third")));
     assert_eq!(world.cache.count(), 0);
 }
 
 #[test]
 fn a_new_configuration_amid_a_line_loses_and_repeats_no_event() {
-    let world = world(|_| Deed::Say(served(b"x")));
-    let second = Cache::start(|_| Deed::Say(served(b"second")));
-    world.log.asks(1);
-    world.log.beat.change(|beat| *beat = None);
-    let drained = member("c-1", world.cache.address, "cache", "leaving");
-    let event = fleet(2, vec![drained, member("c-2", second.address, "cache", "active")]);
-    world.log.say(&event[..40]);
-    let next = ChangeLog::start();
+    let world = world(|_| Behavior::Respond(served(b"x")));
+    let second = Cache::start(|_| Behavior::Respond(served(b"second")));
+    world.log.wait_for_subscriptions(1);
+    world.log.heartbeat.change(|heartbeat| *heartbeat = None);
+    let drained = endpoint_entry("c-1", world.cache.address, "cache", "leaving");
+    let event = fleet(2, vec![drained, endpoint_entry("c-2", second.address, "cache", "active")]);
+    world.log.send(&event[..40]);
+    let next = ChangeStream::start();
     let members: Vec<Value> = Vec::new();
     world.router.reload(&configuration(next.address, members).to_string());
-    assert_eq!(next.asks(1), [1], "from the last whole event");
+    assert_eq!(next.wait_for_subscriptions(1), [1], "from the last whole event");
     // What the old one still says is nobody's.
-    world.log.say(&event[40..]);
-    next.say(&event);
+    world.log.send(&event[40..]);
+    next.send(&event);
     world.heeds("sequence: 2");
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     assert_eq!(client.reply(), (1, done(b"second")), "a drain told right after a reload holds");
     let heeded = |log: &mut Vec<String>| log.iter().filter(|line| line.contains("sequence: 2")).count();
     assert_eq!(world.router.log.change(heeded), 1);
@@ -336,12 +338,12 @@
 
 #[test]
 fn a_router_whose_last_instance_still_holds_its_address_is_ready_once_that_ends() {
-    let (cache, log) = (Cache::start(|_| Deed::Say(served(b"x"))), ChangeLog::start());
-    let origin = Cache::start(|_| Deed::Hang);
+    let (cache, log) = (Cache::start(|_| Behavior::Respond(served(b"x"))), ChangeStream::start());
+    let origin = Cache::start(|_| Behavior::Hang);
     let members = vec![
-        member("c-1", cache.address, "cache", "active"),
-        member("p-1", origin.address, "parent", "active"),
-        member("o-1", origin.address, "origin", "active"),
+        endpoint_entry("c-1", cache.address, "cache", "active"),
+        endpoint_entry("p-1", origin.address, "parent", "active"),
+        endpoint_entry("o-1", origin.address, "origin", "active"),
     ];
     let last = TcpListener::bind("127.0.0.1:0").unwrap();
     let router = Router::start_at(&configuration(log.address, members), last.local_addr().unwrap());
@@ -352,14 +354,14 @@
     drop(last);
     logged("ready");
     let mut client = Client::connect(&router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     assert_eq!(client.reply(), (1, done(b"x")));
 }
 
 #[test]
 fn told_to_end_while_it_waits_for_its_address_it_ends() {
     let last = TcpListener::bind("127.0.0.1:0").unwrap();
-    let log = ChangeLog::start();
+    let log = ChangeStream::start();
     let mut router = Router::start_at(&configuration(log.address, Vec::new()), last.local_addr().unwrap());
     router.log.wait("it to wait", |log| log.iter().any(|line| line.contains("in use")).then_some(()));
     router.terminate();
@@ -368,26 +370,26 @@
 
 #[test]
 fn idle_clients_that_take_all_descriptors_leave_some_for_the_change_log_and_for_caches() {
-    let cache = Cache::start(|_| Deed::Say(served(b"x")));
+    let cache = Cache::start(|_| Behavior::Respond(served(b"x")));
     let members = vec![
-        member("c-1", cache.address, "cache", "active"),
-        member("p-1", cache.address, "parent", "active"),
-        member("o-1", cache.address, "origin", "active"),
+        endpoint_entry("c-1", cache.address, "cache", "active"),
+        endpoint_entry("p-1", cache.address, "parent", "active"),
+        endpoint_entry("o-1", cache.address, "origin", "active"),
     ];
     // Discovery is down: its address is known, and nobody listens there yet.
-    let stuck = Stuck::start();
+    let stuck = FullBacklogCache::start();
     let router = Router::start_with(
         &configuration(stuck.address, members.clone()),
-        &Start { descriptors: Some(64), ..Start::default() },
+        &StartOptions { descriptors: Some(64), ..StartOptions::default() },
     );
     let mut idle: Vec<_> = (0..200).map(|_| Client::connect(&router)).collect();
     let mut client = Client::connect(&router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     assert_eq!(client.reply(), (1, done(b"x")), "caches are reached");
-    let log = ChangeLog::start();
+    let log = ChangeStream::start();
     router.reload(&configuration(log.address, members).to_string());
-    assert_eq!(log.asks(1), [1], "and so is the change log, once it is there");
-    client.ask(2, OTHER);
+    assert_eq!(log.wait_for_subscriptions(1), [1], "and so is the change log, once it is there");
+    client.request(2, OTHER);
     assert_eq!(client.reply(), (2, done(b"x")));
     let most = descriptors(router.pid());
     assert!(most <= 64, "{most}");
--- a/crates/router/tests/external_processing.rs
+++ b/crates/router/tests/external_processing.rs
@@ -67,21 +67,21 @@
 
 /// A router with both fronts, and one cache.
 struct Fixture {
-    _discovery: ChangeLog,
+    _discovery: ChangeStream,
     cache: Cache,
     router: Router,
 }
 
 fn fixture() -> Fixture {
-    let (cache, log) = (Cache::start(|_| Deed::Say(served(b"x"))), ChangeLog::start());
-    let origin = Cache::start(|_| Deed::Hang);
+    let (cache, log) = (Cache::start(|_| Behavior::Respond(served(b"x"))), ChangeStream::start());
+    let origin = Cache::start(|_| Behavior::Hang);
     let members = vec![
-        member("c-1", cache.address, "cache", "active"),
-        member("o-1", origin.address, "origin", "active"),
+        endpoint_entry("c-1", cache.address, "cache", "active"),
+        endpoint_entry("o-1", origin.address, "origin", "active"),
     ];
     let listen = json!({"listen": "127.0.0.1:0"});
     let fronts = Some(json!({"external_processing": listen, "call": listen}));
-    let start = Start { fronts, ..Start::default() };
+    let start = StartOptions { fronts, ..StartOptions::default() };
     let router = Router::start_with(&configuration(log.address, members), &start);
     Fixture { _discovery: log, cache, router }
 }
@@ -207,7 +207,7 @@
 
 #[test]
 fn an_error_in_the_fronts_file_names_line_and_key() {
-    let log = ChangeLog::start();
+    let log = ChangeStream::start();
     let configuration = configuration(log.address, Vec::new()).to_string();
     let folder = std::env::temp_dir().join(format!("tindoor-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -79,10 +79,10 @@
 
 fn health() -> String {
     let request = frame(1, "health", 7, &[2, 0, 1, 1, 0]);
-    let world = world(|_| Deed::Hang);
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
     let mut out = exchange(&mut client, "health", &request);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.cache.requests(1);
     world.router.terminate();
     world.heeds("stopping");
@@ -93,7 +93,7 @@
 
 /// A router whose every cache gives this answer.
 fn world_answering(bytes: Vec<u8>) -> World {
-    world(move |_| Deed::Say(bytes.clone()))
+    world(move |_| Behavior::Respond(bytes.clone()))
 }
 
 /// The answer of a new router with such a cache to one read.
@@ -112,10 +112,10 @@
 fn served_requests() -> String {
     let head = format!("X-Remark: fill\r\nX-Version: {VERSION}\r\n");
     let mut out = read_from("hit", served(b"the object"));
-    out += &read_from("fill", answer(200, &head, b"the object"));
+    out += &read_from("fill", http_response(200, &head, b"the object"));
     out += &read_from("an empty body", served(b""));
-    out += &read_from("not modified", answer(304, "X-Remark: warm\r\n", b""));
-    let world = world(|_| Deed::Hang);
+    out += &read_from("not modified", http_response(304, "X-Remark: warm\r\n", b""));
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
     let request = call(-2, &write_fields("saves", Some(IDEMPOTENCY_KEY)), b"new");
     out += &exchange(&mut client, "a write with idempotency key", &request);
@@ -125,7 +125,7 @@
 /// A router without any endpoint, which tells clients when to come back or not.
 fn world_without_endpoints(retry_after: bool) -> World {
     world_with(
-        |_| Deed::Hang,
+        |_| Behavior::Hang,
         |configuration| {
             configuration["known"]["results"][0]["fleet"]["members"] = json!([]);
             configuration["settings"]["limits"]["retry_after"] = json!(retry_after);
@@ -140,10 +140,10 @@
         let mut client = Client::connect(&world.router);
         out += &exchange(&mut client, title, &call(21, &page(OBJECT, "3000"), b""));
     }
-    out += &read_from("every endpoint rejects", answer(503, "X-Shed: 1\r\n", b""));
-    let world = world(|_| Deed::Hang);
+    out += &read_from("every endpoint rejects", http_response(503, "X-Shed: 1\r\n", b""));
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
-    (1..=32).for_each(|seq| client.ask(seq, OBJECT));
+    (1..=32).for_each(|seq| client.request(seq, OBJECT));
     out += &exchange(&mut client, "too many open requests", &call(33, &page(OBJECT, "3000"), b""));
     out
 }
@@ -157,7 +157,7 @@
 }
 
 fn aborted_requests() -> String {
-    let world = world(|_| Deed::Hang);
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
     let mut out = String::new();
     for name in ["route", "trace", "patience", "entity", "chunk", "tag"] {
@@ -196,7 +196,7 @@
 
 /// A second request with the id of one that is open.
 fn id_in_use() -> String {
-    let world = world(|_| Deed::Hang);
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
     let mut fields = page(OBJECT, "600000");
     fields[1].1 = REQUEST_ID;
@@ -207,7 +207,7 @@
 
 /// A request that may have run, and that must not run twice.
 fn failed_without_promise() -> String {
-    let world = world(|_| Deed::Reset);
+    let world = world(|_| Behavior::Reset);
     let mut client = Client::connect(&world.router);
     let request = call(3, &write_fields("orders", None), b"order");
     exchange(&mut client, "not idempotent, and its connection was reset", &request)
@@ -223,10 +223,10 @@
 }
 
 fn unreadable_frames() -> String {
-    let world = world(|_| Deed::Hang);
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
     let mut out = exchange(&mut client, "an unknown method", &frame(1, "nonesuch", 4, &[0]));
-    client.ask(7, OBJECT);
+    client.request(7, OBJECT);
     out += &exchange(&mut client, "a sequence number in use", &call(7, &page(OBJECT, "3000"), b""));
     let one_way = frame(4, "nonesuch", 4, &[0]);
     let not_strict = [0, 0, 0, 4, 0, 0, 0, 1];
@@ -307,7 +307,7 @@
         let members = configuration["known"]["results"][0]["fleet"]["members"].as_array_mut().unwrap();
         members.iter_mut().for_each(|member| member["host_port"] = address.clone());
     };
-    let world = world_with(|_| Deed::Hang, point_to_cache);
+    let world = world_with(|_| Behavior::Hang, point_to_cache);
     let mut client = Client::connect(&world.router);
     client.send(&call(1, fields, body));
     next_frame(&mut client);
--- a/crates/router/tests/golden_configuration.rs
+++ b/crates/router/tests/golden_configuration.rs
@@ -11,7 +11,7 @@
 
 use golden::Recording;
 use serde_json::{Value, json};
-use tindoor_testbed::stand_in::{configuration, member, program};
+use tindoor_testbed::stand_in::{configuration, endpoint_entry, program};
 
 fn recordings() -> Vec<Recording> {
     vec![("configuration.txt", checked_configurations()), ("fronts.txt", checked_fronts())]
@@ -79,7 +79,7 @@
 /// A configuration with every key, one member of each kind and no change stream that is there.
 fn whole() -> Value {
     let nowhere = "127.0.0.1:1".parse().unwrap();
-    let members = ["cache", "parent", "origin"].map(|kind| member(kind, nowhere, kind, "active"));
+    let members = ["cache", "parent", "origin"].map(|kind| endpoint_entry(kind, nowhere, kind, "active"));
     configuration(nowhere, members.to_vec())
 }
 
--- a/crates/router/tests/lifecycle.rs
+++ b/crates/router/tests/lifecycle.rs
@@ -12,27 +12,27 @@
 fn a_planned_restart_answers_open_and_new_requests() {
     let gate = Watched::default();
     let held = gate.clone();
-    let mut world = world(move |seen| match seen.line.contains(OBJECT) {
-        true => Deed::Once(held.clone(), served(b"late")),
-        false => Deed::Say(served(b"new")),
+    let mut world = world(move |seen| match seen.request_line.contains(OBJECT) {
+        true => Behavior::RespondOnRelease(held.clone(), served(b"late")),
+        false => Behavior::Respond(served(b"new")),
     });
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.cache.requests(1);
     world.router.terminate();
     world.router.log.wait("it to stop", |log| log.iter().any(|line| line.contains("stopping")).then_some(()));
     let mut late = Client::connect(&world.router);
     assert!(!late.healthy(1));
-    late.ask(2, "00000000000000aa");
+    late.request(2, "00000000000000aa");
     assert_eq!(late.reply(), (2, done(b"new")));
     // It stays for as long as a request is open, well past the time in which new ones may come.
     let (told, mut seq) = (Instant::now(), 2);
     while told.elapsed() < Duration::from_millis(1500) {
         seq += 1;
-        late.ask(seq, "00000000000000aa");
+        late.request(seq, "00000000000000aa");
         assert_eq!(late.reply(), (seq, done(b"new")));
     }
-    gate.let_go();
+    gate.release();
     assert_eq!(client.reply(), (1, done(b"late")));
     assert!(world.router.wait().success());
     assert_eq!(client.reply_or_end(), None);
@@ -41,7 +41,7 @@
 #[test]
 fn open_requests_are_answered_before_the_router_has_to_end() {
     let mut world = world_with(
-        |_| Deed::Hang,
+        |_| Behavior::Hang,
         |configuration| {
             for class in configuration["settings"]["request_classes"].as_array_mut().unwrap() {
                 class["deadline"] = json!(2_000_000);
@@ -49,11 +49,11 @@
         },
     );
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.cache.requests(1);
     world.router.terminate();
     world.heeds("stopping");
-    client.ask(2, OBJECT);
+    client.request(2, OBJECT);
     // Both would wait for ten minutes, and it may be killed after 2.7 s.
     let over = [client.reply(), client.reply()];
     assert!(over.iter().all(|(_, reply)| is_over(reply)), "{over:?}");
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -12,11 +12,11 @@
 
 #[test]
 fn thousands_of_requests_and_connections_leak_no_descriptor() {
-    let world = world(|_| Deed::Say(served(b"x")));
+    let world = world(|_| Behavior::Respond(served(b"x")));
     let before = descriptors(world.router.pid());
     for round in 0..2000 {
         let mut client = Client::connect(&world.router);
-        client.ask(1, &format!("{round:016x}"));
+        client.request(1, &format!("{round:016x}"));
         // Some leave before their answer.
         if round % 3 > 0 {
             assert_eq!(client.reply(), (1, done(b"x")));
@@ -32,15 +32,15 @@
 
 #[test]
 fn requests_are_answered_where_the_system_allows_fewer_descriptors_than_configured() {
-    let (cache, log) = (Cache::start(|_| Deed::Hang), ChangeLog::start());
+    let (cache, log) = (Cache::start(|_| Behavior::Hang), ChangeStream::start());
     let members = vec![
-        member("c-1", cache.address, "cache", "active"),
-        member("p-1", cache.address, "parent", "active"),
-        member("o-1", cache.address, "origin", "active"),
+        endpoint_entry("c-1", cache.address, "cache", "active"),
+        endpoint_entry("p-1", cache.address, "parent", "active"),
+        endpoint_entry("o-1", cache.address, "origin", "active"),
     ];
     let router = Router::start_with(
         &configuration(log.address, members),
-        &Start { descriptors: Some(40), ..Start::default() },
+        &StartOptions { descriptors: Some(40), ..StartOptions::default() },
     );
     let _idle: Vec<_> = (0..60).map(|_| Client::connect(&router)).collect();
     let mut client = Client::connect(&router);
@@ -54,13 +54,13 @@
 #[test]
 fn silent_and_incomplete_connections_are_closed_and_active_ones_may_stay_idle() {
     let world = world_with(
-        |_| Deed::Say(served(b"x")),
+        |_| Behavior::Respond(served(b"x")),
         |configuration| configuration["limits"]["sockets"] = json!(100),
     );
     // Far more than there is room for: the silent ones make it for each other, and for those that ask.
     let mut silent: Vec<_> = (0..200).map(|_| Client::connect(&world.router)).collect();
     let mut late = Client::connect(&world.router);
-    late.ask(1, OBJECT);
+    late.request(1, OBJECT);
     assert_eq!(late.reply(), (1, done(b"x")));
     late.send(&call(2, &page(OBJECT, "3000"), b"")[..30]);
     let mut client = Client::connect(&world.router);
@@ -77,14 +77,14 @@
 
 #[test]
 fn descriptors_stay_within_their_limit_while_connects_hang() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogCache::start();
     burst_within_descriptors(Some(stuck.address));
 }
 
 /// More requests than connections to a cache that never answers, or never lets one come up.
 fn burst_within_descriptors(address: Option<SocketAddr>) {
     let world = world_with(
-        |_| Deed::Hang,
+        |_| Behavior::Hang,
         |configuration| {
             configuration["limits"]["sockets"] = json!(100);
             if let Some(address) = address {
@@ -114,7 +114,7 @@
         (0..32).for_each(|_| assert!(is_over(&client.reply().1)));
     }
     assert!(Client::connect(&world.router).healthy(1));
-    over.let_go();
+    over.release();
     sampler.join().unwrap();
     let most = most.change(|most| *most);
     assert!((40..=100).contains(&most), "{most} descriptors");
@@ -124,7 +124,7 @@
 fn slow_readers_are_disconnected_and_memory_stays_bounded() {
     let bytes = served(&vec![1; 240_000]);
     let world = world_with(
-        move |_| Deed::Say(bytes.clone()),
+        move |_| Behavior::Respond(bytes.clone()),
         |configuration| configuration["limits"]["memory_mb"] = json!(32),
     );
     let mut slow: Vec<_> = (0..12).map(|_| Client::connect(&world.router)).collect();
@@ -139,7 +139,7 @@
     let mut seq = 1;
     until("memory to be free again", || {
         seq += 1;
-        client.ask(seq, "00000000000000aa");
+        client.request(seq, "00000000000000aa");
         !is_over(&client.reply().1)
     });
     let peak = world.router.peak_kb();
@@ -149,7 +149,7 @@
 #[test]
 fn a_client_that_never_reads_is_disconnected_before_it_costs_memory() {
     let world = world_with(
-        |_| Deed::Say(served(b"x")),
+        |_| Behavior::Respond(served(b"x")),
         |configuration| configuration["limits"]["memory_mb"] = json!(32),
     );
     let mut flood = Client::connect(&world.router);
@@ -159,7 +159,7 @@
     let mut seq = 0;
     until("the flood to end", || {
         seq += 1;
-        client.ask(seq, OBJECT);
+        client.request(seq, OBJECT);
         assert_eq!(client.reply(), (seq, done(b"x")));
         flooding.is_finished()
     });
--- a/crates/router/tests/policy.rs
+++ b/crates/router/tests/policy.rs
@@ -17,19 +17,19 @@
 impl Alone {
     fn start(name: &str) -> Self {
         let operator = std::env::temp_dir().join(format!("tindoor-alone-{}-{name}.sock", std::process::id()));
-        let (cache, log) = (Cache::start(|_| Deed::Hang), ChangeLog::start());
-        let parent = Cache::start(|_| Deed::Hang);
+        let (cache, log) = (Cache::start(|_| Behavior::Hang), ChangeStream::start());
+        let parent = Cache::start(|_| Behavior::Hang);
         let members = vec![
-            member("c-1", cache.address, "cache", "active"),
-            member("p-1", parent.address, "parent", "active"),
-            member("o-1", parent.address, "origin", "active"),
+            endpoint_entry("c-1", cache.address, "cache", "active"),
+            endpoint_entry("p-1", parent.address, "parent", "active"),
+            endpoint_entry("o-1", parent.address, "origin", "active"),
         ];
         let fleet = json!({
             "name": "alone", "listen": free_address(), "votes": true, "operator": operator, "voters": 1, "lease_ms": 200,
             "hold_out_ms": 1000, "clock_bound_ms": 20, "beat_ms": 25, "probation_ms": 50,
         });
         let fronts = json!({ "fleet": fleet, "external_processing": {"listen": "127.0.0.1:0"} });
-        let start = Start { fronts: Some(fronts), ..Start::default() };
+        let start = StartOptions { fronts: Some(fronts), ..StartOptions::default() };
         let mut told = configuration(log.address, members);
         // As old as copies may be, or a policy that says it would not stand.
         told["settings"]["family_info"]["gone_everywhere"] = json!(3_600_000_000u64);
@@ -65,35 +65,35 @@
 
 fn pause((seq, reply): (i32, Reply)) -> (i32, Option<String>) {
     match reply {
-        Reply::TurnedBack(fields) => (seq, fields.get("pause").cloned()),
+        Reply::Rejected(fields) => (seq, fields.get("pause").cloned()),
         _ => (seq, None),
     }
 }
 
-/// Seen with five routers under all faults: where all places are taken by a request of the old policy, none passes the
+/// ReceivedRequest with five routers under all faults: where all places are taken by a request of the old policy, none passes the
 /// gate at which a new one is adopted, and 262 requests were refused at the door by the old one, for seconds.
 #[test]
 fn what_is_refused_at_the_door_is_refused_by_the_policy_in_force() {
     let alone = Alone::start("door");
     alone.change(json!({"limit.open_views": 1, "longest_come_back_ms": 2}));
     let mut first = Client::connect(&alone.router);
-    first.ask(1, OBJECT);
+    first.request(1, OBJECT);
     alone.cache.requests(1);
     let mut second = Client::connect(&alone.router);
-    second.ask(2, OBJECT);
+    second.request(2, OBJECT);
     assert_eq!(pause(second.reply()), (2, Some("2".into())));
     alone.change(json!({"longest_come_back_ms": 5}));
-    second.ask(3, OBJECT);
+    second.request(3, OBJECT);
     assert_eq!(pause(second.reply()), (3, Some("5".into())));
     // A wider limit lets it in, though no request has come to its end since.
     alone.change(json!({"limit.open_views": 2}));
     let sent = alone.cache.count();
-    second.ask(4, "00000000000000aa");
+    second.request(4, "00000000000000aa");
     alone.cache.requests(sent + 1);
     // And so does its end: a router that went on by the bound of a change that was undone would never know.
     alone.change(json!({"limit.open_views": null}));
     let sent = alone.cache.count();
-    second.ask(5, "00000000000000ab");
+    second.request(5, "00000000000000ab");
     alone.cache.requests(sent + 1);
 }
 
--- a/crates/router/tests/requests.rs
+++ b/crates/router/tests/requests.rs
@@ -12,7 +12,7 @@
 fn a_request_is_served_and_its_fields_are_forwarded_unchanged() {
     let body: Vec<u8> = (0..240_000u32).map(|i| (i * 7 % 251) as u8).collect();
     let bytes = served(&body);
-    let world = world(move |_| Deed::Say(bytes.clone()));
+    let world = world(move |_| Behavior::Respond(bytes.clone()));
     let mut client = Client::connect(&world.router);
     assert!(client.healthy(1));
     let mut fields = [page(OBJECT, "3000"), vec![("known", "4be0c1927d55a6f3")]].concat();
@@ -20,7 +20,7 @@
     client.send(&call(2, &fields, b""));
     assert_eq!(client.reply(), (2, done(&body)));
     let seen = &world.cache.requests(1)[0];
-    assert_eq!(seen.line, format!("GET /v1/store/pages/{OBJECT}/3 HTTP/1.1"));
+    assert_eq!(seen.request_line, format!("GET /v1/store/pages/{OBJECT}/3 HTTP/1.1"));
     let header = |name: &str| seen.headers.get(name).map(String::as_str);
     assert_eq!(header("x-ticket"), Some("9b1f03aa5c7e2d41"));
     assert_eq!(header("x-source"), Some("p-1"));
@@ -32,11 +32,11 @@
 
 #[test]
 fn a_current_client_copy_is_confirmed_and_a_write_goes_to_the_origin() {
-    let world = world(|_| Deed::Say(b"HTTP/1.1 304 X\r\nX-Remark: warm\r\n\r\n".to_vec()));
+    let world = world(|_| Behavior::Respond(b"HTTP/1.1 304 X\r\nX-Remark: warm\r\n\r\n".to_vec()));
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     let fields = [("valid".to_string(), "1".to_string())].into();
-    assert_eq!(client.reply(), (1, Reply::Served { body: Vec::new(), fields, good: true }));
+    assert_eq!(client.reply(), (1, Reply::Served { body: Vec::new(), fields, healthy: true }));
     let fields = [("route", "saves"), ("nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")];
     let fields: Vec<_> = fields.into_iter().chain(page(OBJECT, "3000").into_iter().skip(1)).collect();
     let written = vec![7; 48_000];
@@ -53,16 +53,16 @@
 fn answers_come_out_of_order_and_frames_in_any_pieces() {
     let gate = Watched::default();
     let held = gate.clone();
-    let world = world(move |seen| match seen.line.contains(OBJECT) {
-        true => Deed::Once(held.clone(), served(b"late")),
-        false => Deed::Say(served(b"early")),
+    let world = world(move |seen| match seen.request_line.contains(OBJECT) {
+        true => Behavior::RespondOnRelease(held.clone(), served(b"late")),
+        false => Behavior::Respond(served(b"early")),
     });
     let mut client = Client::connect(&world.router);
     let both =
         [call(1, &page(OBJECT, "3000"), b""), call(2, &page("00000000000000aa", "3000"), b"")].concat();
     client.send(&both);
     assert_eq!(client.reply(), (2, done(b"early")));
-    gate.let_go();
+    gate.release();
     assert_eq!(client.reply(), (1, done(b"late")));
     for byte in call(3, &page("00000000000000ab", "3000"), b"") {
         client.send(&[byte]);
@@ -72,23 +72,25 @@
 
 #[test]
 fn a_cancel_closes_the_attempt_and_is_not_answered() {
-    let world = world(|seen| if seen.line.contains(OBJECT) { Deed::Hang } else { Deed::Say(served(b"x")) });
+    let world = world(|seen| {
+        if seen.request_line.contains(OBJECT) { Behavior::Hang } else { Behavior::Respond(served(b"x")) }
+    });
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.cache.requests(1);
     client.cancel(99);
     client.cancel(1);
     world.cache.closed.wait("the dispatch to be closed", |closed| (*closed > 0).then_some(()));
     client.cancel(1);
-    client.ask(2, "00000000000000aa");
+    client.request(2, "00000000000000aa");
     assert_eq!(client.reply(), (2, done(b"x")));
 }
 
 #[test]
 fn a_client_that_closes_cancels_its_requests() {
-    let world = world(|_| Deed::Hang);
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     world.cache.requests(1);
     drop(client);
     world.cache.closed.wait("the dispatch to be closed", |closed| (*closed > 0).then_some(()));
@@ -96,7 +98,7 @@
 
 #[test]
 fn a_silent_endpoint_costs_an_attempt_timeout_and_the_request_ends_in_time() {
-    let world = world(|_| Deed::Hang);
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
     let asked = Instant::now();
     client.send(&call(1, &page(OBJECT, "700"), b""));
@@ -107,25 +109,27 @@
 
 #[test]
 fn a_rejected_request_has_a_retry_after() {
-    let full = answer(503, "X-Shed: 1\r\n", b"");
-    let world = world(move |_| Deed::Say(full.clone()));
+    let full = http_response(503, "X-Shed: 1\r\n", b"");
+    let world = world(move |_| Behavior::Respond(full.clone()));
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     let (_, reply) = client.reply();
-    let Reply::TurnedBack(fields) = reply else { panic!("{reply:?}") };
+    let Reply::Rejected(fields) = reply else { panic!("{reply:?}") };
     assert!(fields["pause"].parse::<u64>().unwrap() <= 500);
 }
 
 #[test]
 fn malformed_calls_are_answered_and_cost_no_other_connection() {
-    let world = world(|seen| if seen.line.contains(OBJECT) { Deed::Hang } else { Deed::Say(served(b"x")) });
+    let world = world(|seen| {
+        if seen.request_line.contains(OBJECT) { Behavior::Hang } else { Behavior::Respond(served(b"x")) }
+    });
     let mut other = Client::connect(&world.router);
-    other.ask(1, OBJECT);
+    other.request(1, OBJECT);
     world.cache.requests(1);
     let mut client = Client::connect(&world.router);
     client.send(&frame(1, "nonesuch", 4, &[0]));
     assert_eq!(client.reply(), (4, Reply::Exception));
-    let reason = |text: &str| (5, Reply::WrittenOff([("reason".into(), text.into())].into()));
+    let reason = |text: &str| (5, Reply::Failed([("reason".into(), text.into())].into()));
     for (field, values) in [
         ("route", &["pages2", "b d", ""][..]),
         ("trace", &["9b1f03aa5c7e2d4", "9b1f03aa5c7e2d41a", "+b1f03aa5c7e2d41"]),
@@ -151,25 +155,27 @@
     assert_eq!(client.reply(), reason("body"));
     let nested: Vec<u8> = [12, 0, 9].repeat(10_000);
     client.send(&frame(1, "call", 6, &nested));
-    assert!(matches!(client.reply(), (6, Reply::WrittenOff(_))));
-    client.ask(7, OBJECT);
-    client.ask(7, "00000000000000aa");
+    assert!(matches!(client.reply(), (6, Reply::Failed(_))));
+    client.request(7, OBJECT);
+    client.request(7, "00000000000000aa");
     assert_eq!(client.reply(), (7, Reply::Exception), "the number is in use");
     for bytes in [&[0xff; 4][..], &[0x7f, 0xff, 0xff, 0xff], &[0, 0, 0, 4, 0, 0, 0, 1]] {
         let mut bad = Client::connect(&world.router);
         bad.send(bytes);
         assert_eq!(bad.reply_or_end(), None);
     }
-    other.ask(2, "00000000000000aa");
+    other.request(2, "00000000000000aa");
     assert_eq!(other.reply(), (2, done(b"x")));
 }
 
 #[test]
 fn requests_cancelled_as_they_are_sent_leave_no_attempt_in_flight() {
-    let world = world(|seen| if seen.line.contains(OBJECT) { Deed::Hang } else { Deed::Say(served(b"x")) });
+    let world = world(|seen| {
+        if seen.request_line.contains(OBJECT) { Behavior::Hang } else { Behavior::Respond(served(b"x")) }
+    });
     let mut client = Client::connect(&world.router);
     for seq in 1..=300 {
-        client.ask(seq, OBJECT);
+        client.request(seq, OBJECT);
         // Some are withdrawn in a breath of their own, whenever the router comes to it.
         client.cancel(seq);
         if seq % 30 == 0 {
@@ -179,7 +185,7 @@
             client.send(&[both, ends].concat());
         }
     }
-    client.ask(2000, "00000000000000aa");
+    client.request(2000, "00000000000000aa");
     assert_eq!(client.reply(), (2000, done(b"x")));
     // What was ordered has ended: the routing engine counts nothing as out.
     let count = |log: &mut Vec<String>, word: &str| log.iter().filter(|line| line.contains(word)).count();
@@ -193,7 +199,7 @@
 fn a_request_id_is_in_flight_once_only() {
     let gate = Watched::default();
     let held = gate.clone();
-    let world = world(move |_| Deed::Once(held.clone(), served(b"x")));
+    let world = world(move |_| Behavior::RespondOnRelease(held.clone(), served(b"x")));
     let (mut client, mut other) = (Client::connect(&world.router), Client::connect(&world.router));
     let named = |seq, object| {
         let mut fields = page(object, "600000");
@@ -203,8 +209,8 @@
     client.send(&named(1, OBJECT));
     world.cache.requests(1);
     other.send(&named(1, "00000000000000aa"));
-    assert_eq!(other.reply(), (1, Reply::WrittenOff([("reason".into(), "trace".into())].into())));
-    gate.let_go();
+    assert_eq!(other.reply(), (1, Reply::Failed([("reason".into(), "trace".into())].into())));
+    gate.release();
     assert_eq!(client.reply(), (1, done(b"x")));
     until("the id to be free again", || {
         other.send(&named(2, "00000000000000aa"));
@@ -214,16 +220,16 @@
 
 #[test]
 fn the_thirty_third_open_call_is_rejected() {
-    let world = world(|_| Deed::Hang);
+    let world = world(|_| Behavior::Hang);
     let mut client = Client::connect(&world.router);
-    (1..=33).for_each(|seq| client.ask(seq, OBJECT));
-    let (seq, Reply::TurnedBack(fields)) = client.reply() else { panic!("not turned back") };
+    (1..=33).for_each(|seq| client.request(seq, OBJECT));
+    let (seq, Reply::Rejected(fields)) = client.reply() else { panic!("not turned back") };
     assert!(seq == 33 && fields["pause"].parse::<u64>().unwrap() <= 500, "{fields:?}");
 }
 
 #[test]
 fn answers_before_a_malformed_frame_arrive_though_the_client_sends_on() {
-    let world = world(|_| Deed::Say(served(b"x")));
+    let world = world(|_| Behavior::Respond(served(b"x")));
     let mut client = Client::connect(&world.router);
     client
         .send(&[frame(1, "nonesuch", 1, &[0]), frame(1, "nonesuch", 2, &[0]), vec![0xff; 600_000]].concat());
--- a/crates/router/tests/signed.rs
+++ b/crates/router/tests/signed.rs
@@ -58,11 +58,11 @@
 
 #[test]
 fn a_key_file_that_others_can_read_is_refused_at_the_start_and_a_bad_one_later_changes_nothing() {
-    let (cache, log) = (Cache::start(|_| Deed::Say(served(b"x"))), ChangeLog::start());
-    let origin = Cache::start(|_| Deed::Hang);
+    let (cache, log) = (Cache::start(|_| Behavior::Respond(served(b"x"))), ChangeStream::start());
+    let origin = Cache::start(|_| Behavior::Hang);
     let members = vec![
-        member("c-1", cache.address, "cache", "active"),
-        member("o-1", origin.address, "origin", "active"),
+        endpoint_entry("c-1", cache.address, "cache", "active"),
+        endpoint_entry("o-1", origin.address, "origin", "active"),
     ];
     let configuration = configuration(log.address, members);
     let folder = std::env::temp_dir().join(format!("tindoor-signed-{}", std::process::id()));
@@ -84,7 +84,8 @@
     allow(0o600);
     assert_eq!(start().0, Some(0));
 
-    let router = Router::start_with(&configuration, &Start { fronts: Some(told), ..Start::default() });
+    let router =
+        Router::start_with(&configuration, &StartOptions { fronts: Some(told), ..StartOptions::default() });
     let ask = || request_with_bad_signature(&router);
     let refused = ask();
     assert!(
@@ -96,7 +97,7 @@
         "{\"keys\": [{\"kid\": \"a\", \"kty\": \"oct\", \"alg\": \"HS256\", \"k\": \"short\"}]}",
     )
     .unwrap();
-    router.hang_up();
+    router.reread_files();
     let line =
         router.log.wait("the reload", |log| log.iter().find(|l| l.contains("keys not read again")).cloned());
     assert!(
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -9,25 +9,25 @@
 pub struct World {
     pub cache: Cache,
     pub origin: Cache,
-    pub log: ChangeLog,
+    pub log: ChangeStream,
     pub router: Router,
 }
 
-pub fn world(deed: impl Fn(&Seen) -> Deed + Send + Sync + 'static) -> World {
+pub fn world(deed: impl Fn(&ReceivedRequest) -> Behavior + Send + Sync + 'static) -> World {
     world_with(deed, |_| {})
 }
 
 pub fn world_with(
-    deed: impl Fn(&Seen) -> Deed + Send + Sync + 'static,
+    deed: impl Fn(&ReceivedRequest) -> Behavior + Send + Sync + 'static,
     change: impl FnOnce(&mut Value),
 ) -> World {
-    let (cache, log) = (Cache::start(deed), ChangeLog::start());
-    let origin = Cache::start(|_| Deed::Say(served(b"saved")));
-    let parent = Cache::start(|_| Deed::Hang);
+    let (cache, log) = (Cache::start(deed), ChangeStream::start());
+    let origin = Cache::start(|_| Behavior::Respond(served(b"saved")));
+    let parent = Cache::start(|_| Behavior::Hang);
     let members = vec![
-        member("c-1", cache.address, "cache", "active"),
-        member("p-1", parent.address, "parent", "active"),
-        member("o-1", origin.address, "origin", "active"),
+        endpoint_entry("c-1", cache.address, "cache", "active"),
+        endpoint_entry("p-1", parent.address, "parent", "active"),
+        endpoint_entry("o-1", origin.address, "origin", "active"),
     ];
     let mut configuration = configuration(log.address, members);
     change(&mut configuration);
@@ -37,11 +37,11 @@
 
 /// The answer of a request done with this body.
 pub fn done(body: &[u8]) -> Reply {
-    Reply::Served { body: body.to_vec(), fields: Default::default(), good: true }
+    Reply::Served { body: body.to_vec(), fields: Default::default(), healthy: true }
 }
 
 pub fn is_over(reply: &Reply) -> bool {
-    matches!(reply, Reply::TurnedBack(_) | Reply::WrittenOff(_))
+    matches!(reply, Reply::Rejected(_) | Reply::Failed(_))
 }
 
 pub fn fleet(seq: u64, members: Vec<Value>) -> String {
@@ -56,9 +56,9 @@
 }
 
 /// A router whose only cache is this one, which takes no connection yet, with a request that has begun to connect to it.
-pub fn stuck_world(stuck: &Stuck) -> (World, Client) {
+pub fn stuck_world(stuck: &FullBacklogCache) -> (World, Client) {
     let world = world_with(
-        |_| Deed::Say(served(b"other")),
+        |_| Behavior::Respond(served(b"other")),
         |configuration| {
             configuration["settings"]["limits"]["connect_timeout"] = json!(60_000_000);
             let members = &mut configuration["known"]["results"][0]["fleet"]["members"];
@@ -66,9 +66,9 @@
         },
     );
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
-    stuck.is_connected_to();
-    world.log.asks(1);
-    world.log.beat.change(|beat| *beat = None);
+    client.request(1, OBJECT);
+    stuck.wait_for_connect();
+    world.log.wait_for_subscriptions(1);
+    world.log.heartbeat.change(|heartbeat| *heartbeat = None);
     (world, client)
 }
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -17,18 +17,18 @@
         b"HTTP/1.1 103 X\r\n\r\n".repeat(1000),
         b"HTTP/1.1 200 X\r\nContent-Length: 99999999999\r\n\r\n".to_vec(),
         b"what?\r\n\r\n".to_vec(),
-        answer(418, "", b"tea"),
+        http_response(418, "", b"tea"),
         [b"HTTP/1.1 200 X\r\nX-Long: ".to_vec(), vec![b'a'; 20_000]].concat(),
     ];
     let next = AtomicUsize::new(0);
     let world = world(move |seen| match answers.get(next.fetch_add(1, Ordering::Relaxed)) {
-        Some(bytes) if seen.line.contains(OBJECT) => Deed::SayAndClose(bytes.clone()),
-        _ => Deed::Say(served(b"good")),
+        Some(bytes) if seen.request_line.contains(OBJECT) => Behavior::RespondAndClose(bytes.clone()),
+        _ => Behavior::Respond(served(b"good")),
     });
     let mut client = Client::connect(&world.router);
     let mut over = 0;
     for seq in 1.. {
-        client.ask(seq, OBJECT);
+        client.request(seq, OBJECT);
         match client.reply() {
             (_, reply) if is_over(&reply) => over += 1,
             reply => {
@@ -48,13 +48,13 @@
         [interim.clone(), good.clone()].concat(),
         [good.clone(), good.clone()].concat(),
         [good.clone(), vec![0xff; 100]].concat(),
-        [interim, answer(304, "", b"")].concat(),
+        [interim, http_response(304, "", b"")].concat(),
     ];
     let next = AtomicUsize::new(0);
-    let world = world(move |_| Deed::Say(answers[next.fetch_add(1, Ordering::Relaxed) % 4].clone()));
+    let world = world(move |_| Behavior::Respond(answers[next.fetch_add(1, Ordering::Relaxed) % 4].clone()));
     let mut client = Client::connect(&world.router);
     for seq in 1..=40 {
-        client.ask(seq, OBJECT);
+        client.request(seq, OBJECT);
         match (seq % 4, client.reply()) {
             (0, (_, Reply::Served { fields, .. })) => assert_eq!(fields["valid"], "1"),
             (_, reply) => assert_eq!(reply, (seq, done(b"good"))),
@@ -66,19 +66,19 @@
 #[test]
 fn endpoints_that_refuse_or_reset_cost_an_attempt_and_not_the_answer() {
     let refusing = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let resetting = Cache::start(|_| Deed::Reset);
+    let resetting = Cache::start(|_| Behavior::Reset);
     let world = world_with(
-        |_| Deed::Say(served(b"good")),
+        |_| Behavior::Respond(served(b"good")),
         |configuration| {
             let members = &mut configuration["known"]["results"][0]["fleet"]["members"];
             for (id, address) in [("c-2", refusing), ("c-3", resetting.address)] {
-                members.as_array_mut().unwrap().push(member(id, address, "cache", "active"));
+                members.as_array_mut().unwrap().push(endpoint_entry(id, address, "cache", "active"));
             }
         },
     );
     let mut client = Client::connect(&world.router);
     for seq in 1..=30 {
-        client.ask(seq, &format!("{seq:016x}"));
+        client.request(seq, &format!("{seq:016x}"));
         assert_eq!(client.reply(), (seq, done(b"good")));
     }
     assert!(resetting.count() > 0, "it was tried");
@@ -88,18 +88,18 @@
 #[test]
 fn idle_connections_are_closed_before_the_endpoint_closes_them() {
     let world = world_with(
-        |_| Deed::Say(served(b"x")),
+        |_| Behavior::Respond(served(b"x")),
         |configuration| configuration["settings"]["limits"]["conn_idle"] = json!(2_000_000),
     );
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     assert_eq!(client.reply(), (1, done(b"x")));
     world.cache.closed.wait("the router to close", |closed| (*closed > 0).then_some(()));
 }
 
 #[test]
 fn a_connection_closed_while_idle_is_not_used_for_non_idempotent_requests() {
-    let world = world(|_| Deed::SayAndClose(served(b"x")));
+    let world = world(|_| Behavior::RespondAndClose(served(b"x")));
     let mut client = Client::connect(&world.router);
     for seq in 1..=3 {
         let fields: Vec<_> =
@@ -114,27 +114,28 @@
 
 #[test]
 fn a_new_endpoint_at_the_address_of_a_removed_one_gets_new_connections() {
-    let world = world(|_| Deed::Say(served(b"x")));
+    let world = world(|_| Behavior::Respond(served(b"x")));
     let mut client = Client::connect(&world.router);
-    client.ask(1, OBJECT);
+    client.request(1, OBJECT);
     client.reply();
-    world.log.asks(1);
+    world.log.wait_for_subscriptions(1);
     let address = world.cache.address;
-    let (old, new) = (member("c-1", address, "cache", "left"), member("c-2", address, "cache", "active"));
-    world.log.say(&fleet(2, vec![old, new]));
-    world.log.beat.change(|beat| *beat = Some(2));
+    let (old, new) =
+        (endpoint_entry("c-1", address, "cache", "left"), endpoint_entry("c-2", address, "cache", "active"));
+    world.log.send(&fleet(2, vec![old, new]));
+    world.log.heartbeat.change(|heartbeat| *heartbeat = Some(2));
     world.cache.closed.wait("the old connection to go", |closed| (*closed > 0).then_some(()));
-    client.ask(2, OBJECT);
+    client.request(2, OBJECT);
     assert_eq!(client.reply(), (2, done(b"x")));
     assert_eq!(world.cache.requests(2)[1].connection, 1);
 }
 
 #[test]
 fn a_connect_that_hangs_past_a_drain_sends_nothing() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogCache::start();
     let (world, mut client) = stuck_world(&stuck);
-    let gone = member("c-1", stuck.address, "cache", "left");
-    world.log.say(&fleet(2, vec![gone, member("c-2", world.cache.address, "cache", "active")]));
+    let gone = endpoint_entry("c-1", stuck.address, "cache", "left");
+    world.log.send(&fleet(2, vec![gone, endpoint_entry("c-2", world.cache.address, "cache", "active")]));
     world.heeds("sequence: 2");
     let asked = stuck.open();
     assert_eq!(client.reply(), (1, done(b"other")));
@@ -143,10 +144,10 @@
 
 #[test]
 fn a_connect_that_hangs_past_a_purge_accepts_no_older_copy() {
-    let stuck = Stuck::start();
+    let stuck = FullBacklogCache::start();
     let (world, mut client) = stuck_world(&stuck);
     let purge = json!({"seq": 2, "invalidate": {"object": OBJECT, "time": 1}});
-    world.log.say(&format!("{purge}\n"));
+    world.log.send(&format!("{purge}\n"));
     world.heeds("sequence: 2");
     let asked = stuck.open();
     assert_eq!(client.reply(), (1, done(b"stuck")));
--- a/crates/testbed/src/budgets.rs
+++ b/crates/testbed/src/budgets.rs
@@ -248,7 +248,7 @@
                 let done = matches!(reply, Reply::Served { .. });
                 match reply {
                     Reply::Served { .. } => counts.figures.done += 1,
-                    Reply::TurnedBack(_) => counts.figures.rejected += 1,
+                    Reply::Rejected(_) => counts.figures.rejected += 1,
                     _ => counts.figures.failed += 1,
                 }
                 if kind >= 6 {
--- a/crates/testbed/src/called.rs
+++ b/crates/testbed/src/called.rs
@@ -18,7 +18,7 @@
 use crate::figures::Figures;
 use crate::fleet::Fleet;
 use crate::proxy::{Fields, Proxy, read};
-use crate::stand_in::{Router, Start, configuration};
+use crate::stand_in::{Router, StartOptions, configuration};
 
 /// What proxies and clients do by request, and what happens to fleet and router.
 pub const BY_REQUEST: [&str; 10] =
@@ -85,11 +85,11 @@
     let mut fleet = Fleet::start(6);
     let free = |_| std::net::TcpListener::bind("127.0.0.1:0").and_then(|socket| socket.local_addr());
     let [front, call] = [free(0)?, free(1)?];
-    let start = Start {
+    let start = StartOptions {
         fronts: Some(json!({"external_processing": {"listen": front}, "call": {"listen": call}})),
-        without: plan.without.clone(),
-        log: Some("info"),
-        ..Start::default()
+        disabled_check: plan.without.clone(),
+        log_level: Some("info"),
+        ..StartOptions::default()
     };
     let configured = |fleet: &Fleet| {
         let mut configuration = configuration(fleet.log.address, fleet.members());
@@ -97,7 +97,7 @@
         configuration
     };
     let mut router = Some(Router::start_with(&configured(&fleet), &start));
-    fleet.log.asks(1);
+    fleet.log.wait_for_subscriptions(1);
     let proxies =
         runtime.block_on(async { [Proxy::start(front, call).await, Proxy::start(front, call).await] });
     let world = Arc::new(World {
@@ -144,9 +144,9 @@
                 old.terminate();
                 old.wait();
             }
-            let asked = fleet.log.asked.change(|asked| asked.len());
+            let asked = fleet.log.subscriptions.change(|asked| asked.len());
             router = Some(Router::start_with(&configured(&fleet), &start));
-            fleet.log.asks(asked + 1);
+            fleet.log.wait_for_subscriptions(asked + 1);
             restarts += 1;
         }
     }
--- a/crates/testbed/src/choices.rs
+++ b/crates/testbed/src/choices.rs
@@ -15,7 +15,7 @@
 use crate::figures::Figures;
 use crate::fleet::Fleet;
 use crate::peer::{self, PROCESS};
-use crate::stand_in::{Router, Start, configuration};
+use crate::stand_in::{Router, StartOptions, configuration};
 
 /// Seconds of processor that a process has used, and its resident kilobytes.
 pub(crate) fn used(pid: u32) -> Result<(f64, u64)> {
@@ -29,9 +29,9 @@
 
 fn router(fleet: &Fleet) -> Router {
     let fronts = Some(json!({"external_processing": {"listen": "127.0.0.1:0"}}));
-    let start = Start { fronts, log: Some("info"), ..Start::default() };
+    let start = StartOptions { fronts, log_level: Some("info"), ..StartOptions::default() };
     let router = Router::start_with(&configuration(fleet.log.address, fleet.members()), &start);
-    fleet.log.asks(1);
+    fleet.log.wait_for_subscriptions(1);
     router
 }
 
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -23,7 +23,7 @@
 use crate::fleet::Fleet;
 use crate::relay::Relay;
 use crate::simulated::named;
-use crate::stand_in::{Router, Start, configuration};
+use crate::stand_in::{Router, StartOptions, configuration};
 
 /// Faults that every experiment can inject; each experiment has others of its own beside them.
 pub const FAULTS: &[&str] = &[
@@ -207,12 +207,12 @@
     pub fn start_node(&self, index: usize, clock: Option<String>) {
         let node = &self.nodes[index];
         let configuration = self.node_configuration(index);
-        let start = Start {
+        let start = StartOptions {
             fronts: Some(node.fronts.clone()),
-            without: self.plan.without.clone(),
-            log: Some("info"),
-            clock,
-            ..Start::default()
+            disabled_check: self.plan.without.clone(),
+            log_level: Some("info"),
+            clock_fault: clock,
+            ..StartOptions::default()
         };
         *node.process.lock().unwrap() = Some(Router::start_with(&configuration, &start));
         node.disruptions.fetch_add(1, Ordering::SeqCst);
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -79,7 +79,7 @@
     client.0.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
     client.0.write_all(&frame(1, "health", 1, &[2, 0, 1, 1, 0])).ok()?;
     match client.reply_or_end()? {
-        (1, Reply::Served { good, .. }) => Some(good),
+        (1, Reply::Served { healthy, .. }) => Some(healthy),
         _ => None,
     }
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -10,13 +10,13 @@
 use crate::choices::used;
 use crate::figures::Figures;
 use crate::fleet::Fleet;
-use crate::stand_in::{Client, FRESH, Reply, Router, Start, call, configuration};
+use crate::stand_in::{Client, FRESH, Reply, Router, StartOptions, call, configuration};
 
 pub fn run(seed: u64, requests: u64, seconds: u64) -> Result<Figures> {
     let mut fleet = Fleet::start(4);
-    let start = Start { log: Some("info"), ..Start::default() };
+    let start = StartOptions { log_level: Some("info"), ..StartOptions::default() };
     let router = Router::start_with(&configuration(fleet.log.address, fleet.members()), &start);
-    fleet.log.asks(1);
+    fleet.log.wait_for_subscriptions(1);
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut client = Client::connect(&router);
     let (mut figures, begun, before) = (Figures::default(), Instant::now(), used(router.pid())?.0);
@@ -35,7 +35,7 @@
         figures.requests += 1;
         match client.reply_or_end() {
             Some((seq, Reply::Served { .. })) if seq == nth as i32 + 1 => figures.done += 1,
-            Some((seq, Reply::TurnedBack(_))) if seq == nth as i32 + 1 => figures.rejected += 1,
+            Some((seq, Reply::Rejected(_))) if seq == nth as i32 + 1 => figures.rejected += 1,
             Some((seq, _)) if seq == nth as i32 + 1 => figures.failed += 1,
             Some(_) => figures.answered_twice += 1,
             None => {
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::figures::Figures;
-use crate::stand_in::{Cache, ChangeLog, Deed, Seen, answer, member};
+use crate::stand_in::{Behavior, Cache, ChangeStream, ReceivedRequest, endpoint_entry, http_response};
 
 /// The graces of the configuration, and what is added on sockets.
 const GRACE: Duration = Duration::from_millis(550);
@@ -65,7 +65,14 @@
 
 impl Shared {
     /// Takes in one attempt; what becomes of it, where that is special.
-    fn asked(&mut self, now: Instant, no: usize, seen: &Seen, ticket: &str, object: &str) -> Option<Deed> {
+    fn asked(
+        &mut self,
+        now: Instant,
+        no: usize,
+        seen: &ReceivedRequest,
+        ticket: &str,
+        object: &str,
+    ) -> Option<Behavior> {
         if self.connected.insert((no, seen.connection)) {
             self.connections.entry(no).or_default().push(now);
         }
@@ -91,9 +98,9 @@
                 let takes = Duration::from_millis(if kind == "f2" { 200 + takes } else { takes });
                 self.fills.push((now, now + takes, ticket.to_string()));
                 let headers = "X-Remark: deep_fill\r\nX-Version: 4be0c1927d55a6f3\r\n";
-                Some(Deed::Run(takes, Arc::new(move |_| answer(200, headers, b"filled"))))
+                Some(Behavior::RespondAfter(takes, Arc::new(move |_| http_response(200, headers, b"filled"))))
             }
-            "f1" | "f2" => Some(Deed::Say(answer(404, "", b""))),
+            "f1" | "f2" => Some(Behavior::Respond(http_response(404, "", b""))),
             _ => None,
         }
     }
@@ -101,7 +108,7 @@
 
 /// Caches, parents and an origin, told to routers by one change stream.
 pub struct Fleet {
-    pub log: ChangeLog,
+    pub log: ChangeStream,
     record: Arc<Mutex<Record>>,
     caches: Vec<(String, Cache, &'static str)>,
     seq: u64,
@@ -110,10 +117,10 @@
 }
 
 /// How a cache treats a request.
-fn treat(record: &Arc<Mutex<Record>>, no: usize, id: &str, kind: &str, seen: &Seen) -> Deed {
+fn treat(record: &Arc<Mutex<Record>>, no: usize, id: &str, kind: &str, seen: &ReceivedRequest) -> Behavior {
     let now = Instant::now();
     let header = |name: &str| seen.headers.get(name).cloned();
-    let path = seen.line.split(' ').nth(1).unwrap_or_default().to_string();
+    let path = seen.request_line.split(' ').nth(1).unwrap_or_default().to_string();
     let mut parts = path.trim_start_matches("/v1/store/").split('/');
     let (class, object) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
     let mut locked = record.lock().unwrap();
@@ -137,23 +144,23 @@
         locked.sent_after_drain += 1;
     }
     if locked.dead.contains(&no) {
-        return Deed::Reset;
+        return Behavior::Reset;
     }
     let fails =
         locked.fails.as_ref().is_some_and(|(age, of)| *age == accepts && ticket.starts_with(of.as_str()));
     // Some take long to fail.
     if object.starts_with("dd") {
-        return Deed::Run(Duration::from_millis(250), Arc::new(|_| answer(500, "", b"")));
+        return Behavior::RespondAfter(Duration::from_millis(250), Arc::new(|_| http_response(500, "", b"")));
     }
     // Some objects fail wherever they are asked for.
     if fails || object.starts_with("ee") {
-        return Deed::Say(answer(500, "", b""));
+        return Behavior::Respond(http_response(500, "", b""));
     }
     if let Some(mark) = header("x-nonce").filter(|_| class == "saves") {
         // The record of a write is made at its end: two that run at once both run.
         let known = locked.runs.get(&mark).and_then(|runs| runs.last()).is_some_and(|at| now - *at < WINDOW);
         if known {
-            return Deed::Say(saved());
+            return Behavior::Respond(saved());
         }
         let record = Arc::clone(record);
         let run = move |waits: bool| {
@@ -168,7 +175,7 @@
             }
             saved()
         };
-        return Deed::Run(Duration::from_millis(15), Arc::new(run));
+        return Behavior::RespondAfter(Duration::from_millis(15), Arc::new(run));
     }
     let fresh = Duration::from_secs(8);
     let most = header("x-accept-age").and_then(|age| age.parse().ok()).filter(|age| *age > 0);
@@ -177,7 +184,9 @@
     let held = locked.copies.get(&key).copied().filter(|fetched| now - *fetched <= most);
     let (remark, fetched) = match held {
         Some(fetched) => ("warm", fetched),
-        None if header("x-source").is_none() && kind == "cache" => return Deed::Say(answer(404, "", b"")),
+        None if header("x-source").is_none() && kind == "cache" => {
+            return Behavior::Respond(http_response(404, "", b""));
+        }
         None => {
             locked.fills += 1;
             locked.copies.insert(key, now);
@@ -194,17 +203,17 @@
         let unix = (unix_ms() as i64 / 1000 + off) as u64;
         format!("Date: {}\r\n", httpdate::fmt_http_date(UNIX_EPOCH + Duration::from_secs(unix)))
     });
-    Deed::Say(answer(200, &(headers + &said.unwrap_or_default()), path.as_bytes()))
+    Behavior::Respond(http_response(200, &(headers + &said.unwrap_or_default()), path.as_bytes()))
 }
 
 fn saved() -> Vec<u8> {
-    answer(200, "X-Remark: deep_fill\r\nX-Version: 4be0c1927d55a6f3\r\n", b"saved")
+    http_response(200, "X-Remark: deep_fill\r\nX-Version: 4be0c1927d55a6f3\r\n", b"saved")
 }
 
 impl Fleet {
     /// So many caches, two parents and an origin.
     pub fn start(caches: usize) -> Self {
-        let log = ChangeLog::start();
+        let log = ChangeStream::start();
         let mut fleet = Self { log, record: Arc::default(), caches: Vec::new(), seq: 1, events: Vec::new() };
         for _ in 0..caches {
             fleet.add("cache");
@@ -228,8 +237,9 @@
 
     /// All members as the list has them at the start.
     pub fn members(&self) -> Vec<Value> {
-        let member =
-            |(id, cache, kind): &(String, Cache, &'static str)| member(id, cache.address, kind, "active");
+        let member = |(id, cache, kind): &(String, Cache, &'static str)| {
+            endpoint_entry(id, cache.address, kind, "active")
+        };
         self.caches.iter().map(member).collect()
     }
 
@@ -241,15 +251,15 @@
     fn tell(&mut self, mut event: Value) {
         self.seq += 1;
         event["seq"] = json!(self.seq);
-        self.log.tell(self.seq, format!("{event}\n"));
-        self.log.stands_at(self.seq);
+        self.log.publish(self.seq, format!("{event}\n"));
+        self.log.set_heartbeat(self.seq);
         self.events.push(event);
     }
 
     /// Tells of a member's phase; drained and gone ones are recorded from now on.
     fn phase(&mut self, no: usize, phase: &str) {
         let (id, cache, kind) = &self.caches[no];
-        let mut line = member(id, cache.address, kind, phase);
+        let mut line = endpoint_entry(id, cache.address, kind, phase);
         if phase == "active" {
             line["up_since_ms"] = json!(unix_ms());
         } else {
@@ -295,7 +305,7 @@
         self.record.lock().unwrap().ages = Some(HashMap::new());
         self.seq += 1;
         let purge = json!({"seq": self.seq, "invalidate": {"bucket": 17, "time": unix_ms() - 600_000}});
-        self.log.stands_at(self.seq);
+        self.log.set_heartbeat(self.seq);
         self.events.push(purge);
     }
 
--- a/crates/testbed/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -129,7 +129,7 @@
         let mut pause = None;
         match reply {
             Reply::Served { .. } => counts.figures.done += 1,
-            Reply::TurnedBack(fields) => {
+            Reply::Rejected(fields) => {
                 counts.figures.rejected += 1;
                 pause = fields.get("pause").and_then(|pause| pause.parse().ok());
                 counts.no_lease += u64::from(pause == Some(NO_LEASE));
--- a/crates/testbed/src/signed.rs
+++ b/crates/testbed/src/signed.rs
@@ -25,7 +25,7 @@
 use crate::figures::Figures;
 use crate::fleet::{Fleet, unix_ms};
 use crate::proxy::{Proxy, read};
-use crate::stand_in::{Router, Start, configuration};
+use crate::stand_in::{Router, StartOptions, configuration};
 
 const KINDS: [&str; 14] = [
     "good",
@@ -206,8 +206,12 @@
                   {"form": "uri-signing", "from": {"query": "URISigningPackage"}},
                   {"form": "uri-signing", "from": {"cookie": "URISigningPackage"}}]});
     let fronts = json!({"external_processing": {"listen": front}, "call": {"listen": call}, "links": links});
-    let start =
-        Start { fronts: Some(fronts), without: plan.without.clone(), log: Some("info"), ..Start::default() };
+    let start = StartOptions {
+        fronts: Some(fronts),
+        disabled_check: plan.without.clone(),
+        log_level: Some("info"),
+        ..StartOptions::default()
+    };
     let mut told = configuration(fleet.log.address, fleet.members());
     let mut free = told["settings"]["request_classes"][0].clone();
     free["name"] = json!("free");
@@ -215,7 +219,7 @@
     told["settings"]["family_info"]["class_fresh"] = json!([8_000_000, 0, 0, 8_000_000]);
     told["settings"]["family_info"]["goes_through"] = json!([false, true, false, false]);
     let router = Router::start_with(&told, &start);
-    fleet.log.asks(1);
+    fleet.log.wait_for_subscriptions(1);
     let proxy = runtime.block_on(Proxy::start(front, call));
     let off = plan.router_off.unwrap_or_default();
     if let Some(off) = plan.router_off {
@@ -235,7 +239,7 @@
     for revoked in [false, true] {
         if revoked {
             write_keys(&keys, true)?;
-            router.hang_up();
+            router.reread_files();
             router.log.wait("the keys to be read", |log| {
                 log.iter().any(|line| line.contains("keys read again")).then_some(())
             });
--- /dev/null
+++ b/crates/testbed/src/stand_in/full_backlog.rs
@@ -0,0 +1,87 @@
+//! A cache whose backlog of connections is full.
+
+use std::io::{Read, Write};
+use std::net::SocketAddr;
+use std::thread;
+
+use socket2::{Domain, Socket, Type};
+
+use super::{Watched, served, until};
+
+/// Connections that fill a backlog of length 0, with those that the system admits beyond it.
+const FILLER_CONNECTIONS: usize = 4;
+
+/// A cache whose backlog is full: connects to it neither succeed nor fail until it is opened.
+pub struct FullBacklogCache {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Number of connections accepted, without those that fill its backlog.
+    pub accepted: Watched<usize>,
+    socket: Socket,
+    fillers: Vec<Socket>,
+}
+
+impl FullBacklogCache {
+    /// Listens on a free port and fills its own backlog.
+    pub fn start() -> Self {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket.listen(0).unwrap();
+        let address = socket.local_addr().unwrap().as_socket().unwrap();
+        let fill = |_| {
+            let filler = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+            filler.set_nonblocking(true).unwrap();
+            let _ = filler.connect(&address.into());
+            filler
+        };
+        let fillers = (0..FILLER_CONNECTIONS).map(fill).collect();
+        Self { address, accepted: Watched::default(), socket, fillers }
+    }
+
+    fn filler_addresses(&self) -> Vec<SocketAddr> {
+        let local_address =
+            |filler: &Socket| filler.local_addr().ok().and_then(|address| address.as_socket());
+        self.fillers.iter().filter_map(local_address).collect()
+    }
+
+    /// Waits until the system has begun a connect to it, not counting those that fill its backlog.
+    pub fn wait_for_connect(&self) {
+        const SYN_SENT: &str = "02";
+        let port = |field: &str| u16::from_str_radix(field.split_once(':')?.1, 16).ok();
+        let fillers: Vec<u16> = self.filler_addresses().iter().map(SocketAddr::port).collect();
+        until("a connect to begin", || {
+            let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+            table.lines().skip(1).any(|line| {
+                let fields: Vec<&str> = line.split_whitespace().collect();
+                let by_other = port(fields[1]).is_some_and(|local| !fillers.contains(&local));
+                by_other && port(fields[2]) == Some(self.address.port()) && fields[3] == SYN_SENT
+            })
+        });
+    }
+
+    /// Accepts connections from now on and serves one request on each; returns the requests as text.
+    pub fn open(&self) -> Watched<Vec<String>> {
+        let requests = Watched::<Vec<String>>::default();
+        let socket = self.socket.try_clone().unwrap();
+        let received = requests.clone();
+        let accepted = self.accepted.clone();
+        let fillers = self.filler_addresses();
+        thread::spawn(move || {
+            while let Ok((mut stream, from)) = socket.accept() {
+                if !from.as_socket().is_some_and(|from| fillers.contains(&from)) {
+                    accepted.change(|count| *count += 1);
+                }
+                let received = received.clone();
+                thread::spawn(move || {
+                    let mut buffer = [0; 4096];
+                    if let Ok(size @ 1..) = stream.read(&mut buffer) {
+                        let request = String::from_utf8_lossy(&buffer[..size]).into_owned();
+                        received.change(|received| received.push(request));
+                        let _ = stream.write_all(&served(b"stuck"));
+                    }
+                });
+            }
+        });
+        requests
+    }
+}
