--- a/crates/router/tests/external_processing.rs
+++ b/crates/router/tests/external_processing.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use serde_json::json;
-use tindoor_testbed::called::{self, Plan};
+use tindoor_testbed::external_processing::{self, Plan};
 use tindoor_testbed::figures::Figures;
 use tindoor_testbed::peer::{self, PROCESS};
 use tindoor_testbed::stand_in::*;
 
 fn experiment(seed: u64, requests: u64, faults: &str, without: Option<&str>) -> Figures {
     let (faults, without) = (Plan::faults(faults).unwrap(), without.map(str::to_string));
-    called::run(&Plan { seed, requests, seconds: 60, faults, without, clients: 24 }).unwrap()
+    external_processing::run(&Plan { seed, requests, seconds: 60, faults, without, clients: 24 }).unwrap()
 }
 
 fn assert_clean(figures: &Figures) {
@@ -239,9 +239,13 @@
 fn each_phase_is_replied_to_in_order() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
-    let chunks = vec![peer::page(1, &[]), peer::body(900), peer::answer("200"), peer::trailers()];
+    let chunks =
+        vec![peer::request_headers(1, &[]), peer::body(900), peer::response_headers("200"), peer::trailers()];
     let outcome = peer::call(front, PROCESS, GRPC, chunks);
-    assert_eq!(outcome.said, ["request_headers", "request_body", "response_headers", "response_trailers"]);
+    assert_eq!(
+        outcome.messages,
+        ["request_headers", "request_body", "response_headers", "response_trailers"]
+    );
     assert_eq!((outcome.status, outcome.code), (200, Some(0)));
 }
 
@@ -252,37 +256,45 @@
     let long = [&[0][..], &(1u32 << 30).to_be_bytes()].concat().into();
     let compressed = [&[1][..], &3u32.to_be_bytes(), b"abc"].concat().into();
     let unreadable = [&[0][..], &3u32.to_be_bytes(), &[0xff; 3]].concat().into();
-    let cut = peer::page(1, &[]).slice(..20);
+    let cut = peer::request_headers(1, &[]).slice(..20);
     for (name, chunks, code) in [
-        ("an answer first", vec![peer::answer("200")], 3),
+        ("an answer first", vec![peer::response_headers("200")], 3),
         ("a body first", vec![peer::body(5)], 3),
-        ("no kind", vec![peer::nothing()], 3),
+        ("no kind", vec![peer::empty()], 3),
         ("a message of a gigabyte", vec![long], 8),
-        ("a body over the limit", vec![peer::page(2, &[]), peer::body(70_000)], 8),
+        ("a body over the limit", vec![peer::request_headers(2, &[]), peer::body(70_000)], 8),
         ("compressed", vec![compressed], 12),
         ("unreadable", vec![unreadable], 3),
         ("cut off", vec![cut], 3),
-        ("headers twice", vec![peer::page(3, &[]), peer::page(3, &[])], 3),
-        ("an answer without a status", vec![peer::page(4, &[]), peer::answer("two")], 3),
-        ("an answer twice", vec![peer::page(5, &[]), peer::answer("200"), peer::answer("200")], 3),
+        ("headers twice", vec![peer::request_headers(3, &[]), peer::request_headers(3, &[])], 3),
+        ("an answer without a status", vec![peer::request_headers(4, &[]), peer::response_headers("two")], 3),
+        (
+            "an answer twice",
+            vec![peer::request_headers(5, &[]), peer::response_headers("200"), peer::response_headers("200")],
+            3,
+        ),
     ] {
         let outcome = peer::call(front, PROCESS, GRPC, chunks);
         assert_eq!((outcome.status, outcome.code), (200, Some(code)), "{name}: {outcome:?}");
     }
-    assert_eq!(peer::call(front, "/another/Method", GRPC, vec![peer::page(6, &[])]).code, Some(12));
-    assert_eq!(peer::call(front, PROCESS, "text/html", vec![peer::page(7, &[])]).status, 415);
+    assert_eq!(
+        peer::call(front, "/another/Method", GRPC, vec![peer::request_headers(6, &[])]).code,
+        Some(12)
+    );
+    assert_eq!(peer::call(front, PROCESS, "text/html", vec![peer::request_headers(7, &[])]).status, 415);
     // A header that can't be used is refused with an answer for the client.
-    let outcome = peer::call(front, PROCESS, GRPC, vec![peer::page(8, &[("x-max-ms", "soon")])]);
-    assert_eq!((outcome.said, outcome.code), (vec!["immediate 400".to_string()], Some(0)));
+    let outcome = peer::call(front, PROCESS, GRPC, vec![peer::request_headers(8, &[("x-max-ms", "soon")])]);
+    assert_eq!((outcome.messages, outcome.code), (vec!["immediate 400".to_string()], Some(0)));
 }
 
 #[test]
 fn a_flood_of_resets_closes_only_its_own_connection() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
-    assert!(peer::resets(front, 20_000) < 20_000, "the flood is cut off");
-    let outcome = peer::call(front, PROCESS, GRPC, vec![peer::page(1, &[]), peer::answer("200")]);
-    assert_eq!((outcome.said.len(), outcome.code), (2, Some(0)));
+    assert!(peer::reset_streams(front, 20_000) < 20_000, "the flood is cut off");
+    let outcome =
+        peer::call(front, PROCESS, GRPC, vec![peer::request_headers(1, &[]), peer::response_headers("200")]);
+    assert_eq!((outcome.messages.len(), outcome.code), (2, Some(0)));
 }
 
 #[test]
@@ -310,15 +322,16 @@
     let block = field.repeat(80);
     let is_closed = (0..20_000).any(|_| peer.write_all(&frame(9, 0, 1, &block)).is_err());
     assert!(is_closed, "160 MB of headers were accepted");
-    let outcome = peer::call(front, PROCESS, GRPC, vec![peer::page(1, &[]), peer::answer("200")]);
-    assert_eq!((outcome.said.len(), outcome.code), (2, Some(0)));
+    let outcome =
+        peer::call(front, PROCESS, GRPC, vec![peer::request_headers(1, &[]), peer::response_headers("200")]);
+    assert_eq!((outcome.messages.len(), outcome.code), (2, Some(0)));
 }
 
 #[test]
 fn a_peer_that_never_opens_its_window_is_reset_and_its_request_ends() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
-    assert!(peer::shut_window(front), "the stream is reset");
+    assert!(peer::is_reset_without_window(front), "the stream is reset");
     fixture.router.terminate();
     // Nothing is in flight any more: the shutdown would wait for it, and log it.
     let line =
@@ -330,8 +343,9 @@
 fn a_connection_may_hold_about_a_thousand_streams() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
-    let accepted = peer::hold(front, 1100);
+    let accepted = peer::hold_streams(front, 1100);
     assert!((1000..=1024).contains(&accepted), "{accepted}");
-    let outcome = peer::call(front, PROCESS, GRPC, vec![peer::page(1, &[]), peer::answer("200")]);
-    assert_eq!((outcome.said.len(), outcome.code), (2, Some(0)));
+    let outcome =
+        peer::call(front, PROCESS, GRPC, vec![peer::request_headers(1, &[]), peer::response_headers("200")]);
+    assert_eq!((outcome.messages.len(), outcome.code), (2, Some(0)));
 }
--- a/crates/router/tests/policy.rs
+++ b/crates/router/tests/policy.rs
@@ -101,5 +101,5 @@
 fn a_bound_of_the_policy_holds_on_the_fronts_that_only_choose() {
     let alone = Alone::start("bound");
     alone.change(json!({"limit.open_views": 2}));
-    assert_eq!(peer::hold(alone.router.front("external_processing"), 5), 2);
+    assert_eq!(peer::hold_streams(alone.router.front("external_processing"), 5), 2);
 }
--- a/crates/testbed/src/choices.rs
+++ b/crates/testbed/src/choices.rs
@@ -1,12 +1,14 @@
-//! Measurement: what a choice takes, against a call that the same front refuses before any module or table is
-//! asked.
+//! Measurement: what a routing decision costs, against a call that the same front rejects before it looks at any state.
 
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use anyhow::{Context, Result};
+use h2::client::SendRequest;
 use hdrhistogram::Histogram;
+use prost::bytes::Bytes;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
@@ -17,106 +19,158 @@
 use crate::peer::{self, PROCESS};
 use crate::stand_in::{Router, StartOptions, configuration};
 
-/// Seconds of processor that a process has used, and its resident kilobytes.
-pub(crate) fn used(pid: u32) -> Result<(f64, u64)> {
+const ENDPOINTS: usize = 6;
+const STREAMS_PER_CONNECTION: u64 = 250;
+const DATA_FRAME_BUDGET: usize = 1 << 20;
+const LONGEST_LATENCY_US: u64 = 60_000_000;
+const ATTEMPT_LIMIT: u64 = 8;
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
+
+/// What a process has used so far.
+pub(crate) struct ProcessUsage {
+    /// Processor time in seconds.
+    pub(crate) cpu_seconds: f64,
+    /// Resident memory in kilobytes.
+    pub(crate) resident_kb: u64,
+}
+
+/// Reads what a process has used so far.
+pub(crate) fn process_usage(pid: u32) -> Result<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks: f64 = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status.lines().find(|line| line.starts_with("VmRSS")).context("no VmRSS")?;
-    Ok((ticks / 100.0, line.split_whitespace().nth(1).context("no number")?.parse()?))
+    let resident_kb = line.split_whitespace().nth(1).context("no number")?.parse()?;
+    Ok(ProcessUsage { cpu_seconds: ticks / CLOCK_TICKS_PER_SECOND, resident_kb })
 }
 
-fn router(fleet: &Fleet) -> Router {
+fn start_router(fleet: &Fleet) -> Router {
     let fronts = Some(json!({"external_processing": {"listen": "127.0.0.1:0"}}));
-    let start = StartOptions { fronts, log_level: Some("info"), ..StartOptions::default() };
-    let router = Router::start_with(&configuration(fleet.log.address, fleet.members()), &start);
+    let options = StartOptions { fronts, log_level: Some("info"), ..StartOptions::default() };
+    let router = Router::start_with(&configuration(fleet.log.address, fleet.members()), &options);
     fleet.log.wait_for_subscriptions(1);
     router
 }
 
-/// So many streams at once, each asking again once it has its end and has paused; without a pause the router
-/// is full.
+/// The calls of one kind, shared by all streams.
+struct Load {
+    seed: u64,
+    requests: u64,
+    /// Mean pause between two calls of a stream.
+    pause: Duration,
+    /// Whether the front rejects each call.
+    is_rejected: bool,
+    next_request: AtomicU64,
+    answered: AtomicU64,
+    latency_us: Mutex<Histogram<u64>>,
+}
+
+/// Measures decisions, then rejected calls, on so many concurrent streams. Each stream calls again after its call has
+/// ended and it has paused; without a pause the router is saturated.
 pub fn run(seed: u64, requests: u64, streams: u64, pause: Duration) -> Result<Figures> {
-    let fleet = Fleet::start(6);
-    let router = router(&fleet);
+    let fleet = Fleet::start(ENDPOINTS);
+    let router = start_router(&fleet);
     let front = router.front("external_processing");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
     let mut figures = Figures::default();
-    for (name, refused) in [("choice", false), ("refused", true)] {
-        let (begun, before) = (Instant::now(), used(router.pid())?);
-        let latency = Arc::new(Mutex::new(Histogram::<u64>::new_with_bounds(1, 60_000_000, 3)?));
-        let (next, good) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        runtime.block_on(async {
-            let mut tasks = Vec::new();
-            for group in 0..streams.div_ceil(250) {
-                let socket = TcpStream::connect(front).await?;
-                socket.set_nodelay(true)?;
-                let (sender, connection) =
-                    h2::client::Builder::new().data_frame_budget(1 << 20).handshake(socket).await?;
-                tokio::spawn(async move { connection.await.ok() });
-                for no in group * 250..streams.min(group * 250 + 250) {
-                    let (sender, latency) = (sender.clone(), Arc::clone(&latency));
-                    let (next, good) = (Arc::clone(&next), Arc::clone(&good));
-                    tasks.push(tokio::spawn(async move {
-                        let mut chance = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(7919).wrapping_add(no));
-                        while next.fetch_add(1, Ordering::Relaxed) < requests {
-                            let path = format!("/v1/store/pages/{:016x}/0", chance.random_range(0..2000u64));
-                            let wait = if refused { "never" } else { "3000" };
-                            let more = [(":path", path.as_str()), ("x-max-ms", wait), ("x-group", "7")];
-                            let asked = peer::page(chance.random(), &more);
-                            let took = peer::once(sender.clone(), PROCESS, asked).await;
-                            // Without a pause at all, a timer would make one.
-                            if !pause.is_zero() {
-                                tokio::time::sleep(pause.mul_f64(chance.random_range(0.5..1.5))).await;
-                            }
-                            if let Some(took) = took {
-                                good.fetch_add(1, Ordering::Relaxed);
-                                latency.lock().unwrap().saturating_record(took.as_micros() as u64);
-                            }
-                        }
-                    }));
-                }
-            }
-            for task in tasks {
-                task.await?;
-            }
-            anyhow::Ok(())
-        })?;
-        let (after, seconds) = (used(router.pid())?, begun.elapsed().as_secs_f64());
-        let good = good.load(Ordering::Relaxed);
-        let latency = latency.lock().unwrap();
-        let figure = [
-            ("us_median", json!(latency.value_at_quantile(0.5))),
-            ("us_99", json!(latency.value_at_quantile(0.99))),
-            ("a_second", json!((good as f64 / seconds).round())),
-            ("a_second_of_one_core", json!((good as f64 / (after.0 - before.0)).round())),
-            ("cpu_us_each", json!(1e6 * (after.0 - before.0) / good as f64)),
-        ];
-        for (what, value) in figure {
-            figures.more.insert(format!("{name}_{what}"), value);
-        }
-        figures.requests += requests;
-        figures.answered_none += requests - good;
+    for (name, is_rejected) in [("choice", false), ("refused", true)] {
+        let started_at = Instant::now();
+        let before = process_usage(router.pid())?;
+        let load = Arc::new(Load {
+            seed,
+            requests,
+            pause,
+            is_rejected,
+            next_request: AtomicU64::new(0),
+            answered: AtomicU64::new(0),
+            latency_us: Mutex::new(Histogram::new_with_bounds(1, LONGEST_LATENCY_US, 3)?),
+        });
+        runtime.block_on(run_streams(&load, front, streams))?;
+        let cpu_seconds = process_usage(router.pid())?.cpu_seconds - before.cpu_seconds;
+        load.report(&mut figures, name, started_at.elapsed().as_secs_f64(), cpu_seconds);
     }
     figures.done = figures.requests - figures.answered_none;
-    figures.judge(8, 0);
+    figures.judge(ATTEMPT_LIMIT, 0);
     Ok(figures)
 }
 
-/// Memory of open streams, so many on each of so many connections.
+/// Runs all streams to their end.
+async fn run_streams(load: &Arc<Load>, front: SocketAddr, streams: u64) -> Result<()> {
+    let mut tasks = Vec::new();
+    for group in 0..streams.div_ceil(STREAMS_PER_CONNECTION) {
+        let socket = TcpStream::connect(front).await?;
+        socket.set_nodelay(true)?;
+        let mut builder = h2::client::Builder::new();
+        let (sender, connection) = builder.data_frame_budget(DATA_FRAME_BUDGET).handshake(socket).await?;
+        tokio::spawn(async move { connection.await.ok() });
+        let first = group * STREAMS_PER_CONNECTION;
+        for index in first..streams.min(first + STREAMS_PER_CONNECTION) {
+            tasks.push(tokio::spawn(run_stream(Arc::clone(load), sender.clone(), index)));
+        }
+    }
+    for task in tasks {
+        task.await?;
+    }
+    Ok(())
+}
+
+/// Makes one call after another until the load's requests are used up.
+async fn run_stream(load: Arc<Load>, sender: SendRequest<Bytes>, index: u64) {
+    let mut random = Pcg64Mcg::seed_from_u64(load.seed.wrapping_mul(7919).wrapping_add(index));
+    while load.next_request.fetch_add(1, Ordering::Relaxed) < load.requests {
+        let path = format!("/v1/store/pages/{:016x}/0", random.random_range(0..2000u64));
+        // A deadline that is no number is rejected when the headers are parsed.
+        let deadline_ms = if load.is_rejected { "never" } else { "3000" };
+        let more = [(":path", path.as_str()), ("x-max-ms", deadline_ms), ("x-group", "7")];
+        let headers = peer::request_headers(random.random(), &more);
+        let latency = peer::exchange_once(sender.clone(), PROCESS, headers).await;
+        // A sleep of zero would still wait for the timer.
+        if !load.pause.is_zero() {
+            tokio::time::sleep(load.pause.mul_f64(random.random_range(0.5..1.5))).await;
+        }
+        if let Some(latency) = latency {
+            load.answered.fetch_add(1, Ordering::Relaxed);
+            load.latency_us.lock().unwrap().saturating_record(latency.as_micros() as u64);
+        }
+    }
+}
+
+impl Load {
+    /// Adds what was measured under keys that begin with `name`.
+    fn report(&self, figures: &mut Figures, name: &str, seconds: f64, cpu_seconds: f64) {
+        let answered = self.answered.load(Ordering::Relaxed);
+        let latency_us = self.latency_us.lock().unwrap();
+        let values = [
+            ("us_median", json!(latency_us.value_at_quantile(0.5))),
+            ("us_99", json!(latency_us.value_at_quantile(0.99))),
+            ("a_second", json!((answered as f64 / seconds).round())),
+            ("a_second_of_one_core", json!((answered as f64 / cpu_seconds).round())),
+            ("cpu_us_each", json!(1e6 * cpu_seconds / answered as f64)),
+        ];
+        for (key, value) in values {
+            figures.more.insert(format!("{name}_{key}"), value);
+        }
+        figures.requests += self.requests;
+        figures.answered_none += self.requests - answered;
+    }
+}
+
+/// Measures the router's memory with open streams, so many on each of so many connections.
 pub fn memory(streams: usize, connections: usize) -> Result<Figures> {
-    let fleet = Fleet::start(6);
-    let router = router(&fleet);
+    let fleet = Fleet::start(ENDPOINTS);
+    let router = start_router(&fleet);
     let front = router.front("external_processing");
-    let before = used(router.pid())?.1;
-    let (given, at_most) =
-        peer::hold_many(front, streams, connections, || used(router.pid()).map_or(0, |now| now.1));
-    let mut figures = Figures { requests: given as u64, done: given as u64, ..Figures::default() };
-    let more =
-        [("kb_before", before), ("kb_with_streams", at_most), ("streams", (streams * connections) as u64)];
+    let kb_before = process_usage(router.pid())?.resident_kb;
+    let held = peer::hold_connections(front, streams, connections, || {
+        process_usage(router.pid()).map_or(0, |usage| usage.resident_kb)
+    });
+    let accepted = held.accepted as u64;
+    let mut figures = Figures { requests: accepted, done: accepted, ..Figures::default() };
+    let total = streams * connections;
+    let more = [("kb_before", kb_before), ("kb_with_streams", held.measured), ("streams", total as u64)];
     figures.more.extend(more.map(|(name, value)| (name.to_string(), json!(value))));
-    let each = (at_most.saturating_sub(before)) as f64 * 1024.0 / (streams * connections) as f64;
-    figures.more.insert("bytes_a_stream".into(), json!(each.round()));
+    let bytes_per_stream = held.measured.saturating_sub(kb_before) as f64 * 1024.0 / total as f64;
+    figures.more.insert("bytes_a_stream".into(), json!(bytes_per_stream.round()));
     Ok(figures)
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
 
-use crate::choices::used;
+use crate::choices::process_usage;
 use crate::figures::Figures;
 use crate::fleet::Fleet;
 use crate::stand_in::{Client, FRESH, Reply, Router, StartOptions, call, configuration};
@@ -19,7 +19,8 @@
     fleet.log.wait_for_subscriptions(1);
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut client = Client::connect(&router);
-    let (mut figures, begun, before) = (Figures::default(), Instant::now(), used(router.pid())?.0);
+    let (mut figures, begun, before) =
+        (Figures::default(), Instant::now(), process_usage(router.pid())?.cpu_seconds);
     for nth in 0..requests {
         if begun.elapsed().as_secs() >= seconds {
             break;
@@ -45,7 +46,7 @@
         }
     }
     figures.more.insert("seconds".into(), json!(begun.elapsed().as_secs_f64()));
-    let spent = 1e6 * (used(router.pid())?.0 - before) / figures.requests.max(1) as f64;
+    let spent = 1e6 * (process_usage(router.pid())?.cpu_seconds - before) / figures.requests.max(1) as f64;
     figures.more.insert("router_cpu_us_each".into(), json!(spent));
     fleet.audit(&mut figures);
     figures.judge(8, 0);
--- /dev/null
+++ b/crates/testbed/src/external_processing/client.rs
@@ -0,0 +1,219 @@
+//! The clients of the experiment.
+
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+
+use super::{Counts, OBJECTS, REQUEST_FAULTS, Workload, object};
+use crate::proxy::{Fields, read};
+
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
+const SAVE_ATTEMPTS: u32 = 3;
+const DEFAULT_BACKOFF_MS: u64 = 30;
+
+/// One client: sends one request after another, each to one of the proxies.
+pub(super) async fn run(workload: Arc<Workload>, index: u64) {
+    let seed = workload.plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add(index);
+    let mut client = Client {
+        workload: &workload,
+        random: Pcg64Mcg::seed_from_u64(seed),
+        connections: Connections::new(&workload),
+    };
+    loop {
+        let request = workload.next_request.fetch_add(1, Ordering::Relaxed);
+        if request >= workload.plan.requests || Instant::now() > workload.end {
+            return;
+        }
+        let fault = client.draw_fault();
+        let proxy = client.random.random_range(0..2);
+        let is_save = fault == "ask-twice" || client.random.random_bool(0.2);
+        let idempotency_key = format!("{:032x}", client.random.random::<u128>());
+        match is_save {
+            false => client.read_object(proxy, fault).await,
+            true => client.save(proxy, fault, &idempotency_key).await,
+        }
+    }
+}
+
+/// A request of a client, before it is sent.
+struct ClientRequest<'a> {
+    /// Index of the proxy that it is sent to.
+    proxy: usize,
+    path: &'a str,
+    headers: &'a [(&'a str, &'a str)],
+    fault: &'a str,
+    correlation_id: u64,
+}
+
+/// The answer that a client got.
+struct ClientResponse {
+    status: u16,
+    fields: Fields,
+}
+
+struct Client<'a> {
+    workload: &'a Workload,
+    random: Pcg64Mcg,
+    connections: Connections<'a>,
+}
+
+impl<'a> Client<'a> {
+    /// The fault of the next request, empty for none.
+    fn draw_fault(&mut self) -> &'a str {
+        let faults: Vec<&str> = self
+            .workload
+            .plan
+            .faults
+            .iter()
+            .map(String::as_str)
+            .filter(|fault| REQUEST_FAULTS.contains(fault))
+            .collect();
+        if !self.random.random_bool(0.2) || faults.is_empty() {
+            return "";
+        }
+        let fault = faults[self.random.random_range(0..faults.len())];
+        // Most of those that wait for seconds are left out: the run would be waiting alone.
+        let waits_long = fault == "silent" || fault == "late";
+        if waits_long && self.random.random_bool(0.8) { "" } else { fault }
+    }
+
+    async fn read_object(&mut self, proxy: usize, fault: &str) {
+        let index = (OBJECTS as f64 * self.random.random::<f64>().powi(2)) as u64;
+        let must_fail = self.workload.plan.has("fail") && self.random.random_bool(0.02);
+        let object = match must_fail {
+            true => format!("ee{:014x}", self.random.random_range(0..1u64 << 40)),
+            false => object(index),
+        };
+        let path = format!("/v1/store/pages/{object}/0");
+        let correlation_id = self.random.random();
+        self.connections
+            .send(ClientRequest { proxy, path: &path, headers: &[], fault, correlation_id })
+            .await;
+    }
+
+    async fn save(&mut self, proxy: usize, fault: &str, idempotency_key: &str) {
+        let path = format!("/v1/store/saves/{}/0", object(self.random.random_range(0..OBJECTS)));
+        match fault {
+            "ask-twice" => self.save_on_both_proxies(proxy, &path, idempotency_key).await,
+            _ => self.save_with_retries(proxy, &path, fault, idempotency_key).await,
+        }
+    }
+
+    /// Sends a save with the same idempotency key to both proxies at once.
+    async fn save_on_both_proxies(&mut self, proxy: usize, path: &str, idempotency_key: &str) {
+        let headers = &[("x-nonce", idempotency_key)];
+        let (first, second) = (self.random.random(), self.random.random());
+        let mut other = Connections::new(self.workload);
+        let request =
+            |proxy, correlation_id| ClientRequest { proxy, path, headers, fault: "", correlation_id };
+        tokio::join!(self.connections.send(request(proxy, first)), other.send(request(1 - proxy, second)));
+    }
+
+    /// Sends a save, and again with its idempotency key after it was rejected.
+    async fn save_with_retries(&mut self, proxy: usize, path: &str, fault: &str, idempotency_key: &str) {
+        let first_headers = [("x-nonce", idempotency_key)];
+        let retry_headers = [("x-nonce", idempotency_key), ("x-redo", "1")];
+        let mut headers = &first_headers[..];
+        for _ in 0..SAVE_ATTEMPTS {
+            let correlation_id = self.random.random();
+            let response =
+                self.connections.send(ClientRequest { proxy, path, headers, fault, correlation_id }).await;
+            let Some(ClientResponse { status: 502 | 503, fields }) = response else { break };
+            let backoff_ms = fields.get("x-tindoor-pause-ms").and_then(|ms| ms.parse().ok());
+            tokio::time::sleep(Duration::from_millis(backoff_ms.unwrap_or(DEFAULT_BACKOFF_MS))).await;
+            headers = &retry_headers;
+        }
+    }
+}
+
+/// The connections of a client.
+struct Connections<'a> {
+    workload: &'a Workload,
+    /// An idle connection to each proxy.
+    idle: [Option<TcpStream>; 2],
+}
+
+impl<'a> Connections<'a> {
+    fn new(workload: &'a Workload) -> Self {
+        Self { workload, idle: [None, None] }
+    }
+
+    /// Sends a request; it is to get one answer, in time. None where the client disconnects or gets no answer.
+    async fn send(&mut self, request: ClientRequest<'_>) -> Option<ClientResponse> {
+        let counts = &self.workload.counts;
+        let correlation_id = format!("{:016x}", request.correlation_id);
+        let address = self.workload.proxies[request.proxy].address;
+        let mut stream = match self.idle[request.proxy].take() {
+            Some(stream) => stream,
+            None => TcpStream::connect(address).await.ok()?,
+        };
+        let _ = stream.set_nodelay(true);
+        counts.lock().unwrap().figures.requests += 1;
+        let started_at = Instant::now();
+        // What is there before the request is a second answer to the one before.
+        let mut unread = Vec::new();
+        if stream.try_read_buf(&mut unread).is_ok_and(|size| size > 0) {
+            counts.lock().unwrap().figures.answered_twice += 1;
+            unread.clear();
+        }
+        stream.write_all(request_head(&request, &correlation_id).as_bytes()).await.ok()?;
+        if request.fault == "leave" {
+            let wait_us = u64::from_str_radix(&correlation_id[..4], 16).unwrap_or(0) % 3000;
+            tokio::time::sleep(Duration::from_micros(wait_us)).await;
+            counts.lock().unwrap().clients_left += 1;
+            return None;
+        }
+        let response = tokio::time::timeout(CLIENT_TIMEOUT, read(&mut stream, &mut unread)).await;
+        let mut counts = counts.lock().unwrap();
+        let Ok(Ok(Some(response))) = response else {
+            counts.figures.answered_none += 1;
+            return None;
+        };
+        let is_own = response.fields.get("x-lab-ticket") == Some(&correlation_id);
+        counts.figures.answered_twice += u64::from(!is_own || !unread.is_empty());
+        counts.latency_us.saturating_record(started_at.elapsed().as_micros() as u64);
+        let response =
+            ClientResponse { status: response.target.parse().unwrap_or(0), fields: response.fields };
+        counts.add(&response);
+        drop(counts);
+        self.idle[request.proxy] = Some(stream);
+        Some(response)
+    }
+}
+
+fn request_head(request: &ClientRequest, correlation_id: &str) -> String {
+    let mut head = format!(
+        "GET {} HTTP/1.1\r\nx-ticket: {correlation_id}\r\nx-max-ms: 3000\r\nx-group: 17\r\n",
+        request.path
+    );
+    for (name, value) in request.headers {
+        head.push_str(&format!("{name}: {value}\r\n"));
+    }
+    // The other faults are injected by the proxy.
+    if !["", "leave", "ask-twice"].contains(&request.fault) {
+        head.push_str(&format!("x-fault: {}\r\n", request.fault));
+    }
+    head.push_str("\r\n");
+    head
+}
+
+impl Counts {
+    fn add(&mut self, response: &ClientResponse) {
+        let ClientResponse { status, fields } = response;
+        match status {
+            200 | 304 => self.figures.done += 1,
+            503 => self.figures.rejected += 1,
+            _ => self.figures.failed += 1,
+        }
+        if *status != 200 {
+            let reason = fields.get("x-tindoor-reason").or(fields.get("x-lab-why")).cloned();
+            let end = format!("{status} {}", reason.unwrap_or_default());
+            *self.ends_by_reason.entry(end).or_default() += 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/external_processing/mod.rs
@@ -0,0 +1,259 @@
+//! Experiment: proxies call the router for each request, under faults. What is counted was seen at caches and clients.
+
+mod client;
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::atomic::AtomicU64;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use anyhow::{Result, bail};
+use hdrhistogram::Histogram;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use serde_json::{Value, json};
+use tokio::runtime::Handle;
+
+use crate::figures::Figures;
+use crate::fleet::Fleet;
+use crate::proxy::Proxy;
+use crate::stand_in::{Router, StartOptions, configuration};
+
+/// Faults of single requests: what a proxy or client does wrong.
+pub const REQUEST_FAULTS: [&str; 10] =
+    ["before", "after", "silent", "late", "twice", "wrong", "reset", "leave", "ask-twice", "window"];
+
+/// Faults of the fleet, the router and the connections to it.
+pub const FLEET_FAULTS: [&str; 6] = ["drain", "die", "purge", "connection", "restart", "fail"];
+
+const ENDPOINTS: usize = 6;
+const OBJECTS: u64 = 40;
+const ATTEMPT_LIMIT: u64 = 8;
+const LONGEST_LATENCY_US: u64 = 60_000_000;
+
+/// The settings of the experiment.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// Seed of all random choices.
+    pub seed: u64,
+    /// How many requests are sent, at most.
+    pub requests: u64,
+    /// How long requests are sent, at most.
+    pub seconds: u64,
+    /// Names of the injected faults.
+    pub faults: Vec<String>,
+    /// The router's check that is switched off.
+    pub without: Option<String>,
+    /// Number of concurrent clients.
+    pub clients: u64,
+}
+
+impl Plan {
+    /// Faults by name, with commas between; `all` for every one.
+    pub fn faults(list: &str) -> Result<Vec<String>> {
+        let all = REQUEST_FAULTS.iter().chain(&FLEET_FAULTS);
+        let mut faults = Vec::new();
+        for name in list.split(',').filter(|name| !name.is_empty()) {
+            match name {
+                "all" => faults.extend(all.clone().map(ToString::to_string)),
+                name if all.clone().any(|known| *known == name) => faults.push(name.to_string()),
+                name => bail!(
+                    "no such fault: {name}; known: all, {}",
+                    [&REQUEST_FAULTS[..], &FLEET_FAULTS].concat().join(", ")
+                ),
+            }
+        }
+        Ok(faults)
+    }
+
+    fn has(&self, fault: &str) -> bool {
+        self.faults.iter().any(|known| known == fault)
+    }
+}
+
+/// What the clients counted.
+struct Counts {
+    figures: Figures,
+    /// Requests that were not served, by status and reason.
+    ends_by_reason: BTreeMap<String, u64>,
+    /// Requests whose client disconnected before the answer.
+    clients_left: u64,
+    latency_us: Histogram<u64>,
+}
+
+/// What all clients share.
+struct Workload {
+    plan: Plan,
+    proxies: Vec<Arc<Proxy>>,
+    counts: Mutex<Counts>,
+    next_request: AtomicU64,
+    end: Instant,
+}
+
+/// Runs the experiment and returns its report.
+pub fn run(plan: &Plan) -> Result<Figures> {
+    if let Some(check) = &plan.without {
+        crate::cluster::ensure_check_is_known(check, &["marks", "tickets", "withdraw", "leases"])?;
+    }
+    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
+    let mut experiment = Experiment::start(plan, runtime.handle().clone())?;
+    let workload = Arc::new(Workload {
+        plan: plan.clone(),
+        proxies: experiment.proxies.to_vec(),
+        counts: Mutex::new(Counts {
+            figures: Figures::default(),
+            ends_by_reason: BTreeMap::new(),
+            clients_left: 0,
+            latency_us: latency_histogram()?,
+        }),
+        next_request: AtomicU64::new(0),
+        end: Instant::now() + Duration::from_secs(plan.seconds),
+    });
+    let clients: Vec<_> =
+        (0..plan.clients).map(|index| runtime.spawn(client::run(Arc::clone(&workload), index))).collect();
+    experiment.inject_faults(|| clients.iter().all(tokio::task::JoinHandle::is_finished));
+    // Every decision lease has ended by then.
+    let has_unreported = plan.has("silent") || plan.has("late");
+    pause_ms(if has_unreported { 500 } else { 100 });
+    experiment.report(&workload)
+}
+
+fn latency_histogram() -> Result<Histogram<u64>> {
+    Ok(Histogram::new_with_bounds(1, LONGEST_LATENCY_US, 3)?)
+}
+
+fn pause_ms(millis: u64) {
+    std::thread::sleep(Duration::from_millis(millis));
+}
+
+/// The router and its stand-ins.
+struct Experiment<'a> {
+    plan: &'a Plan,
+    runtime: Handle,
+    fleet: Fleet,
+    router: Option<Router>,
+    options: StartOptions,
+    front: SocketAddr,
+    proxies: [Arc<Proxy>; 2],
+    /// Indexes of the endpoints that are in use.
+    active: Vec<usize>,
+    restarts: u64,
+}
+
+impl<'a> Experiment<'a> {
+    fn start(plan: &'a Plan, runtime: Handle) -> Result<Self> {
+        let fleet = Fleet::start(ENDPOINTS);
+        let free_address =
+            || std::net::TcpListener::bind("127.0.0.1:0").and_then(|socket| socket.local_addr());
+        let (front, call) = (free_address()?, free_address()?);
+        let options = StartOptions {
+            fronts: Some(json!({"external_processing": {"listen": front}, "call": {"listen": call}})),
+            disabled_check: plan.without.clone(),
+            log_level: Some("info"),
+            ..StartOptions::default()
+        };
+        let router = Some(Router::start_with(&router_configuration(&fleet), &options));
+        fleet.log.wait_for_subscriptions(1);
+        let proxies =
+            runtime.block_on(async { [Proxy::start(front, call).await, Proxy::start(front, call).await] });
+        let active = (0..ENDPOINTS).collect();
+        Ok(Self { plan, runtime, fleet, router, options, front, proxies, active, restarts: 0 })
+    }
+
+    /// Injects the faults of fleet and router, one after another, until the clients are finished.
+    fn inject_faults(&mut self, is_finished: impl Fn() -> bool) {
+        let plan = self.plan;
+        let mut random = Pcg64Mcg::seed_from_u64(plan.seed ^ 0xfaa1);
+        for round in 0u64.. {
+            if is_finished() {
+                break;
+            }
+            pause_ms(150);
+            let target = random.random_range(0..self.active.len());
+            if plan.has("purge") {
+                self.fleet.purge(&object(random.random_range(0..OBJECTS)));
+            }
+            if plan.has("drain") && round % 4 == 1 {
+                self.fleet.drain(self.active[target]);
+                pause_ms(700);
+                self.active[target] = self.fleet.replace(self.active[target]);
+            }
+            if plan.has("die") && round % 4 == 2 {
+                self.fleet.die(self.active[target], true);
+                pause_ms(300);
+                self.fleet.die(self.active[target], false);
+            }
+            if plan.has("connection") && round % 3 == 1 {
+                let _entered = self.runtime.enter();
+                self.proxies[round as usize % 2].reconnect(self.front);
+            }
+            if plan.has("restart") && round % 12 == 7 {
+                self.restart_router();
+            }
+        }
+    }
+
+    fn restart_router(&mut self) {
+        if let Some(mut old) = self.router.take() {
+            old.terminate();
+            old.wait();
+        }
+        let subscriptions = self.fleet.log.subscriptions.change(|subscriptions| subscriptions.len());
+        self.router = Some(Router::start_with(&router_configuration(&self.fleet), &self.options));
+        self.fleet.log.wait_for_subscriptions(subscriptions + 1);
+        self.restarts += 1;
+    }
+
+    /// Audits the caches and sums up what clients and proxies counted.
+    fn report(self, workload: &Workload) -> Result<Figures> {
+        let mut counts = workload.counts.lock().unwrap();
+        let mut figures = std::mem::take(&mut counts.figures);
+        self.fleet.audit(&mut figures);
+        let mut streams_left = 0;
+        let mut decisions = latency_histogram()?;
+        let mut statuses = BTreeMap::<String, u64>::new();
+        for proxy in &self.proxies {
+            streams_left += *proxy.streams_left.lock().unwrap();
+            for micros in proxy.decision_latencies_us.lock().unwrap().iter() {
+                decisions.saturating_record(*micros);
+            }
+            for (code, count) in proxy.statuses.lock().unwrap().iter() {
+                *statuses.entry(code.clone()).or_default() += count;
+            }
+        }
+        let quantile = |histogram: &Histogram<u64>, part| json!(histogram.value_at_quantile(part));
+        let more: [(&str, Value); 10] = [
+            ("choices", json!(decisions.len())),
+            ("choice_us_median", quantile(&decisions, 0.5)),
+            ("choice_us_99", quantile(&decisions, 0.99)),
+            ("view_us_median", quantile(&counts.latency_us, 0.5)),
+            ("view_us_99", quantile(&counts.latency_us, 0.99)),
+            ("clients_left", json!(counts.clients_left)),
+            ("streams_left", json!(streams_left)),
+            ("ends_by_reason", json!(counts.ends_by_reason)),
+            ("statuses", json!(statuses)),
+            ("restarts", json!(self.restarts)),
+        ];
+        figures.more.extend(more.map(|(name, value)| (name.to_string(), value)));
+        figures.judge(ATTEMPT_LIMIT, streams_left);
+        if let Some(mut router) = self.router {
+            router.terminate();
+            router.wait();
+            let is_last = |line: &&String| line.contains("stopped");
+            let last_line = router.log.change(|log| log.iter().rev().find(is_last).cloned());
+            figures.more.insert("router".into(), json!(last_line.unwrap_or_default()));
+        }
+        Ok(figures)
+    }
+}
+
+fn router_configuration(fleet: &Fleet) -> Value {
+    let mut configuration = configuration(fleet.log.address, fleet.members());
+    configuration["known"] = fleet.known();
+    configuration
+}
+
+fn object(index: u64) -> String {
+    format!("{:016x}", 0x1000 + index)
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,10 +3,10 @@
 //! in virtual time.
 
 pub mod budgets;
-pub mod called;
 pub mod choices;
 pub mod cluster;
 pub mod demo;
+pub mod external_processing;
 pub mod figures;
 pub mod fleet;
 pub mod peer;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use tindoor_testbed::called;
 use tindoor_testbed::cluster::Plan;
+use tindoor_testbed::external_processing;
 use tindoor_testbed::figures::Figures;
 use tindoor_testbed::ways::Way;
 use tindoor_testbed::{budgets, choices, demo, plots, policy, signed, simulated};
@@ -168,8 +168,15 @@
         }
         Experiment::Called { common, faults, without, clients } => {
             let Common { seed, requests, seconds, .. } = common;
-            let figures = called::Plan::faults(&faults).and_then(|faults| {
-                called::run(&called::Plan { seed, requests, seconds, faults, without, clients })
+            let figures = external_processing::Plan::faults(&faults).and_then(|faults| {
+                external_processing::run(&external_processing::Plan {
+                    seed,
+                    requests,
+                    seconds,
+                    faults,
+                    without,
+                    clients,
+                })
             });
             (common, figures)
         }
--- a/crates/testbed/src/signed.rs
+++ b/crates/testbed/src/signed.rs
@@ -392,5 +392,5 @@
     let mut rest = Vec::new();
     let answer = tokio::time::timeout(std::time::Duration::from_secs(10), read(&mut stream, &mut rest));
     let answer = answer.await.ok()?.ok()??;
-    Some((answer.what.parse().ok()?, answer.fields.get("set-cookie").cloned().unwrap_or_default()))
+    Some((answer.target.parse().ok()?, answer.fields.get("set-cookie").cloned().unwrap_or_default()))
 }
