--- a/crates/testbed/src/signed.rs
+++ b/crates/testbed/src/signed.rs
@@ -423,10 +423,10 @@
     let answer = tokio::time::timeout(Duration::from_secs(10), read(&mut stream, &mut rest));
     let answer = answer.await.ok()?.ok()??;
     let field = |name| answer.fields.get(name).cloned().unwrap_or_default();
-    let was_given_up = answer.what == "503" && field("x-tindoor-reason") == "given-up";
+    let was_given_up = answer.target == "503" && field("x-tindoor-reason") == "given-up";
     let retry_after_ms = field("x-tindoor-pause-ms").parse().ok().filter(|_| was_given_up);
     Some(CallAnswer {
-        status: answer.what.parse().ok()?,
+        status: answer.target.parse().ok()?,
         set_cookie: field("set-cookie"),
         retry_after: retry_after_ms.map(Duration::from_millis),
     })
