--- a/crates/consensus/src/actions.rs
+++ b/crates/consensus/src/actions.rs
@@ -32,8 +32,8 @@
 pub struct Objection {
     /// The reason, for the operator.
     pub reason: String,
-    /// Whether the router can't apply the policy at all, so that it is unavailable while the policy is in force. An
-    /// objection that is not permanent (for example, more requests in flight than the policy allows) only cancels a
-    /// proposal that is not yet decided.
+    /// Whether the router can't apply the policy at all, so that it is unavailable while the policy is in
+    /// force. An objection that is not permanent (for example, more requests in flight than the policy
+    /// allows) only cancels a proposal that is not yet decided.
     pub permanent: bool,
 }
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -68,8 +68,8 @@
     pub command_hops: u8,
     /// When a change on probation is rolled back.
     pub probation: ProbationLimits,
-    /// Up to so many members request quota from the leader itself; in larger fleets one member of each location
-    /// passes quota on.
+    /// Up to so many members request quota from the leader itself; in larger fleets one member of each
+    /// location passes quota on.
     pub direct_quota_members: usize,
     /// Unanswered quota requests in a row, after which another member of the location is asked.
     pub unanswered_quota_requests: u32,
@@ -104,7 +104,8 @@
 pub struct SafetyChecks {
     /// Requests are accepted only while the lease is valid.
     pub lease: bool,
-    /// A change is activated a lease after its decision, once the silent members can't go on by the old policy.
+    /// A change is activated a lease after its decision, once the silent members can't go on by the old
+    /// policy.
     pub staged_activation: bool,
     /// A proposal must be made from the policy in force.
     pub compare_generation: bool,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! One router's part in its fleet, without I/O.
 //!
-//! A [`Node`] is passed the messages that arrived and the current time, and returns [`Action`]s: what is to be sent,
-//! written and checked. Agreement among the voters is by the `raft` library; the replicated state is
+//! A [`Node`] is passed the messages that arrived and the current time, and returns [`Action`]s: what is to
+//! be sent, written and checked. Agreement among the voters is by the `raft` library; the replicated state is
 //! [`tindoor_policy::AgreedState`]; leases, clocks and failure detection are in `tindoor_membership`.
 //!
 //! What is promised, and why it holds, is in `docs/design/policy.md`.
--- a/crates/consensus/src/membership_change.rs
+++ b/crates/consensus/src/membership_change.rs
@@ -1,5 +1,6 @@
-//! Which replicas are to vote: an odd number of them, as an even one needs one more for a quorum and tolerates no more
-//! failures. A change is one joint step, in which the voters before and after it must both agree.
+//! Which replicas are to vote: an odd number of them, as an even one needs one more for a quorum and
+//! tolerates no more failures. A change is one joint step, in which the voters before and after it must both
+//! agree.
 
 /// A voter, or a replica that may become one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,9 +24,9 @@
 
 /// The next change of the voters, if any is due. `leader` stays a voter. All `candidates` are reachable.
 ///
-/// An unreachable voter is replaced in one step: if its replacement were added first and it were removed after that,
-/// the fleet would meanwhile need a larger quorum than it has. From one voter on two are added at once, as two voters
-/// need both.
+/// An unreachable voter is replaced in one step: if its replacement were added first and it were removed
+/// after that, the fleet would meanwhile need a larger quorum than it has. From one voter on two are added at
+/// once, as two voters need both.
 pub fn plan_membership_change(
     leader: u64,
     voters: &[ReplicaInfo],
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -44,7 +44,8 @@
         clock_offsets: Vec<ClockOffset>,
         /// The sender's index.
         index: u64,
-        /// Whether no change waits for its decision at that index, so that the sender confirms the index itself.
+        /// Whether no change waits for its decision at that index, so that the sender confirms the index
+        /// itself.
         confirms_index: bool,
         /// The latest confirmation by a quorum of the voters that the sender knows.
         quorum_confirmation: Option<AgedConfirmation>,
--- a/crates/consensus/src/node/clocks.rs
+++ b/crates/consensus/src/node/clocks.rs
@@ -5,8 +5,8 @@
 
 use super::Node;
 
-/// Clocks that define the fleet's time, as far as there are members to have them: of three, one that is wrong is
-/// outvoted.
+/// Clocks that define the fleet's time, as far as there are members to have them: of three, one that is wrong
+/// is outvoted.
 const FLEET_CLOCKS: usize = 3;
 
 impl Node {
@@ -35,16 +35,17 @@
         }
     }
 
-    /// Whether the local clock is not to be trusted: until other clocks agree with what was read since it jumped, or,
-    /// where no other clock defines the fleet's time, until every lease from before that has expired.
+    /// Whether the local clock is not to be trusted: until other clocks agree with what was read since it
+    /// jumped, or, where no other clock defines the fleet's time, until every lease from before that has
+    /// expired.
     pub(super) fn is_clock_untrusted(&self, now: Moment) -> bool {
         let has_others = || self.agreed.clocks.keys().any(|clock| *clock != self.identity.incarnation);
         let is_recent = |since| now.since(since) < self.timings.lease;
         self.clocks.untrusted_since().is_some_and(|since| is_recent(since) || has_others())
     }
 
-    /// Members whose clocks may come to define the fleet's time: the voters, and where those are too few also the
-    /// first members.
+    /// Members whose clocks may come to define the fleet's time: the voters, and where those are too few also
+    /// the first members.
     pub(super) fn clock_candidates(&self) -> impl Iterator<Item = Incarnation> {
         let too_few = self.agreed.voters.len() < FLEET_CLOCKS;
         let count = if too_few { 2 * FLEET_CLOCKS } else { 0 };
--- a/crates/consensus/src/node/entries.rs
+++ b/crates/consensus/src/node/entries.rs
@@ -24,8 +24,8 @@
         let changes_voters = matches!(entry, LogEntry::Voters { .. });
         let changes_members = matches!(entry, LogEntry::Join { .. } | LogEntry::Leave { .. });
         let decided = if let LogEntry::Decide { generation, .. } = &entry { Some(*generation) } else { None };
-        // Some member has just heard from who joins. Otherwise one that returns after a long absence would be removed
-        // again within a heartbeat, as silent since this leader was elected.
+        // Some member has just heard from who joins. Otherwise one that returns after a long absence would be
+        // removed again within a heartbeat, as silent since this leader was elected.
         if let LogEntry::Join { incarnation: start, .. } = &entry {
             self.failure_detector.record_heartbeat(*start, now);
         }
@@ -61,7 +61,8 @@
         self.actions.push(Action::Transition(transition));
     }
 
-    /// A decision that had no effect when it was committed decides nothing, at any router: another may follow.
+    /// A decision that had no effect when it was committed decides nothing, at any router: another may
+    /// follow.
     fn allow_another_decision(&mut self, decided: Option<u64>) {
         if decided.is_some()
             && self.agreed.staged.as_ref().is_none_or(|staged| staged.effective_at.is_none())
@@ -115,8 +116,8 @@
         self.first_observed.insert(self.agreed.index, now);
         let Some(staged) = &self.agreed.staged else { return };
         self.first_observed.insert(staged.index, now);
-        // Its decision as well: without that, a fleet that lost the clocks that it was made by would wait for its
-        // activation for ever.
+        // Its decision as well: without that, a fleet that lost the clocks that it was made by would wait for
+        // its activation for ever.
         let (from_generation, to_generation) = (self.agreed.generation(), staged.version.generation);
         let is_observed = self.observed_decision.is_some_and(|observed| {
             (observed.from_generation, observed.to_generation) == (from_generation, to_generation)
--- a/crates/consensus/src/node/heartbeat.rs
+++ b/crates/consensus/src/node/heartbeat.rs
@@ -67,8 +67,9 @@
         self.route_command(now, 0, Command::Join { incarnation, member, predecessor });
     }
 
-    /// Requests that a quorum confirm that nobody else leads. Not while a decision is being committed: a confirmation
-    /// from before the commit, requested after the activation time was set, would give a lease beyond that time.
+    /// Requests that a quorum confirm that nobody else leads. Not while a decision is being committed: a
+    /// confirmation from before the commit, requested after the activation time was set, would give a lease
+    /// beyond that time.
     fn request_quorum_confirmation(&mut self, now: Moment) {
         if self.is_decision_uncommitted() {
             return;
--- a/crates/consensus/src/node/leader/clocks.rs
+++ b/crates/consensus/src/node/leader/clocks.rs
@@ -13,8 +13,9 @@
 const RESET_LEASES: f64 = 2.0;
 
 impl Node {
-    /// Sets the clocks against the fleet's time. The leader's clock, as the first, defines it. At most one clock is
-    /// changed at once, and none while a change is decided: its activation time is given in the fleet's time.
+    /// Sets the clocks against the fleet's time. The leader's clock, as the first, defines it. At most one
+    /// clock is changed at once, and none while a change is decided: its activation time is given in the
+    /// fleet's time.
     pub(super) fn reconcile_clocks(&mut self, now: Moment) {
         let is_decided = self.agreed.staged.as_ref().is_some_and(|staged| staged.effective_at.is_some());
         if is_decided || self.is_decision_uncommitted() || !self.is_member() {
@@ -44,8 +45,8 @@
         self.propose(now, LogEntry::Clock { incarnation: clock, offset_us: ahead });
     }
 
-    /// Defines the fleet's time anew by the leader's clock, once it was uncertain for long: most of its clocks are
-    /// gone, or two contradict each other. No change is decided now that depends on it.
+    /// Defines the fleet's time anew by the leader's clock, once it was uncertain for long: most of its
+    /// clocks are gone, or two contradict each other. No change is decided now that depends on it.
     fn handle_uncertain_time(&mut self, now: Moment) {
         let uncertain_since = self.leadership.as_ref().and_then(|leadership| leadership.time_uncertain_since);
         if uncertain_since.is_some_and(|since| now.since(since) > self.timings.lease * RESET_LEASES) {
--- a/crates/consensus/src/node/leader/decision.rs
+++ b/crates/consensus/src/node/leader/decision.rs
@@ -1,5 +1,5 @@
-//! The leader's part in the staged change: it is decided once nobody objects and the silent members can't go on by the
-//! old policy.
+//! The leader's part in the staged change: it is decided once nobody objects and the silent members can't go
+//! on by the old policy.
 
 use tindoor::time::Moment;
 use tindoor_membership::{FleetTime, Incarnation};
@@ -89,7 +89,8 @@
         (waited > max_wait).then(|| "no decision in time".into())
     }
 
-    /// Whether no member that does not know of the change can go on by the old policy beyond the activation time.
+    /// Whether no member that does not know of the change can go on by the old policy beyond the activation
+    /// time.
     fn may_decide(&self, now: Moment, staged: &StagedChange) -> bool {
         if !self.checks.staged_activation {
             return true;
--- a/crates/consensus/src/node/leader/members.rs
+++ b/crates/consensus/src/node/leader/members.rs
@@ -6,7 +6,8 @@
 
 use super::super::Node;
 
-/// Leases beyond the quorum loss grace, after which a superseded list is discarded and a silent member removed.
+/// Leases beyond the quorum loss grace, after which a superseded list is discarded and a silent member
+/// removed.
 const RETENTION_LEASES: f64 = 2.0;
 
 impl Node {
@@ -31,8 +32,8 @@
         }
     }
 
-    /// Discards superseded lists by which no router can go any more, and removes members that were silent for very
-    /// long.
+    /// Discards superseded lists by which no router can go any more, and removes members that were silent for
+    /// very long.
     pub(super) fn reconcile_members(&mut self, now: Moment) {
         let grace = self.timings.quorum_loss_grace;
         let retention = grace + self.timings.lease * RETENTION_LEASES + self.timings.drift(grace);
--- a/crates/consensus/src/node/leader/mod.rs
+++ b/crates/consensus/src/node/leader/mod.rs
@@ -1,4 +1,5 @@
-//! What the leader of the voters does: it maintains the members, the clocks, the voters and the staged change.
+//! What the leader of the voters does: it maintains the members, the clocks, the voters and the staged
+//! change.
 
 mod clocks;
 mod decision;
--- a/crates/consensus/src/node/leader/probation.rs
+++ b/crates/consensus/src/node/leader/probation.rs
@@ -1,4 +1,5 @@
-//! The leader's part in the change on probation: it is judged by the outcomes of requests, and kept or rolled back.
+//! The leader's part in the change on probation: it is judged by the outcomes of requests, and kept or rolled
+//! back.
 
 use tindoor::time::Moment;
 use tindoor_policy::{Assessment, GenerationChange, LogEntry, OnProbation, Probation, Proposal};
@@ -48,7 +49,8 @@
         Some((change.to, assessment))
     }
 
-    /// Proposes the rollback with the same token for as long as this leader leads, so that it is proposed once.
+    /// Proposes the rollback with the same token for as long as this leader leads, so that it is proposed
+    /// once.
     fn propose_rollback(&mut self, now: Moment, generation: u64, note: &str) {
         if let Ok(proposal) = self.rollback_proposal(generation, "probation", note) {
             let token = generation.wrapping_mul(ROLLBACK_TOKEN_FACTOR) | 1;
--- a/crates/consensus/src/node/leader/voters.rs
+++ b/crates/consensus/src/node/leader/voters.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Until a change of the voters is finished, those before it are needed as well. A leader that is no voter after
-    /// the change can't finish it, and hands over.
+    /// Until a change of the voters is finished, those before it are needed as well. A leader that is no
+    /// voter after the change can't finish it, and hands over.
     fn finish_membership_change(&mut self, now: Moment) {
         if self.changed_voters_within(now, FINISH_RETRY_HEARTBEATS) {
             return;
--- a/crates/consensus/src/node/quota.rs
+++ b/crates/consensus/src/node/quota.rs
@@ -63,8 +63,8 @@
         } else if self.member_since.is_none() {
             self.member_since = Some(now);
         }
-        // A process that had this name before accepts no more requests a lease after it was removed: from then on its
-        // guaranteed minimum is this one's.
+        // A process that had this name before accepts no more requests a lease after it was removed: from
+        // then on its guaranteed minimum is this one's.
         let lease = self.timings.lease + self.timings.drift(self.timings.lease);
         self.quota.set_owns_guaranteed(now, self.member_since.is_some_and(|since| now.since(since) >= lease));
         if self.quota.is_idle() {
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Grants quota to a member. Quota that was granted to another process would be nobody's until it expired.
+    /// Grants quota to a member. Quota that was granted to another process would be nobody's until it
+    /// expired.
     pub(super) fn grant_quota(
         &mut self,
         now: Moment,
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Who is asked for quota: the leader; in a large fleet the first responsive member of the own location, which asks
-    /// the leader.
+    /// Who is asked for quota: the leader; in a large fleet the first responsive member of the own location,
+    /// which asks the leader.
     fn lender(&mut self, now: Moment) -> Option<String> {
         if !self.is_member() {
             return None;
--- a/crates/consensus/src/node/status_exchange.rs
+++ b/crates/consensus/src/node/status_exchange.rs
@@ -1,4 +1,5 @@
-//! Status requests and responses: how routers catch up, confirm each other's index and read each other's clocks.
+//! Status requests and responses: how routers catch up, confirm each other's index and read each other's
+//! clocks.
 
 use rand::Rng;
 use tindoor::time::{Moment, Span};
@@ -10,8 +11,8 @@
 /// Confirmations of other peers are requested once less than this part of the lease remains.
 const PEER_CONFIRMATION_LEASE_PART: f64 = 0.7;
 
-/// In fleets over that size the lease is renewed by peers only once less than this part of it remains: each renewal
-/// reads the confirmations of all members.
+/// In fleets over that size the lease is renewed by peers only once less than this part of it remains: each
+/// renewal reads the confirmations of all members.
 const PEER_RENEWAL_LEASE_PART: f64 = 0.6;
 const LARGE_FLEET_MEMBERS: usize = 64;
 
@@ -62,8 +63,8 @@
         while self.status_requests.len() >= self.limits.outstanding_requests {
             self.status_requests.pop_first();
         }
-        // Nonces increase, so that the oldest is forgotten first. The first is random: a response to an earlier process
-        // must not match.
+        // Nonces increase, so that the oldest is forgotten first. The first is random: a response to an
+        // earlier process must not match.
         self.last_nonce = match self.last_nonce {
             0 => self.rng.random::<u64>() >> 1,
             last => last + 1,
@@ -126,9 +127,9 @@
         known.into_iter().map(aged).collect()
     }
 
-    /// The clocks that can be read here. A router whose clock has jumped tells none for a lease, so that peers keep
-    /// what they read of it before that. After a lease it does: otherwise, where all clocks have jumped, as those of
-    /// machines that slept together, nobody would ever have anything to agree with.
+    /// The clocks that can be read here. A router whose clock has jumped tells none for a lease, so that
+    /// peers keep what they read of it before that. After a lease it does: otherwise, where all clocks have
+    /// jumped, as those of machines that slept together, nobody would ever have anything to agree with.
     fn clock_offsets(&self, now: Moment) -> Vec<ClockOffset> {
         let own = self.identity.incarnation;
         if self.clocks.untrusted_since().is_some_and(|since| now.since(since) < self.timings.lease) {
@@ -152,7 +153,8 @@
         age.as_micros() + self.timings.drift(age).as_micros()
     }
 
-    /// The latest moment by the local clock of which another router tells that age, in response to a request of then.
+    /// The latest moment by the local clock of which another router tells that age, in response to a request
+    /// of then.
     fn moment_of_age(&self, requested_at: Moment, age_micros: u64) -> Moment {
         let drift = self.timings.drift(Span::micros(age_micros)).as_micros();
         requested_at - Span::micros(age_micros.saturating_add(drift))
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,4 +1,5 @@
-//! One replica of the log: the `raft` library with what it wants written and sent, in the order that it needs.
+//! One replica of the log: the `raft` library with what it wants written and sent, in the order that it
+//! needs.
 
 use std::collections::VecDeque;
 
@@ -103,8 +104,8 @@
         Ok(replica)
     }
 
-    /// Derives the election timeout from replica id, term and ticks. The library draws it from the system's random
-    /// numbers, and a simulation could not be replayed.
+    /// Derives the election timeout from replica id, term and ticks. The library draws it from the system's
+    /// random numbers, and a simulation could not be replayed.
     fn set_election_timeout(&mut self) {
         let mixed =
             self.replica_id ^ self.raw.raft.term.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (self.ticks >> 6);
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Reports snapshots as failed, so that they are sent again: one may have been lost, or refused by a replica that
-    /// is not in it, and the library would wait for its response for ever.
+    /// Reports snapshots as failed, so that they are sent again: one may have been lost, or refused by a
+    /// replica that is not in it, and the library would wait for its response for ever.
     fn retry_snapshots(&mut self) {
         let awaiting = |progress: &raft::Progress| progress.state == ProgressState::Snapshot;
         let tracker = self.raw.raft.prs().iter();
@@ -183,7 +184,8 @@
     }
 
     /// Proposes a change of the voters. From its commit on, until that of
-    /// [`finish_membership_change`](Self::finish_membership_change), the voters before and after it must both agree.
+    /// [`finish_membership_change`](Self::finish_membership_change), the voters before and after it must both
+    /// agree.
     pub fn begin_membership_change(&mut self, planned: &MembershipChange) -> bool {
         let single = |(replica_id, kind): (u64, ConfChangeType)| {
             let mut single = ConfChangeSingle::default();
@@ -223,8 +225,8 @@
         self.advance()
     }
 
-    /// Compacts the applied entries into a snapshot, where there are many of them, or where it is `due`: a new voter
-    /// accepts no snapshot from before it was one.
+    /// Compacts the applied entries into a snapshot, where there are many of them, or where it is `due`: a
+    /// new voter accepts no snapshot from before it was one.
     pub fn compact(&mut self, index: u64, due: bool, agreed: &AgreedState) {
         let log = self.raw.store();
         let is_full = log.len() >= COMPACTION_THRESHOLD_ENTRIES && self.pending_compaction.is_none();
@@ -241,8 +243,8 @@
         }
     }
 
-    /// Carries out the pending compaction once the library counts its entries as applied: it reads its log up to
-    /// there.
+    /// Carries out the pending compaction once the library counts its entries as applied: it reads its log up
+    /// to there.
     fn compact_applied(&mut self) {
         let applied = self.applied();
         if let Some(compaction) = self.pending_compaction.take_if(|pending| pending.index <= applied) {
@@ -278,7 +280,8 @@
         }
     }
 
-    /// Updates the log by snapshot, entries and hard state. Returns the index of the snapshot, if there is one.
+    /// Updates the log by snapshot, entries and hard state. Returns the index of the snapshot, if there is
+    /// one.
     fn update_log(
         &mut self,
         ready: &mut Ready,
@@ -312,7 +315,8 @@
         last
     }
 
-    /// An entry that can't be decoded was proposed by a newer version of the program: it changes nothing here.
+    /// An entry that can't be decoded was proposed by a newer version of the program: it changes nothing
+    /// here.
     fn decode(&mut self, entry: &Entry) -> LogEntry {
         match entry.get_entry_type() {
             EntryType::EntryNormal if !entry.data.is_empty() => {
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden files of what replicas send to each other and store: each file in `tests/golden` holds the encoding of
-//! one sample value. The tests encode each sample and compare it with its file byte for byte, and decode each file
-//! and compare the result with its sample.
+//! Golden files of what replicas send to each other and store: each file in `tests/golden` holds the encoding
+//! of one sample value. The tests encode each sample and compare it with its file byte for byte, and decode
+//! each file and compare the result with its sample.
 //!
 //! A file may only be recorded anew where the encoding is meant to change, which breaks fleets that are in
 //! service:
--- a/crates/consensus/tests/membership_change.rs
+++ b/crates/consensus/tests/membership_change.rs
@@ -25,8 +25,8 @@
     Some((added, removed))
 }
 
-/// Observed with three processes: one that had just become a voter beside the first was cut off, both were needed, and
-/// no change was decided for ten seconds.
+/// Observed with three processes: one that had just become a voter beside the first was cut off, both were
+/// needed, and no change was decided for ten seconds.
 #[test]
 fn two_voters_are_added_to_one_and_an_unreachable_voter_is_replaced_in_one_step() {
     assert_eq!(plan(&[11], &[], &[12], 3), None, "two would need both");
--- a/crates/consensus/tests/node.rs
+++ b/crates/consensus/tests/node.rs
@@ -174,8 +174,8 @@
     assert!(steps_without * 20 >= 1000, "{} ms after it accepted requests", steps_without * 20);
 }
 
-/// Observed among five processes with all faults: a router that had two requests in flight learnt, after the decision,
-/// of a policy that allows one, and stayed unavailable for as long as that policy was in force.
+/// Observed among five processes with all faults: a router that had two requests in flight learnt, after the
+/// decision, of a policy that allows one, and stayed unavailable for as long as that policy was in force.
 #[test]
 fn only_a_permanent_objection_makes_a_router_unavailable() {
     let mut single = SingleMember::settled(4.0);
@@ -187,8 +187,8 @@
     assert_eq!(single.node.active_policy(now).err(), Some(UnavailableReason::PolicyNotApplicable));
 }
 
-/// Observed in a simulation: all seeds had restarted at once, and asked only each other while the rest of the fleet
-/// asked them.
+/// Observed in a simulation: all seeds had restarted at once, and asked only each other while the rest of the
+/// fleet asked them.
 #[test]
 fn a_router_that_knows_no_fleet_asks_a_requester_that_does() {
     let mut node = start_node(2, None, &["a2"]);
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,5 +1,5 @@
-//! The discovery watch: lines of the change stream that carry changes of the endpoint list, purges, and a heartbeat
-//! each second. The crate does no I/O.
+//! The discovery watch: lines of the change stream that carry changes of the endpoint list, purges, and a
+//! heartbeat each second. The crate does no I/O.
 
 mod events;
 mod lines;
--- a/crates/discovery/src/position.rs
+++ b/crates/discovery/src/position.rs
@@ -5,8 +5,8 @@
 
 /// The position in the change stream.
 ///
-/// A missing event or a line that can't be parsed is asked for again once, on a new connection. Where it is the same
-/// on the second connection, the stream itself has the fault, and the watch goes on behind it.
+/// A missing event or a line that can't be parsed is asked for again once, on a new connection. Where it is
+/// the same on the second connection, the stream itself has the fault, and the watch goes on behind it.
 #[derive(Debug, Default)]
 pub struct WatchPosition {
     /// The number of the last applied event.
--- a/crates/external-requests/benches/table.rs
+++ b/crates/external-requests/benches/table.rs
@@ -1,4 +1,5 @@
-//! What one call takes in the table, empty and with a million idempotency keys stored, and the memory of those.
+//! What one call takes in the table, empty and with a million idempotency keys stored, and the memory of
+//! those.
 
 use std::hint::black_box;
 
--- a/crates/external-requests/src/call.rs
+++ b/crates/external-requests/src/call.rs
@@ -97,7 +97,8 @@
     ShuttingDown,
 }
 
-/// The reply to a call or a report. Each call gets one of the first four, each report one of all but the first.
+/// The reply to a call or a report. Each call gets one of the first four, each report one of all but the
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallReply {
     /// Send the request by this decision.
--- a/crates/external-requests/src/host.rs
+++ b/crates/external-requests/src/host.rs
@@ -5,8 +5,8 @@
 
 use crate::{CallId, CallReply, ExternalRequest, RequestNumber};
 
-/// The front and the routing engine, as the table sees them. Every call takes effect at once, and none calls back into
-/// the table.
+/// The front and the routing engine, as the table sees them. Every call takes effect at once, and none calls
+/// back into the table.
 pub trait TableHost {
     /// A request is handed to the routing engine. `first_ran` says when and where an earlier request with its
     /// idempotency key first may have run; a moment long ago where nobody knows.
--- a/crates/external-requests/src/idempotency_keys.rs
+++ b/crates/external-requests/src/idempotency_keys.rs
@@ -1,5 +1,5 @@
-//! The idempotency keys of writes. Their number is bounded and each is kept for a stated time; a key whose write may
-//! have run is never evicted early to make room for another.
+//! The idempotency keys of writes. Their number is bounded and each is kept for a stated time; a key whose
+//! write may have run is never evicted early to make room for another.
 
 use std::collections::BTreeMap;
 
--- a/crates/external-requests/src/limits.rs
+++ b/crates/external-requests/src/limits.rs
@@ -13,8 +13,9 @@
     pub max_finished: usize,
     /// Calls that wait for the end of one request with their idempotency key.
     pub max_waiters: usize,
-    /// How long a proxy may hold a decision before it uses it: at most half the shorter of the drain grace and the
-    /// purge grace, so that a change that comes right after the decision still finds its use within the grace.
+    /// How long a proxy may hold a decision before it uses it: at most half the shorter of the drain grace
+    /// and the purge grace, so that a change that comes right after the decision still finds its use within
+    /// the grace.
     pub use_within: Span,
     /// How long after its timeout an attempt may still be reported.
     pub report_grace: Span,
@@ -26,8 +27,8 @@
     pub max_request_time: Span,
 }
 
-/// Checks that a test may disable, to see that the fault they prevent is detected without them. All are enabled in
-/// service.
+/// Checks that a test may disable, to see that the fault they prevent is detected without them. All are
+/// enabled in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EnabledChecks {
     /// One request at a time for each idempotency key.
--- a/crates/external-requests/src/table/admission.rs
+++ b/crates/external-requests/src/table/admission.rs
@@ -71,8 +71,8 @@
         Some(if may_resume(request) { finished.reply } else { in_use })
     }
 
-    /// Reserves the idempotency key of a new request. A request that is not authorized learns nothing of another's
-    /// write, and reserves no key.
+    /// Reserves the idempotency key of a new request. A request that is not authorized learns nothing of
+    /// another's write, and reserves no key.
     fn check_key(&mut self, now: Moment, request: &ExternalRequest) -> KeyCheck {
         let Some(key) = self.reserved_key(request) else { return KeyCheck::Reserved { first_ran: None } };
         let first_ran = match self.idempotency_keys.state(key) {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// A router that has just started knows no keys: a retry may have run before the start. The routing engine learns
-    /// of it as long past, and does not run it again.
+    /// A router that has just started knows no keys: a retry may have run before the start. The routing
+    /// engine learns of it as long past, and does not run it again.
     fn assumed_first_run(&self, now: Moment, request: &ExternalRequest) -> Option<(Moment, EndpointId)> {
         let is_retry = request.client_retry || request.attempt > 1;
         let keys_known_from = self.started_at + self.limits.idempotency_window + self.limits.max_request_time;
--- a/crates/external-requests/src/table/decisions.rs
+++ b/crates/external-requests/src/table/decisions.rs
@@ -59,8 +59,8 @@
         host.reply(call, CallReply::Decision { decision, use_within, time_remaining });
     }
 
-    /// Marks a reply as sent right before it is; false where the decision was withdrawn meanwhile, and the call has to
-    /// wait for the next reply.
+    /// Marks a reply as sent right before it is; false where the decision was withdrawn meanwhile, and the
+    /// call has to wait for the next reply.
     pub fn confirm_send(&mut self, call: CallId, reply: &CallReply) -> bool {
         let CallReply::Decision { decision, .. } = reply else { return true };
         let request = self.calls.get(&call).and_then(|number| self.requests.get_mut(number));
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The routing engine cancels an attempt. One whose decision was sent can't be cancelled: its end is reported by
-    /// the proxy, or it expires.
+    /// The routing engine cancels an attempt. One whose decision was sent can't be cancelled: its end is
+    /// reported by the proxy, or it expires.
     pub fn attempt_cancelled(
         &mut self,
         host: &mut impl TableHost,
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The endpoint list changed, or objects were purged: withdraws the decisions that `is_stale` says would now be
-    /// different, where they have not been sent.
+    /// The endpoint list changed, or objects were purged: withdraws the decisions that `is_stale` says would
+    /// now be different, where they have not been sent.
     pub fn withdraw_stale_decisions(
         &mut self,
         host: &mut impl TableHost,
--- a/crates/external-requests/src/table/finish.rs
+++ b/crates/external-requests/src/table/finish.rs
@@ -18,8 +18,8 @@
 }
 
 impl ExternalRequestTable {
-    /// Ends a request: replies to its call and to those that wait for its idempotency key, and stores what later calls
-    /// may ask for.
+    /// Ends a request: replies to its call and to those that wait for its idempotency key, and stores what
+    /// later calls may ask for.
     pub(super) fn finish(
         &mut self,
         now: Moment,
@@ -66,7 +66,8 @@
             (None, Some((at, endpoint))) => KeyState::MayHaveRun(at, endpoint),
             (None, None) => return self.idempotency_keys.release(key),
         };
-        // A write must not run again after its window either: its key is stored for as long as a client may retry.
+        // A write must not run again after its window either: its key is stored for as long as a client may
+        // retry.
         let expires_at = now + self.limits.idempotency_window + self.limits.max_request_time;
         self.idempotency_keys.store(key, state, expires_at);
     }
--- a/crates/external-requests/src/table/request.rs
+++ b/crates/external-requests/src/table/request.rs
@@ -28,8 +28,8 @@
     AwaitingRetryDecision(CallId),
     /// The routing engine ordered a retry, and the next call has not come yet; kept until then.
     RetryReady { decision: RoutingDecision, until: Moment },
-    /// The call ended after its decision without a report. The end of the attempt is reported with the next call, or
-    /// at this time.
+    /// The call ended after its decision without a report. The end of the attempt is reported with the next
+    /// call, or at this time.
     CallLost { lease: DecisionLease, until: Moment },
     /// The call ended before its decision; the next one may come until then.
     AwaitingNextCall { until: Moment },
@@ -47,8 +47,8 @@
     pub progress: Progress,
     /// When and where it first may have run.
     pub first_ran: Option<(Moment, EndpointId)>,
-    /// The final reply, where the routing engine gave the request up while a decision was in flight; sent with the
-    /// report.
+    /// The final reply, where the routing engine gave the request up while a decision was in flight; sent
+    /// with the report.
     pub pending_reply: Option<CallReply>,
     /// Other calls with its idempotency key that wait for its end.
     pub waiters: Vec<CallId>,
@@ -56,7 +56,8 @@
 }
 
 impl Request {
-    /// Whether a call with the same correlation id is a later attempt of this request, from somebody entitled to it.
+    /// Whether a call with the same correlation id is a later attempt of this request, from somebody entitled
+    /// to it.
     pub fn accepts_retry(&self, retry: &ExternalRequest) -> bool {
         let target = |call: &ExternalRequest| (call.class, call.object, call.part, call.idempotency_key);
         retry.attempt > self.attempt && target(retry) == target(&self.call) && may_resume(retry)
@@ -69,8 +70,8 @@
     }
 }
 
-/// Whether a call may join a request that is known. A signed URL that expired between two attempts was valid when the
-/// request began; one that never was is somebody else's.
+/// Whether a call may join a request that is known. A signed URL that expired between two attempts was valid
+/// when the request began; one that never was is somebody else's.
 pub fn may_resume(call: &ExternalRequest) -> bool {
     matches!(call.authorization, Authorization::Granted | Authorization::Expired)
 }
--- a/crates/external-requests/src/table/retries.rs
+++ b/crates/external-requests/src/table/retries.rs
@@ -11,8 +11,8 @@
 use crate::{CallId, CallReply, ExternalRequest, RefusalReason, RequestNumber, TableHost};
 
 impl ExternalRequestTable {
-    /// A call with the correlation id of a request in flight. A later attempt is the proxy's word that it has given
-    /// the earlier one up.
+    /// A call with the correlation id of a request in flight. A later attempt is the proxy's word that it has
+    /// given the earlier one up.
     pub(super) fn retry_received(
         &mut self,
         now: Moment,
@@ -56,8 +56,8 @@
         host.reply(previous, CallReply::Failed(RefusalReason::Superseded));
     }
 
-    /// Cancels the attempt in flight. Where the routing engine has given the request up meanwhile, the retry gets the
-    /// final reply.
+    /// Cancels the attempt in flight. Where the routing engine has given the request up meanwhile, the retry
+    /// gets the final reply.
     fn cancel_for_retry(
         &mut self,
         now: Moment,
--- a/crates/external-requests/tests/model.rs
+++ b/crates/external-requests/tests/model.rs
@@ -1,6 +1,6 @@
-//! Checks every order of events with a model checker, for two proxies and one idempotency key: calls and retries,
-//! reports that are lost, late or duplicate, calls that end, changes of the endpoint list, and a routing engine that
-//! decides freely.
+//! Checks every order of events with a model checker, for two proxies and one idempotency key: calls and
+//! retries, reports that are lost, late or duplicate, calls that end, changes of the endpoint list, and a
+//! routing engine that decides freely.
 
 use std::collections::BTreeMap;
 
@@ -56,7 +56,8 @@
         self.awaits_engine.insert(number, false);
     }
     fn request_finished(&mut self, number: RequestNumber) {
-        // The router reports the attempts that were ordered and never issued; the table must leave no others in flight.
+        // The router reports the attempts that were ordered and never issued; the table must leave no others
+        // in flight.
         self.has_fault |= self.in_flight.remove(&number).is_none();
         self.awaits_engine.remove(&number);
         self.idempotency_keys.remove(&number);
--- a/crates/extproc/src/frames.rs
+++ b/crates/extproc/src/frames.rs
@@ -20,8 +20,8 @@
     Unreadable,
 }
 
-/// Takes the first message from the start of `read`; none while it is incomplete. Its length is checked against
-/// `max_bytes` before more of it is waited for.
+/// Takes the first message from the start of `read`; none while it is incomplete. Its length is checked
+/// against `max_bytes` before more of it is waited for.
 pub fn decode<M: Message + Default>(read: &mut BytesMut, max_bytes: usize) -> Result<Option<M>, FrameError> {
     let Some(&[flag, length @ ..]) = read.first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(length) as usize;
--- a/crates/extproc/src/request.rs
+++ b/crates/extproc/src/request.rs
@@ -1,4 +1,5 @@
-//! What the headers of a proxy ask for and report. Both codecs use it, external processing and the plain call.
+//! What the headers of a proxy ask for and report. Both codecs use it, external processing and the plain
+//! call.
 
 use std::time::Duration;
 
@@ -170,8 +171,9 @@
     }
 }
 
-/// What the status of a response says. A gateway error that endpoints never send may be the proxy's own, for an
-/// endpoint that it did not reach or that broke off: the attempt may have run, and the endpoint did not say so.
+/// What the status of a response says. A gateway error that endpoints never send may be the proxy's own, for
+/// an endpoint that it did not reach or that broke off: the attempt may have run, and the endpoint did not
+/// say so.
 fn response_status(status: Option<u64>, is_shed: bool) -> Result<AttemptStatus, HeaderError> {
     let status = status.ok_or_else(|| HeaderError::new(":status", "missing"))?;
     Ok(tindoor_http::attempt_status(status as u16, is_shed).unwrap_or(match status {
--- a/crates/extproc/src/response.rs
+++ b/crates/extproc/src/response.rs
@@ -89,8 +89,8 @@
     if directives.retention_rank > 0 {
         fields.push(HeaderField::new("x-tier", directives.retention_rank.to_string()));
     }
-    // Rounded down, but not to 0, which would accept any fresh copy. The limit stays valid while the decision waits
-    // for its use: a copy ages as fast as the purge that bounds its age recedes.
+    // Rounded down, but not to 0, which would accept any fresh copy. The limit stays valid while the decision
+    // waits for its use: a copy ages as fast as the purge that bounds its age recedes.
     let max_age = directives.max_age.map(|max_age| millis(max_age).max(1).to_string());
     fields.extend(max_age.map(|max_age| HeaderField::new("x-accept-age", max_age)));
     let modes = [(directives.join_fill, "j"), (directives.only_if_cached, "h"), (directives.refresh, "r")];
@@ -143,7 +143,8 @@
     ]
 }
 
-/// Forwards the request with a decision; of what follows, only the headers of the response are sent to the router.
+/// Forwards the request with a decision; of what follows, only the headers of the response are sent to the
+/// router.
 pub fn forward_request(fields: Vec<HeaderField>) -> ProcessingResponse {
     let mode = ProcessingMode {
         request_header_mode: HeaderSend::Default as i32,
--- a/crates/extproc/tests/headers.rs
+++ b/crates/extproc/tests/headers.rs
@@ -1,4 +1,5 @@
-//! Requests and reports are read strictly and within bounds; decisions and refusals become headers; messages are framed.
+//! Requests and reports are read strictly and within bounds; decisions and refusals become headers; messages
+//! are framed.
 
 use std::time::Duration;
 
--- a/crates/http/src/outcome.rs
+++ b/crates/http/src/outcome.rs
@@ -2,8 +2,8 @@
 
 use tindoor::host::{AttemptStatus, OutcomeDetail};
 
-/// The attempt status for a status code, with whether `X-Shed` is set; `None` for codes that the protocol does not
-/// name.
+/// The attempt status for a status code, with whether `X-Shed` is set; `None` for codes that the protocol
+/// does not name.
 pub fn attempt_status(status: u16, rejected: bool) -> Option<AttemptStatus> {
     match (status, rejected) {
         (200 | 304, _) => Some(AttemptStatus::Served),
--- a/crates/membership/src/clocks.rs
+++ b/crates/membership/src/clocks.rs
@@ -1,5 +1,6 @@
-//! The fleet's time, from the clocks of several processes. Clocks are read by round trips, with an error bound that
-//! is certain as long as no clock is off its rate by more than is stated, and that is robust against one that is.
+//! The fleet's time, from the clocks of several processes. Clocks are read by round trips, with an error
+//! bound that is certain as long as no clock is off its rate by more than is stated, and that is robust
+//! against one that is.
 
 use std::collections::BTreeMap;
 
@@ -151,9 +152,9 @@
         offsets.iter().filter_map(reading).collect()
     }
 
-    /// Nothing of an exchange agrees with what was known: the peer's clock has jumped, or the local one. A second
-    /// peer, or the same one repeatedly, tells which: one faulty peer must not make all others distrusted. Returns
-    /// whether the local clock is to blame.
+    /// Nothing of an exchange agrees with what was known: the peer's clock has jumped, or the local one. A
+    /// second peer, or the same one repeatedly, tells which: one faulty peer must not make all others
+    /// distrusted. Returns whether the local clock is to blame.
     fn handle_contradiction(&mut self, exchange: &ClockExchange<'_>) -> bool {
         self.contradicting.push(exchange.peer);
         let is_one_peer = self.contradicting.iter().all(|peer| *peer == exchange.peer);
@@ -184,9 +185,10 @@
         self.readings.get(&clock)?.offset(timings, now)
     }
 
-    /// The fleet's time now. `agreed` has the clocks that define it, and how far each is ahead of it. The interval is
-    /// certain as long as no more than one of the clocks is wrong, or of five no more than two; a single clock is
-    /// trusted. None unless more than half of the clocks can be read, and enough of them overlap.
+    /// The fleet's time now. `agreed` has the clocks that define it, and how far each is ahead of it. The
+    /// interval is certain as long as no more than one of the clocks is wrong, or of five no more than two; a
+    /// single clock is trusted. None unless more than half of the clocks can be read, and enough of them
+    /// overlap.
     pub fn fleet_time(
         &self,
         timings: &Timings,
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! Who has been silent for longer than is usual. A suspicion is no proof: it only decides whom to ask less and which
-//! voter to replace, never that a router accepts no more requests.
+//! Who has been silent for longer than is usual. A suspicion is no proof: it only decides whom to ask less
+//! and which voter to replace, never that a router accepts no more requests.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -36,8 +36,8 @@
         }
     }
 
-    /// How long a peer has been silent, as a multiple of its mean interval, which is taken for no less than `min_mean`.
-    /// None where it was never heard from.
+    /// How long a peer has been silent, as a multiple of its mean interval, which is taken for no less than
+    /// `min_mean`. None where it was never heard from.
     pub fn suspicion(&self, peer: Incarnation, now: Moment, min_mean: Span) -> Option<f64> {
         let heartbeats = self.peers.get(&peer)?;
         let sum: u64 = heartbeats.intervals.iter().map(|interval| interval.as_micros()).sum();
--- a/crates/membership/src/interval.rs
+++ b/crates/membership/src/interval.rs
@@ -1,4 +1,5 @@
-//! Points in the fleet's time, intervals that contain a clock reading, and what several intervals have in common.
+//! Points in the fleet's time, intervals that contain a clock reading, and what several intervals have in
+//! common.
 
 use serde::{Deserialize, Serialize};
 use tindoor::time::Span;
@@ -90,9 +91,9 @@
     best
 }
 
-/// What certainly contains the true value though as many intervals as `faulty` may be wrong: everything that at least
-/// all others have in common. The narrowest common part is not certain: an interval that is wrong by less than the
-/// others are wide overlaps them, and where it does is where it is wrong.
+/// What certainly contains the true value though as many intervals as `faulty` may be wrong: everything that
+/// at least all others have in common. The narrowest common part is not certain: an interval that is wrong by
+/// less than the others are wide overlaps them, and where it does is where it is wrong.
 pub(crate) fn certain_overlap(intervals: &[Interval], faulty: usize) -> Option<Interval> {
     let needed = intervals.len().checked_sub(faulty).filter(|needed| *needed > 0)?;
     let (mut open, mut low, mut high) = (0, None, None);
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -1,5 +1,5 @@
-//! How long a router may go by what it knew for certain. See "Lease" in `docs/design/policy.md`, where it is shown why
-//! no router decides by an old policy for longer.
+//! How long a router may go by what it knew for certain. See "Lease" in `docs/design/policy.md`, where it is
+//! shown why no router decides by an old policy for longer.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -29,7 +29,8 @@
 }
 
 impl Lease {
-    /// A quorum of the voters confirmed that nothing beyond that index was committed. `own_index` is this router's.
+    /// A quorum of the voters confirmed that nothing beyond that index was committed. `own_index` is this
+    /// router's.
     pub fn confirm_by_quorum(&mut self, timings: &Timings, own_index: u64, confirmation: Confirmation) {
         if self.latest_by_quorum.is_none_or(|known| known.at <= confirmation.at) {
             self.latest_by_quorum = Some(confirmation);
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Renews the lease by what was confirmed. `own` is the local confirmation now, `members` are all members at its
-    /// index, and `confirms_index` says that no change waits for its decision there.
+    /// Renews the lease by what was confirmed. `own` is the local confirmation now, `members` are all members
+    /// at its index, and `confirms_index` says that no change waits for its decision there.
     pub fn renew<'a>(
         &mut self,
         timings: &Timings,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,6 @@
-//! Members of one fleet, as one of them knows them: the [`MemberList`], how long what it knows is certainly valid
-//! ([`Lease`]), the fleet's time ([`ClockSync`]), and who is suspected to have failed ([`FailureDetector`]). Nothing
-//! here does I/O, reads a clock or draws random numbers.
+//! Members of one fleet, as one of them knows them: the [`MemberList`], how long what it knows is certainly
+//! valid ([`Lease`]), the fleet's time ([`ClockSync`]), and who is suspected to have failed
+//! ([`FailureDetector`]). Nothing here does I/O, reads a clock or draws random numbers.
 //!
 //! What is promised with them, and on which assumptions, is in `docs/design/policy.md`.
 
--- a/crates/membership/src/member_list.rs
+++ b/crates/membership/src/member_list.rs
@@ -72,7 +72,8 @@
         self.members.iter().find(|(_, member)| member.name == name).map(|(incarnation, _)| *incarnation)
     }
 
-    /// How many processes may act as members: the members, and those of earlier lists that may not have ended.
+    /// How many processes may act as members: the members, and those of earlier lists that may not have
+    /// ended.
     pub fn possible_members(&self) -> usize {
         let removed: BTreeSet<Incarnation> =
             self.changes.iter().flat_map(|change| change.removed.iter().copied()).collect();
@@ -80,7 +81,8 @@
         self.members.len() + removed.iter().filter(may_act).count()
     }
 
-    /// Adds a member, in place of any with the same name or replica id. `predecessor` is proved to have ended.
+    /// Adds a member, in place of any with the same name or replica id. `predecessor` is proved to have
+    /// ended.
     pub fn add(
         &mut self,
         index: u64,
@@ -140,8 +142,8 @@
         self.changes.front().map(|change| change.index)
     }
 
-    /// Checks, for every list by which a router that has not reached `index` may still go, that half of its members
-    /// are informed: the others are no majority, and can't renew each other's leases.
+    /// Checks, for every list by which a router that has not reached `index` may still go, that half of its
+    /// members are informed: the others are no majority, and can't renew each other's leases.
     pub fn rule_out_uninformed_majority(
         &self,
         index: u64,
--- a/crates/membership/tests/clocks.rs
+++ b/crates/membership/tests/clocks.rs
@@ -8,8 +8,8 @@
 use tindoor::time::Span;
 use tindoor_membership::{ClockExchange, ClockOffset, ClockSync, Incarnation, Interval};
 
-/// Records a round trip of 2 ms with one of three voters, whose clocks are `ahead` of the local one. The second one's
-/// has `jumped`. Each peer tells of all clocks.
+/// Records a round trip of 2 ms with one of three voters, whose clocks are `ahead` of the local one. The
+/// second one's has `jumped`. Each peer tells of all clocks.
 fn exchange(clocks: &mut ClockSync, ms: u64, peer: u64, ahead: i64, jumped: i64) {
     let jump = |clock| if clock == 2 { jumped } else { 0 };
     let peer_clock = |ms: u64| (1_000_000_000 + ms * 1000) as i64 + ahead + jump(peer);
@@ -70,8 +70,9 @@
     assert!((deviation.expect("it is over the bound") - 900_000).abs() < 5_000);
 }
 
-/// Observed in simulations: a voter whose clock had jumped by less than the error of its late readings overlapped the
-/// others with its own clock, which it reads exactly, and took the activation time to be a little later than it was.
+/// Observed in simulations: a voter whose clock had jumped by less than the error of its late readings
+/// overlapped the others with its own clock, which it reads exactly, and took the activation time to be a
+/// little later than it was.
 #[test]
 fn a_clock_that_is_off_by_less_than_the_reading_error_of_the_others_is_not_trusted() {
     for voters in 2..=3 {
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,6 +1,7 @@
-//! Model checking of leases and member lists: two to four routers of a fleet, a replicated log (its replication is the
-//! `raft` library's matter), one change and its rollback. Any router may stall or be cut off at any point, as no action
-//! has to happen; responses may be old; a leader may be lost with an uncommitted decision.
+//! Model checking of leases and member lists: two to four routers of a fleet, a replicated log (its
+//! replication is the `raft` library's matter), one change and its rollback. Any router may stall or be cut
+//! off at any point, as no action has to happen; responses may be old; a leader may be lost with an
+//! uncommitted decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -239,7 +240,8 @@
 
 #[test]
 fn no_request_is_decided_by_a_policy_that_another_has_replaced() {
-    // Everything that can happen within the depth; and longer random walks, until so many states were visited.
+    // Everything that can happen within the depth; and longer random walks, until so many states were
+    // visited.
     let checked = COMPLETE.checker().threads(2).target_max_depth(6).spawn_bfs().join();
     checked.assert_no_discovery(PROPERTY);
     walks(COMPLETE, 1, 400_000).assert_no_discovery(PROPERTY);
--- a/crates/policy/src/agreed.rs
+++ b/crates/policy/src/agreed.rs
@@ -1,4 +1,5 @@
-//! What a fleet has agreed on up to some index of its log: a function of the log entries alone, the same at every router.
+//! What a fleet has agreed on up to some index of its log: a function of the log entries alone, the same at
+//! every router.
 
 mod log_entry;
 mod proposal;
--- a/crates/policy/src/agreed/log_entry.rs
+++ b/crates/policy/src/agreed/log_entry.rs
@@ -1,4 +1,5 @@
-//! Entries of the agreed log. They are stored and sent in postcard's form: the order of variants and fields is fixed.
+//! Entries of the agreed log. They are stored and sent in postcard's form: the order of variants and fields
+//! is fixed.
 
 use serde::{Deserialize, Serialize};
 use tindoor_membership::{FleetTime, Incarnation, Member};
--- a/crates/policy/src/agreed/proposal.rs
+++ b/crates/policy/src/agreed/proposal.rs
@@ -1,6 +1,6 @@
-//! Policies in the course of a change: proposed, staged, on probation, and past. These types are stored and sent in
-//! postcard's form, where the order of fields and variants is fixed. Past proposals are also printed as JSON for
-//! operators; the renamed fields and variants keep the names that these read.
+//! Policies in the course of a change: proposed, staged, on probation, and past. These types are stored and
+//! sent in postcard's form, where the order of fields and variants is fixed. Past proposals are also printed
+//! as JSON for operators; the renamed fields and variants keep the names that these read.
 
 use std::sync::Arc;
 
--- a/crates/policy/src/agreed/state.rs
+++ b/crates/policy/src/agreed/state.rs
@@ -33,8 +33,8 @@
     pub voters: Vec<u64>,
     /// During a change of voters, those before it; their majority must agree as well.
     pub outgoing_voters: Vec<u64>,
-    /// The last incarnation of each voter and its address. A voter that is no longer listed stays, as its vote may be
-    /// needed to list it again.
+    /// The last incarnation of each voter and its address. A voter that is no longer listed stays, as its
+    /// vote may be needed to list it again.
     pub replica_addresses: BTreeMap<u64, (Incarnation, String)>,
     /// How far the clocks that tell the fleet's time are ahead of it, in microseconds.
     pub clocks: BTreeMap<Incarnation, i64>,
@@ -47,8 +47,8 @@
     /// The last proposals that have ended, oldest first.
     pub past: VecDeque<PastProposal>,
     last_generation: u64,
-    /// Whether a proposal must be derived from the policy in force. Only a test that shows the need of this check
-    /// disables it.
+    /// Whether a proposal must be derived from the policy in force. Only a test that shows the need of this
+    /// check disables it.
     #[serde(skip, default = "enabled")]
     pub checks_base_generation: bool,
 }
@@ -73,7 +73,8 @@
         self.clocks.len() >= self.members.members().len().min(MIN_CLOCKS)
     }
 
-    /// Whether a proposed change waits for its decision. Until then routers don't confirm each other's leases.
+    /// Whether a proposed change waits for its decision. Until then routers don't confirm each other's
+    /// leases.
     pub fn has_undecided_change(&self) -> bool {
         self.staged.as_ref().is_some_and(|staged| !staged.is_decided())
     }
@@ -170,7 +171,8 @@
         Vec::new()
     }
 
-    /// Sets a clock's offset, except while a change is decided: its moment is told by the time that this would move.
+    /// Sets a clock's offset, except while a change is decided: its moment is told by the time that this
+    /// would move.
     fn set_clock(&mut self, incarnation: Incarnation, offset_us: Option<i64>) -> Vec<Transition> {
         if self.has_decided_change() {
             return Vec::new();
@@ -182,8 +184,8 @@
         Vec::new()
     }
 
-    /// Removes the clocks of routers that are no longer listed, except while a change is decided: what was read of them
-    /// still tells its moment, and with a single clock left nobody would notice that it jumps.
+    /// Removes the clocks of routers that are no longer listed, except while a change is decided: what was
+    /// read of them still tells its moment, and with a single clock left nobody would notice that it jumps.
     fn remove_unlisted_clocks(&mut self) {
         if !self.has_decided_change() {
             let members = &self.members;
@@ -224,8 +226,8 @@
         (*reverts != Some(*generation)).then(|| format!("generation {generation} is on probation"))
     }
 
-    /// Decides a change. A clock may have been removed while the entry was on its way: with too few clocks it decides
-    /// nothing, as nobody would notice that the last one jumps.
+    /// Decides a change. A clock may have been removed while the entry was on its way: with too few clocks it
+    /// decides nothing, as nobody would notice that the last one jumps.
     fn decide(&mut self, generation: u64, effective_at: FleetTime) -> Vec<Transition> {
         let has_clocks = self.has_clocks();
         match &mut self.staged {
--- a/crates/policy/src/budgets.rs
+++ b/crates/policy/src/budgets.rs
@@ -39,7 +39,8 @@
 /// The scope of budgets that the fleet has as a whole.
 pub const FLEET_SCOPE: u64 = 0;
 
-/// The names of budgets as operators read them, in the order of their numbers. They follow the keys of the policy.
+/// The names of budgets as operators read them, in the order of their numbers. They follow the keys of the
+/// policy.
 const BUDGET_NAMES: [&str; 10] = [
     "origin_fills",
     "location_fills",
@@ -68,8 +69,8 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The scope that stands for a named member, such as a request class: the FNV-1a hash of its name, which is the same at
-/// every router.
+/// The scope that stands for a named member, such as a request class: the FNV-1a hash of its name, which is
+/// the same at every router.
 pub fn scope_of_name(name: &str) -> u64 {
     let mix = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     name.bytes().fold(FNV_OFFSET_BASIS, mix)
--- a/crates/policy/src/budgets/charges.rs
+++ b/crates/policy/src/budgets/charges.rs
@@ -41,7 +41,8 @@
         Self { location, class_scopes, origin_fills_reported }
     }
 
-    /// The keys that a fill from the origin is charged to; the last one limits concurrency, the others are rates.
+    /// The keys that a fill from the origin is charged to; the last one limits concurrency, the others are
+    /// rates.
     pub fn fill_keys(&self, class: u16) -> [BudgetKey; 4] {
         let class_scope = self.class_scopes.get(usize::from(class)).copied().unwrap_or_default();
         [
@@ -65,7 +66,8 @@
         ChargedKeys { keys, count }
     }
 
-    /// Whether the origin may have been asked for a fill by an attempt with this outcome. What is unknown counts.
+    /// Whether the origin may have been asked for a fill by an attempt with this outcome. What is unknown
+    /// counts.
     pub fn may_have_filled(&self, outcome: Outcome) -> bool {
         use AttemptStatus::{Miss, Overloaded, Served, Superseded, Unreachable};
         use OutcomeDetail::{FilledFromSource, Hit, JoinedFill, OriginFailed, StaleHit};
--- a/crates/policy/src/budgets/limits.rs
+++ b/crates/policy/src/budgets/limits.rs
@@ -38,9 +38,9 @@
     policy.get(MAX_ROUTERS_KEY).map(|most| most as u64)
 }
 
-/// The objection to replacing `from` by `to` while `possible` processes may act: each of them needs its guaranteed
-/// minimum. A policy that does not lower the bound is accepted in any case, also while two incarnations of one router
-/// both count.
+/// The objection to replacing `from` by `to` while `possible` processes may act: each of them needs its
+/// guaranteed minimum. A policy that does not lower the bound is accepted in any case, also while two
+/// incarnations of one router both count.
 pub fn router_bound_objection(from: Option<&Policy>, to: &Policy, possible: u64) -> Option<PolicyError> {
     let before = from.and_then(max_routers);
     let is_too_low = |most: &u64| before.is_none_or(|before| *most < before) && *most < possible;
--- a/crates/policy/src/keys.rs
+++ b/crates/policy/src/keys.rs
@@ -1,5 +1,5 @@
-//! What a policy may set: one declaration of each key, by which policies are checked, explained to operators, and
-//! applied to the settings of the decision library.
+//! What a policy may set: one declaration of each key, by which policies are checked, explained to operators,
+//! and applied to the settings of the decision library.
 
 mod error;
 mod setting;
@@ -61,8 +61,8 @@
     }
 }
 
-/// The declaration of a key. A name that begins with `offering.*.` stands for one key of each request class, with the
-/// class's name in place of the asterisk.
+/// The declaration of a key. A name that begins with `offering.*.` stands for one key of each request class,
+/// with the class's name in place of the asterisk.
 #[derive(Debug)]
 pub struct Key {
     /// The name.
@@ -163,7 +163,8 @@
         if declaration.applies == Applies::AtStart {
             return Err(PolicyError::FixedInService { key: key() });
         }
-        // A setting of the decision library can't be unset; a key that the router applies can: it then limits nothing.
+        // A setting of the decision library can't be unset; a key that the router applies can: it then limits
+        // nothing.
         if difference.new.is_none() && difference.old.is_some() && declaration.setting.is_some() {
             return Err(PolicyError::SettingRemoved { key: key() });
         }
--- a/crates/policy/src/keys/error.rs
+++ b/crates/policy/src/keys/error.rs
@@ -1,4 +1,5 @@
-//! Why a policy is rejected, in the words that operators read. The words are also sent as a router's objection.
+//! Why a policy is rejected, in the words that operators read. The words are also sent as a router's
+//! objection.
 
 use thiserror::Error;
 
--- a/crates/policy/src/keys/setting.rs
+++ b/crates/policy/src/keys/setting.rs
@@ -96,8 +96,8 @@
 }
 
 impl Setting {
-    /// Its field in the settings, of the request class with the index `class` where each class has its own; none where
-    /// there is no such class.
+    /// Its field in the settings, of the request class with the index `class` where each class has its own;
+    /// none where there is no such class.
     fn field(self, settings: &mut Settings, class: Option<usize>) -> Option<Field<'_>> {
         let Settings { topology, attempts, rejection, slow_start, purges, .. } = settings;
         Some(match self {
--- a/crates/policy/src/keys/table.rs
+++ b/crates/policy/src/keys/table.rs
@@ -1,5 +1,5 @@
-//! The declarations of all keys. Names, units and bounds are stored and sent: they stay. Descriptions are read by
-//! operators.
+//! The declarations of all keys. Names, units and bounds are stored and sent: they stay. Descriptions are
+//! read by operators.
 
 use super::Applies::{AtStart, InService};
 use super::Unit::{Count, Flag, Milliseconds, Number};
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,9 @@
 //! The policy by which all routers of a fleet decide: what it may set ([`keys`]), what budgets it declares
-//! ([`budgets`]), what was agreed of it ([`AgreedState`]), and whether a change caused failures ([`Probation`]).
+//! ([`budgets`]), what was agreed of it ([`AgreedState`]), and whether a change caused failures
+//! ([`Probation`]).
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers. The guarantees, and the argument why they hold, are in
-//! `docs/design/policy.md`.
+//! Nothing here does I/O, reads a clock or draws random numbers. The guarantees, and the argument why they
+//! hold, are in `docs/design/policy.md`.
 
 mod agreed;
 pub mod budgets;
--- a/crates/policy/src/probation.rs
+++ b/crates/policy/src/probation.rs
@@ -1,5 +1,5 @@
-//! Whether a change caused failures: the fraction of requests served in time after it compared with before it, by
-//! location and request class, by a sequential probability ratio test with stated error rates.
+//! Whether a change caused failures: the fraction of requests served in time after it compared with before
+//! it, by location and request class, by a sequential probability ratio test with stated error rates.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,8 @@
 
 use crate::{OutcomeCount, OutcomeWindow, TrafficCell};
 
-/// The fractions in time that the test compares are kept within these bounds, so that their logarithms are finite.
+/// The fractions in time that the test compares are kept within these bounds, so that their logarithms are
+/// finite.
 const FRACTION_BOUNDS: [f64; 2] = [0.001, 0.999];
 
 /// Error rates and sensitivity of the test.
@@ -232,7 +233,8 @@
         }
     }
 
-    /// The logarithm of how much more likely a count is after a harmful loss than with the expected fraction in time.
+    /// The logarithm of how much more likely a count is after a harmful loss than with the expected fraction
+    /// in time.
     fn log_likelihood_ratio(&self, count: OutcomeCount, expected: f64) -> f64 {
         let [min, max] = FRACTION_BOUNDS;
         let [high, low] =
@@ -272,8 +274,8 @@
     }
 }
 
-/// The part of their fraction in time that the other locations retained, at most one: the median of the locations, each
-/// counted alike, so that a single one that fails as well does not excuse the next.
+/// The part of their fraction in time that the other locations retained, at most one: the median of the
+/// locations, each counted alike, so that a single one that fails as well does not excuse the next.
 fn retained_elsewhere(comparisons: &[Comparison], cell: TrafficCell) -> f64 {
     let others =
         comparisons.iter().filter(|other| other.cell.location != cell.location && other.after.requests > 0);
--- a/crates/policy/tests/agreed.rs
+++ b/crates/policy/tests/agreed.rs
@@ -56,8 +56,8 @@
     assert_eq!(agreed.apply(at + 9, LogEntry::Propose(proposal(13, 2))), [Transition::Proposed(3)]);
 }
 
-/// Found in a simulated day: a voter restarted while a decision was on its way, its clock was removed, and the remaining
-/// one jumped unnoticed.
+/// Found in a simulated day: a voter restarted while a decision was on its way, its clock was removed, and
+/// the remaining one jumped unnoticed.
 #[test]
 fn a_decision_with_too_few_clocks_decides_nothing() {
     let (mut agreed, at) = bootstrapped();
@@ -79,8 +79,8 @@
     );
 }
 
-/// Found in a simulated day: the vote of a router that was no longer listed was needed to elect the leader that lists it
-/// again.
+/// Found in a simulated day: the vote of a router that was no longer listed was needed to elect the leader
+/// that lists it again.
 #[test]
 fn a_voter_that_is_no_longer_listed_keeps_its_address() {
     let (mut agreed, at) = bootstrapped();
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Golden file of the fleet's policy: every key with its declaration, and the hashes of some policies. Replicas of
-//! one fleet compare policies by hash, so a hash must be the same in every version of the program.
+//! Golden file of the fleet's policy: every key with its declaration, and the hashes of some policies.
+//! Replicas of one fleet compare policies by hash, so a hash must be the same in every version of the
+//! program.
 //!
 //! ```sh
 //! cargo test -p tindoor-policy --test golden -- --ignored record
@@ -19,7 +20,8 @@
     Policy::default().with(keys.iter().map(|(key, number)| (key.to_string(), *number)))
 }
 
-/// Each key at the least, or else at the most, of its bounds; those of request classes for a request class called `video`.
+/// Each key at the least, or else at the most, of its bounds; those of request classes for a request class
+/// called `video`.
 fn policy_at_bounds(bound: impl Fn(&keys::Key) -> f64) -> Policy {
     let setting = |key: &keys::Key| (key.name.replace('*', "video"), bound(key));
     Policy::default().with(keys::KEYS.iter().map(setting))
--- a/crates/policy/tests/probation.rs
+++ b/crates/policy/tests/probation.rs
@@ -7,8 +7,9 @@
     Assessment, GenerationChange, OutcomeCount, OutcomeWindow, Probation, ProbationLimits, TrafficCell,
 };
 
-/// Assesses a change with traffic of four locations for so many seconds, 50 requests per second each. The fraction in time
-/// is given by location, second and generation. Returns the assessment and the second that it was made in.
+/// Assesses a change with traffic of four locations for so many seconds, 50 requests per second each. The
+/// fraction in time is given by location, second and generation. Returns the assessment and the second that
+/// it was made in.
 fn assess(seed: u64, seconds: u64, fraction_in_time: impl Fn(u16, u64, u64) -> f64) -> (Assessment, u64) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut outcomes = OutcomeWindow::default();
--- a/crates/quota/src/budget.rs
+++ b/crates/quota/src/budget.rs
@@ -38,8 +38,8 @@
     pub guaranteed: Quota,
     /// The most routers that may exist at once, those included that may still spend.
     pub max_routers: u64,
-    /// How long a grant still counts after it was lowered or has expired: the longest that a unit is in flight, or
-    /// the sliding window of a fraction.
+    /// How long a grant still counts after it was lowered or has expired: the longest that a unit is in
+    /// flight, or the sliding window of a fraction.
     pub release_lag: Span,
 }
 
--- a/crates/quota/src/demand_window.rs
+++ b/crates/quota/src/demand_window.rs
@@ -54,8 +54,8 @@
         newest.peak_in_flight = newest.peak_in_flight.max(in_flight);
     }
 
-    /// Units per second over the complete slices: the larger mean of their newer and older half, so that the rate rises
-    /// fast and falls slowly.
+    /// Units per second over the complete slices: the larger mean of their newer and older half, so that the
+    /// rate rises fast and falls slowly.
     pub(crate) fn rate(&self) -> f64 {
         let complete = self.slices.len().saturating_sub(1);
         if complete == 0 {
--- a/crates/quota/src/fair_shares.rs
+++ b/crates/quota/src/fair_shares.rs
@@ -1,5 +1,5 @@
-//! Weighted max-min fair division: nobody gets more than it wants, and whoever gets less gets as much by weight as
-//! anybody.
+//! Weighted max-min fair division: nobody gets more than it wants, and whoever gets less gets as much by
+//! weight as anybody.
 
 /// What one participant wants of the amount to divide.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -16,8 +16,9 @@
     }
 }
 
-/// Divides `total` in multiples of `granularity`; returns the share of each demand, in their order. Where there are
-/// fewer multiples than demands, `rotation` decides who gets none, and the next rotation skips others.
+/// Divides `total` in multiples of `granularity`; returns the share of each demand, in their order. Where
+/// there are fewer multiples than demands, `rotation` decides who gets none, and the next rotation skips
+/// others.
 pub fn max_min_fair_shares(
     total: u64,
     demands: &[WeightedDemand],
@@ -28,7 +29,8 @@
     let order = by_demand_per_weight(demands);
     let mut shares = vec![0; demands.len()];
     let mut remaining = fill_in_order(total, demands, &order, &mut shares);
-    // Shares are rounded only now: rounding while filling would leave the remainder to the last in the order each time.
+    // Shares are rounded only now: rounding while filling would leave the remainder to the last in the order
+    // each time.
     for share in &mut shares {
         remaining += *share % granularity;
         *share -= *share % granularity;
@@ -57,8 +59,8 @@
     order
 }
 
-/// Gives each its demand or its fair part of what remains, whichever is less; what the smaller demands leave goes to
-/// those after them. Returns what remains in the end.
+/// Gives each its demand or its fair part of what remains, whichever is less; what the smaller demands leave
+/// goes to those after them. Returns what remains in the end.
 fn fill_in_order(total: u64, demands: &[WeightedDemand], order: &[usize], shares: &mut [u64]) -> u64 {
     let mut remaining = total;
     let mut remaining_weight: u128 = order.iter().map(|index| demands[*index].effective_weight()).sum();
--- a/crates/quota/src/lease_ledger.rs
+++ b/crates/quota/src/lease_ledger.rs
@@ -1,9 +1,9 @@
-//! What one router has granted to others of one key, and what it may still grant: of the fleet's total at the leader,
-//! of its own grant at a router that passes it on within its location, to itself alone at any other.
+//! What one router has granted to others of one key, and what it may still grant: of the fleet's total at the
+//! leader, of its own grant at a router that passes it on within its location, to itself alone at any other.
 //!
-//! A grant counts as outstanding for as long as it might be spent: until its borrower reports lower holdings, or until
-//! it has expired by any clock. So outstanding grants never exceed the income, whatever messages are lost, late or
-//! duplicated.
+//! A grant counts as outstanding for as long as it might be spent: until its borrower reports lower holdings,
+//! or until it has expired by any clock. So outstanding grants never exceed the income, whatever messages are
+//! lost, late or duplicated.
 
 use std::collections::BTreeMap;
 
@@ -19,8 +19,8 @@
 /// How long targets are used among many borrowers.
 const DIVISION_INTERVAL: Span = Span::millis(100);
 
-/// How long those that get a unit keep it before others have their turn, where units are fewer than borrowers. A turn
-/// must be long enough to spend a single unit.
+/// How long those that get a unit keep it before others have their turn, where units are fewer than
+/// borrowers. A turn must be long enough to spend a single unit.
 const ROTATION_PERIOD: Span = Span::millis(1000);
 
 /// How long a silent borrower still counts in the division after its grant has expired.
@@ -62,7 +62,8 @@
     pub limit: BudgetLimit,
     /// At the leader: the last moment at which it is known to have led. None at other lenders.
     pub confirmed: Option<Moment>,
-    /// At a new leader: what the borrower was granted by the leader before. It is renewed, and nothing else granted.
+    /// At a new leader: what the borrower was granted by the leader before. It is renewed, and nothing else
+    /// granted.
     pub carried_over: Option<Quota>,
     /// Which checks apply.
     pub checks: LedgerChecks,
@@ -104,8 +105,9 @@
     borrowers: BTreeMap<Incarnation, Borrower>,
     targets: BTreeMap<Incarnation, Quota>,
     divided_at: Moment,
-    /// At the leader, quota that was returned or has expired is granted again only once a majority has confirmed the
-    /// leader after that moment. A deposed leader would otherwise grant what its successor renews.
+    /// At the leader, quota that was returned or has expired is granted again only once a majority has
+    /// confirmed the leader after that moment. A deposed leader would otherwise grant what its successor
+    /// renews.
     quarantine: Vec<QuarantinedQuota>,
 }
 
@@ -161,7 +163,8 @@
         granted
     }
 
-    /// What the borrower still holds of this lender's grants; what it holds beyond them another lender accounts for.
+    /// What the borrower still holds of this lender's grants; what it holds beyond them another lender
+    /// accounts for.
     fn accept_returned(&mut self, now: Moment, request: &LoanRequest, terms: &LendingTerms) -> Quota {
         let borrower = self.borrowers.get(&request.borrower);
         let outstanding = borrower.map_or(Quota::NONE, |borrower| borrower.outstanding);
@@ -184,8 +187,8 @@
             false => self.income.minus(self.outstanding().minus(borrower.outstanding)),
         };
         let fresh = target.min(room);
-        // The borrower may keep what it holds until that expires: nothing is then granted twice, and it is not left
-        // without quota while others still hold more than their targets.
+        // The borrower may keep what it holds until that expires: nothing is then granted twice, and it is
+        // not left without quota while others still hold more than their targets.
         let kept = target.min(borrower.outstanding);
         if fresh.within(kept) && fresh != kept && now < borrower.expires {
             return Grant { quota: kept, expires: borrower.expires };
@@ -262,7 +265,8 @@
         self.borrowers.is_empty() && self.quarantine.is_empty()
     }
 
-    /// Drops the account, when this process stops leading or leads a new term: it can't know what is outstanding.
+    /// Drops the account, when this process stops leading or leads a new term: it can't know what is
+    /// outstanding.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,8 +1,8 @@
 //! Division of a fleet's budgets among its routers, such that the fleet never spends more than the total.
 //!
-//! This crate is one router's side of it: what the router may spend ([`TokenBucket`]), what it has granted to others
-//! ([`LeaseLedger`]), and the requests and grants that it exchanges ([`Participant`]). Nothing here does I/O, reads a
-//! clock or draws random numbers.
+//! This crate is one router's side of it: what the router may spend ([`TokenBucket`]), what it has granted to
+//! others ([`LeaseLedger`]), and the requests and grants that it exchanges ([`Participant`]). Nothing here
+//! does I/O, reads a clock or draws random numbers.
 //!
 //! The guarantees, and the argument why they hold, are in `docs/design/budgets.md`.
 
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,11 +1,12 @@
-//! Messages between a router and its lender. They cross the wire in postcard's form: the order of fields is fixed.
+//! Messages between a router and its lender. They cross the wire in postcard's form: the order of fields is
+//! fixed.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{BudgetKey, Quota};
 
-/// A router's request for quota. It names every key of which the router might still spend something; a key that it does
-/// not name it does not hold.
+/// A router's request for quota. It names every key of which the router might still spend something; a key
+/// that it does not name it does not hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRequest {
     /// Increases with each request of one incarnation; a new request voids the answers to all earlier ones.
--- a/crates/quota/src/participant.rs
+++ b/crates/quota/src/participant.rs
@@ -1,5 +1,6 @@
-//! One router's part in the division of the fleet's budgets: what it may spend, what it grants to others, and what it
-//! requests from its lender. The leader has the fleet's total; every other router has what it is granted.
+//! One router's part in the division of the fleet's budgets: what it may spend, what it grants to others, and
+//! what it requests from its lender. The leader has the fleet's total; every other router has what it is
+//! granted.
 
 mod borrowing;
 mod lending;
@@ -19,7 +20,8 @@
 /// How long a key is kept that is not used.
 const IDLE_KEY_RETENTION: Span = Span::millis(30_000);
 
-/// Checks that keep the fleet within its totals. A test may disable one to show that its audit detects the fault.
+/// Checks that keep the fleet within its totals. A test may disable one to show that its audit detects the
+/// fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyChecks {
     /// A grant counts as outstanding until it has expired.
@@ -141,7 +143,8 @@
         self.update_limits(now);
     }
 
-    /// Sets whether this incarnation may spend its guaranteed minima: while the one before it might, it may not.
+    /// Sets whether this incarnation may spend its guaranteed minima: while the one before it might, it may
+    /// not.
     pub fn set_owns_guaranteed(&mut self, now: Moment, owns: bool) {
         if self.owns_guaranteed != owns {
             self.owns_guaranteed = owns;
@@ -207,7 +210,8 @@
         }
     }
 
-    /// Ends the charges that were made at `spent_at`, and refunds them unless they were used: a cache hit fills nothing.
+    /// Ends the charges that were made at `spent_at`, and refunds them unless they were used: a cache hit
+    /// fills nothing.
     pub fn settle(&mut self, now: Moment, spent_at: Moment, keys: &[BudgetKey], used: bool) {
         for key in keys {
             if let Some(state) = self.keys.get_mut(key) {
@@ -268,7 +272,8 @@
     }
 }
 
-/// The limit by which one router spends: without a guaranteed minimum while that may be another incarnation's.
+/// The limit by which one router spends: without a guaranteed minimum while that may be another
+/// incarnation's.
 fn own_limit(limit: &BudgetLimit, owns_guaranteed: bool) -> BudgetLimit {
     if owns_guaranteed { *limit } else { BudgetLimit { guaranteed: Quota::NONE, ..*limit } }
 }
--- a/crates/quota/src/participant/borrowing.rs
+++ b/crates/quota/src/participant/borrowing.rs
@@ -55,8 +55,8 @@
         self.unanswered_requests = 0;
     }
 
-    /// Accepts the answer to the last request. Answers to earlier ones are void: the lender may have granted the quota
-    /// to others since.
+    /// Accepts the answer to the last request. Answers to earlier ones are void: the lender may have granted
+    /// the quota to others since.
     pub fn accept_grant(&mut self, now: Moment, answer: QuotaGrant) {
         let Some(request) = self.open_request.take_if(|open| open.nonce == answer.nonce) else { return };
         self.unanswered_requests = 0;
--- a/crates/quota/src/participant/lending.rs
+++ b/crates/quota/src/participant/lending.rs
@@ -1,4 +1,5 @@
-//! The lender's side: the leader's income, and grants to those that request quota here, this router among them.
+//! The lender's side: the leader's income, and grants to those that request quota here, this router among
+//! them.
 
 use std::collections::BTreeSet;
 
@@ -31,7 +32,8 @@
         let wait = if self.checks.wait_for_predecessor { self.longest_lease() } else { Span::ZERO };
         let leadership = self.leadership.as_mut().expect("set above");
         leadership.confirmed = leadership.confirmed.max(confirmed);
-        // The predecessor was last confirmed before this leader was elected: its grants have expired a lease later.
+        // The predecessor was last confirmed before this leader was elected: its grants have expired a lease
+        // later.
         leadership.grants_from = leadership.grants_from.or(confirmed.map(|confirmed| confirmed + wait));
         let keys: Vec<BudgetKey> = self.keys.keys().copied().collect();
         for key in keys {
@@ -61,8 +63,8 @@
         self.timings.lease + self.timings.drift(self.timings.lease)
     }
 
-    /// Sets the leader's income of a key for a lease from the last confirmation on: what the current plan and the next
-    /// one both allow.
+    /// Sets the leader's income of a key for a lease from the last confirmation on: what the current plan and
+    /// the next one both allow.
     fn update_leader_income(&mut self, key: BudgetKey) {
         let Some(confirmed) = self.leadership.and_then(|leadership| leadership.confirmed) else { return };
         let expires = confirmed + self.timings.lease - self.timings.drift(self.timings.lease);
@@ -128,8 +130,9 @@
         })
     }
 
-    /// What a new leader renews of its predecessor's grants, until all of them have expired; none once they have. Where
-    /// the next plan allows less, the renewed grants are reduced in proportion, so that they fit it together.
+    /// What a new leader renews of its predecessor's grants, until all of them have expired; none once they
+    /// have. Where the next plan allows less, the renewed grants are reduced in proportion, so that they fit
+    /// it together.
     fn carried_over(
         &self,
         now: Moment,
@@ -147,8 +150,8 @@
         Some(next.map_or(quota, |next| quota.scaled_down(limit.grantable(), next.grantable())))
     }
 
-    /// Answers a router's request. A request that is not newer than the last one of that router is ignored, as are
-    /// requests beyond the bounds of memory.
+    /// Answers a router's request. A request that is not newer than the last one of that router is ignored,
+    /// as are requests beyond the bounds of memory.
     pub fn grant_request(
         &mut self,
         now: Moment,
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -13,7 +13,8 @@
 pub struct Quota {
     /// Thousandths of a unit that are added each second.
     pub rate: u64,
-    /// Thousandths of a unit: the burst of a rate, the most in flight of a concurrency limit, or the fraction itself.
+    /// Thousandths of a unit: the burst of a rate, the most in flight of a concurrency limit, or the fraction
+    /// itself.
     pub burst: u64,
 }
 
--- a/crates/quota/src/retry_budget.rs
+++ b/crates/quota/src/retry_budget.rs
@@ -3,8 +3,8 @@
 /// The most credit that is kept, in retries; a new budget starts with it.
 const MAX_CREDIT: f64 = 10.0;
 
-/// How many retries one router's own successes allow: each success adds credit, each retry takes one. During a fault in
-/// which nothing succeeds, retries therefore stop and don't add load.
+/// How many retries one router's own successes allow: each success adds credit, each retry takes one. During
+/// a fault in which nothing succeeds, retries therefore stop and don't add load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     per_success: f64,
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -1,5 +1,6 @@
-//! What one router may spend of one key: the guaranteed minimum always, its grant until that expires. The expiry is
-//! compared with the clock at each use, so a router that was suspended past its lease spends none of the grant.
+//! What one router may spend of one key: the guaranteed minimum always, its grant until that expires. The
+//! expiry is compared with the clock at each use, so a router that was suspended past its lease spends none
+//! of the grant.
 
 use std::collections::VecDeque;
 
@@ -60,7 +61,8 @@
 }
 
 impl TokenBucket {
-    /// Starts without tokens, not even the guaranteed burst: the process before this one may just have spent it.
+    /// Starts without tokens, not even the guaranteed burst: the process before this one may just have spent
+    /// it.
     pub fn new(limit: BudgetLimit, now: Moment) -> Self {
         let empty = Balance { tokens: 0.0, at: now };
         Self {
@@ -95,7 +97,8 @@
         }
     }
 
-    /// Drops everything that was counted by the clock before it jumped. Former grants count for their full time again.
+    /// Drops everything that was counted by the clock before it jumped. Former grants count for their full
+    /// time again.
     pub fn clock_jumped(&mut self, now: Moment) {
         let burst = self.peak_granted_burst();
         self.former_grants.clear();
@@ -221,21 +224,22 @@
         self.demand.record(now, self.in_flight);
     }
 
-    /// Releases a unit of a concurrency limit that was spent at `spent_at`. A unit from before the limit existed was
-    /// never counted, so its end releases nothing.
+    /// Releases a unit of a concurrency limit that was spent at `spent_at`. A unit from before the limit
+    /// existed was never counted, so its end releases nothing.
     pub fn release(&mut self, spent_at: Moment) {
         self.in_flight -= u64::from(spent_at >= self.created).min(self.in_flight);
     }
 
-    /// Ends the charge that was made at `charged_at`, and refunds it unless it was used. The balance becomes what it
-    /// would be had the charge never been made; adding a token instead would create one where the bucket has meanwhile
-    /// filled up.
+    /// Ends the charge that was made at `charged_at`, and refunds it unless it was used. The balance becomes
+    /// what it would be had the charge never been made; adding a token instead would create one where the
+    /// bucket has meanwhile filled up.
     pub fn settle(&mut self, now: Moment, charged_at: Moment, used: bool) {
         self.advance(now);
         if used {
             return;
         }
-        // Searched from the newest on, as most charges end soon. A charge under an earlier grant is not there any more.
+        // Searched from the newest on, as most charges end soon. A charge under an earlier grant is not there
+        // any more.
         let Some(index) = self.refundable.iter().rposition(|at| *at == charged_at) else { return };
         self.refundable.remove(index);
         let replayed = self.refundable.iter().fold(self.checkpoint, |balance, at| self.charged(balance, *at));
@@ -273,7 +277,8 @@
         former.unwrap_or_default().max(self.grant.burst)
     }
 
-    /// What to request beyond the guaranteed minimum, by recent demand. The weight is 0 where the router's own applies.
+    /// What to request beyond the guaranteed minimum, by recent demand. The weight is 0 where the router's
+    /// own applies.
     pub fn claim(&mut self, now: Moment) -> Claim {
         if self.demand.is_empty() {
             return Claim::default();
--- a/crates/quota/tests/division.rs
+++ b/crates/quota/tests/division.rs
@@ -1,5 +1,5 @@
-//! Tests of the division of budgets among routers: grants that are made, returned, expire and move, and totals that are
-//! never exceeded.
+//! Tests of the division of budgets among routers: grants that are made, returned, expire and move, and
+//! totals that are never exceeded.
 
 mod support;
 
@@ -118,7 +118,8 @@
         stranger.accept_grant(at(ms), answer);
         quota(&mut stranger, ms).burst
     };
-    // It leads from 0 on. Earlier grants have expired a lease later; units in flight count for one more second.
+    // It leads from 0 on. Earlier grants have expired a lease later; units in flight count for one more
+    // second.
     assert_eq!(granted_at(0), 0);
     assert_eq!(granted_at(1800), 0, "a fill granted by its predecessor may still be in flight");
     assert!(granted_at(2100) > 0);
@@ -139,8 +140,8 @@
     assert!(after > 0 && after <= before * 40 / 100, "{before} before, {after} after");
 }
 
-/// A leader, a router that passes on its grant, and one that is granted from it, all past the first lease. The last two
-/// want more than the total.
+/// A leader, a router that passes on its grant, and one that is granted from it, all past the first lease.
+/// The last two want more than the total.
 fn leader_middle_and_last() -> [Participant; 3] {
     let plan = plan(rate(100.0, 20.0));
     let [mut leader, mut middle, mut last] =
@@ -164,7 +165,8 @@
     let [a, b] = [quota(&mut middle, 3001), quota(&mut last, 3001)];
     assert!(a.rate > 30_000 && b.rate > 30_000, "{a:?} {b:?}");
     assert!(a.plus(b).within(Quota::rate(100.0, 20.0)));
-    // Partitioned from the leader, the middle one wants nothing more; its grant goes to the last one until it expires.
+    // Partitioned from the leader, the middle one wants nothing more; its grant goes to the last one until it
+    // expires.
     for ms in (3100..3900).step_by(100) {
         spend_steadily(&mut last, ms - 100, ms);
         middle.next_request(at(ms));
@@ -219,7 +221,8 @@
     assert!(quota(&mut leader, 5200).rate > before.rate * 3 / 2, "within two leases");
 }
 
-/// What both might spend after the leader's demand has risen and the answer that lowers the other's grant was lost.
+/// What both might spend after the leader's demand has risen and the answer that lowers the other's grant was
+/// lost.
 fn after_a_lost_answer(checks: SafetyChecks) -> Quota {
     let plan = plan(rate(100.0, 20.0));
     let [mut leader, mut other] = [1, 2].map(|id| participant(id, &plan, checks));
--- a/crates/quota/tests/fair_shares.rs
+++ b/crates/quota/tests/fair_shares.rs
@@ -4,8 +4,8 @@
 use tindoor_quota::{WeightedDemand, max_min_fair_shares};
 
 proptest! {
-    /// Shares never exceed the total nor any demand, and whoever gets less than its demand gets, by weight, no less than
-    /// anybody else but one granularity.
+    /// Shares never exceed the total nor any demand, and whoever gets less than its demand gets, by weight,
+    /// no less than anybody else but one granularity.
     #[test]
     fn shares_are_max_min_fair(
         total in 0u64..100_000,
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -1,5 +1,6 @@
-//! Two routers and one budget under a model checker: messages that are lost, duplicated and reordered, a router that is
-//! suspended at any point, a deposed leader that does not know it yet, and demand that comes and goes.
+//! Two routers and one budget under a model checker: messages that are lost, duplicated and reordered, a
+//! router that is suspended at any point, a deposed leader that does not know it yet, and demand that comes
+//! and goes.
 
 use std::hash::{Hash, Hasher};
 
@@ -248,7 +249,8 @@
     assert!(quota.rate > 40 * UNIT && max_spendable_by_both(&fleet).rate > 90 * UNIT, "{quota:?}");
 }
 
-/// The case for `count_until_returned` is too rare for random walks: `tests/division.rs` and simulated days cover it.
+/// The case for `count_until_returned` is too rare for random walks: `tests/division.rs` and simulated days
+/// cover it.
 #[test]
 fn each_safety_check_is_needed() {
     let all = SafetyChecks::default();
--- a/crates/quota/tests/token_bucket.rs
+++ b/crates/quota/tests/token_bucket.rs
@@ -84,8 +84,8 @@
 }
 
 proptest! {
-    /// Whatever is granted, spent and refunded, and when: in no window does the bucket spend more than its largest burst
-    /// and what its largest rate adds.
+    /// Whatever is granted, spent and refunded, and when: in no window does the bucket spend more than its
+    /// largest burst and what its largest rate adds.
     #[test]
     fn a_bucket_never_spends_more_than_it_was_granted(
         steps in prop::collection::vec((0u64..400, 0u8..4, 0u64..50, 0u64..10), 1..200),
--- a/crates/request-runtime/src/admission.rs
+++ b/crates/request-runtime/src/admission.rs
@@ -6,17 +6,18 @@
 use tindoor::settings::Settings;
 use tindoor::time::{Moment, Span};
 
-/// Decides whether requests are admitted, by which settings, and what attempts may draw from the shared quota.
+/// Decides whether requests are admitted, by which settings, and what attempts may draw from the shared
+/// quota.
 pub trait AdmissionGate {
-    /// The settings to apply now, where they have changed since the last call; an error says that no request is
-    /// admitted now, and when clients may retry.
+    /// The settings to apply now, where they have changed since the last call; an error says that no request
+    /// is admitted now, and when clients may retry.
     fn updated_settings(&self) -> Result<Option<Settings>, Span>;
 
     /// How many requests may be in flight by the settings in force.
     fn max_in_flight(&self) -> usize;
 
-    /// Admits a request of that account, right after [`updated_settings`](Self::updated_settings): returns the
-    /// generation of the settings in force, or when its client may retry.
+    /// Admits a request of that account, right after [`updated_settings`](Self::updated_settings): returns
+    /// the generation of the settings in force, or when its client may retry.
     fn admit(&self, account: u64) -> Result<u64, Span>;
 
     /// Counts the end of a request that was admitted under that generation.
--- a/crates/request-runtime/src/engine_handle.rs
+++ b/crates/request-runtime/src/engine_handle.rs
@@ -54,8 +54,8 @@
 
 /// Admission of requests.
 impl EngineHandle {
-    /// Applies the settings in force to the routing engine; an error says that no request is admitted now, and when
-    /// clients may retry. Requests in flight stay with the settings that they were admitted under.
+    /// Applies the settings in force to the routing engine; an error says that no request is admitted now,
+    /// and when clients may retry. Requests in flight stay with the settings that they were admitted under.
     fn reconcile_settings(&self) -> Result<(), Span> {
         let gate = self.gate.borrow().clone();
         if let Some(settings) = gate.map_or(Ok(None), |gate| gate.updated_settings())? {
@@ -64,8 +64,8 @@
         Ok(())
     }
 
-    /// Whether one more request may be in flight, of `limit` at most. The settings in force are applied first: a
-    /// router at its limit would otherwise never learn that they changed.
+    /// Whether one more request may be in flight, of `limit` at most. The settings in force are applied
+    /// first: a router at its limit would otherwise never learn that they changed.
     pub fn has_capacity(&self, limit: usize) -> bool {
         let _ = self.reconcile_settings();
         let gate = self.gate.borrow();
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Hands a request to the routing engine, or rejects it where the gate does not admit it. Returns what to count
-    /// at its end, where there is a gate that admitted it.
+    /// Hands a request to the routing engine, or rejects it where the gate does not admit it. Returns what to
+    /// count at its end, where there is a gate that admitted it.
     pub fn admit(
         &self,
         slot: RequestSlot,
@@ -133,7 +133,8 @@
         self.engine.borrow_mut().host().close(slot);
     }
 
-    /// Reports the end of an attempt to the routing engine; `last` says that the request has its final answer.
+    /// Reports the end of an attempt to the routing engine; `last` says that the request has its final
+    /// answer.
     pub fn attempt_ended(&self, slot: RequestSlot, attempt: &Attempt, outcome: Outcome, last: bool) {
         let took = Span::micros(attempt.issued_at.elapsed().as_micros() as u64);
         tracing::debug!(
--- a/crates/request-runtime/src/lifecycle.rs
+++ b/crates/request-runtime/src/lifecycle.rs
@@ -52,8 +52,8 @@
     pub time_remaining: Span,
 }
 
-/// Runs one request: carries out what the routing engine orders, until the client has its one final answer and every
-/// attempt has been reported.
+/// Runs one request: carries out what the routing engine orders, until the client has its one final answer
+/// and every attempt has been reported.
 pub async fn run_request<T: RequestTransport>(
     engine: &EngineHandle,
     request: IncomingRequest<'_>,
@@ -123,8 +123,8 @@
         if self.in_flight.is_none() && !self.is_answered {
             self.in_flight = Some(InFlightAttempt { attempt, end: Box::pin(self.transport.send(attempt)) });
         } else {
-            // Every attempt that was ordered is reported, also one that was never sent: the routing engine would
-            // otherwise count it as in flight for ever.
+            // Every attempt that was ordered is reported, also one that was never sent: the routing engine
+            // would otherwise count it as in flight for ever.
             self.report_unfinished(&attempt, AttemptStatus::Superseded, self.is_answered);
         }
     }
--- a/crates/router/src/configuration/limits.rs
+++ b/crates/router/src/configuration/limits.rs
@@ -105,13 +105,13 @@
     pub write_timeout: Duration,
     /// Time for the last replies of a connection that is being closed.
     pub final_write_timeout: Duration,
-    /// Time in which what still arrives is read and dropped once the router has closed its side: unread bytes would
-    /// reset the connection and destroy replies on their way.
+    /// Time in which what still arrives is read and dropped once the router has closed its side: unread bytes
+    /// would reset the connection and destroy replies on their way.
     pub linger_timeout: Duration,
     /// The least of that time where connections run out.
     pub min_linger: Duration,
-    /// Time for which there may be more to read from a client without a pause: after it nothing is forwarded for the
-    /// client, as its close may lie behind the unread bytes.
+    /// Time for which there may be more to read from a client without a pause: after it nothing is forwarded
+    /// for the client, as its close may lie behind the unread bytes.
     pub max_read_backlog: Duration,
 }
 
@@ -130,8 +130,8 @@
     pub connect_timeout: Duration,
     /// Time for which a connection may stay idle; shorter than the endpoint's own.
     pub idle_timeout: Duration,
-    /// Idle time before a connection is used again: a surplus response, which would be taken for that of the next
-    /// request, may arrive after the first one.
+    /// Idle time before a connection is used again: a surplus response, which would be taken for that of the
+    /// next request, may arrive after the first one.
     pub reuse_delay: Duration,
     /// Time for which the id of a removed endpoint is not given to another.
     pub removed_endpoint_retention: Duration,
@@ -180,7 +180,8 @@
     pub max_message_bytes: usize,
     /// Streams that a proxy may reset before they are accepted, and reset streams that are remembered.
     pub max_reset_streams: usize,
-    /// The cost of small frames that wait to be read on one connection, by the reckoning of the HTTP/2 library.
+    /// The cost of small frames that wait to be read on one connection, by the reckoning of the HTTP/2
+    /// library.
     pub data_frame_budget: usize,
     /// Bytes that may wait on one stream for its flow-control window.
     pub max_unsent_bytes: usize,
@@ -241,9 +242,9 @@
         }
     }
 
-    /// Limits of the table of externally processed requests, by the shortest grace period and the longest retry window
-    /// of the deployment. A decision is to be used within half the grace period; the other half is for the drain or
-    /// purge to reach this router.
+    /// Limits of the table of externally processed requests, by the shortest grace period and the longest
+    /// retry window of the deployment. A decision is to be used within half the grace period; the other half
+    /// is for the drain or purge to reach this router.
     pub fn external_request_limits(&self, grace: Duration, window: Duration) -> TableLimits {
         let span = |time: Duration| Span::micros(time.as_micros() as u64);
         TableLimits {
--- a/crates/router/src/configuration/line_numbers.rs
+++ b/crates/router/src/configuration/line_numbers.rs
@@ -2,8 +2,8 @@
 
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-/// The line, from 1, of the value at `path`, as in `settings.request_classes[2].name`; where a part of the path is
-/// missing, the line on which the enclosing object or list ends. `None` for a text that is not JSON.
+/// The line, from 1, of the value at `path`, as in `settings.request_classes[2].name`; where a part of the
+/// path is missing, the line on which the enclosing object or list ends. `None` for a text that is not JSON.
 pub fn line_of_value(text: &[u8], path: &str) -> Option<usize> {
     let steps: Vec<&str> = path.split(['.', '[', ']']).filter(|step| !step.is_empty()).collect();
     // serde_json reports the line at which a visitor fails, so the visitor fails at the value.
--- a/crates/router/src/discovery/mod.rs
+++ b/crates/router/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! The discovery watch: follows the change stream and applies its events to the connections, the routing engine and
-//! the requests that proxies carry out.
+//! The discovery watch: follows the change stream and applies its events to the connections, the routing
+//! engine and the requests that proxies carry out.
 
 mod apply;
 mod watch;
--- a/crates/router/src/discovery/watch.rs
+++ b/crates/router/src/discovery/watch.rs
@@ -27,8 +27,8 @@
     Closed,
 }
 
-/// Follows the change stream from the known position on; never returns. It may be dropped at any time, and another watch
-/// may take its place.
+/// Follows the change stream from the known position on; never returns. It may be dropped at any time, and
+/// another watch may take its place.
 pub async fn watch(state: Rc<RouterState>, address: SocketAddr) -> Infallible {
     let reconnect_log = LogThrottle::default();
     loop {
@@ -77,8 +77,8 @@
 }
 
 impl LineReader {
-    /// The next line; `None` where the other side has closed. The time for a line bounds the whole of it, so that bytes
-    /// that trickle in don't keep the endpoint list out of date.
+    /// The next line; `None` where the other side has closed. The time for a line bounds the whole of it, so
+    /// that bytes that trickle in don't keep the endpoint list out of date.
     async fn next_line(&mut self) -> io::Result<Option<Vec<u8>>> {
         let begun = Instant::now();
         loop {
--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -15,7 +15,8 @@
 
 use crate::upstream::MemoryReservation;
 
-/// Turns of the tasks in which the reader has taken what has arrived: one to wake, one to read, one to dispatch.
+/// Turns of the tasks in which the reader has taken what has arrived: one to wake, one to read, one to
+/// dispatch.
 const CATCH_UP_TURNS: usize = 3;
 
 /// A reply on its way to the client, with the memory that it takes.
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Sends the final reply of a call, unless it was cancelled. The mailbox identifies the call, as clients may use the
-    /// sequence id of a cancelled call again.
+    /// Sends the final reply of a call, unless it was cancelled. The mailbox identifies the call, as clients
+    /// may use the sequence id of a cancelled call again.
     pub fn finish_call(
         &self,
         sequence_id: i32,
@@ -253,8 +254,8 @@
         self.stream.get_ref().peek(&mut [0]).is_ok_and(|size| size > 0)
     }
 
-    /// Lets the reader take what has arrived, a cancel perhaps, before something is forwarded. A client that sends
-    /// without end is not waited for.
+    /// Lets the reader take what has arrived, a cancel perhaps, before something is forwarded. A client that
+    /// sends without end is not waited for.
     pub async fn let_reader_catch_up(&self) {
         for _ in 0..CATCH_UP_TURNS {
             if self.has_bytes_in_system_buffer() {
@@ -263,9 +264,9 @@
         }
     }
 
-    /// Whether the client still waits: it has not closed its side, and was read to the end within this time, as a close
-    /// or a cancel may lie behind unread bytes. Checked right before a request is forwarded, as the reader may not have
-    /// run since the close arrived.
+    /// Whether the client still waits: it has not closed its side, and was read to the end within this time,
+    /// as a close or a cancel may lie behind unread bytes. Checked right before a request is forwarded, as
+    /// the reader may not have run since the close arrived.
     pub fn is_client_waiting(&self, max_read_backlog: Duration) -> bool {
         let is_read = self.backlog_since.get().is_none_or(|since| since.elapsed() <= max_read_backlog);
         let is_connected = match self.stream.get_ref().peek(&mut [0]) {
@@ -278,8 +279,8 @@
 
 /// How the connection is closed.
 impl Connection {
-    /// Closes the router's side of an idle connection, unless bytes have arrived. Check and close are one step: a
-    /// connection closed with bytes unread is reset, which may destroy the last reply.
+    /// Closes the router's side of an idle connection, unless bytes have arrived. Check and close are one
+    /// step: a connection closed with bytes unread is reset, which may destroy the last reply.
     pub fn close_unless_unread(&self) -> bool {
         if self.has_bytes_in_system_buffer() {
             self.has_unread_bytes.set(true);
--- a/crates/router/src/downstream/connections.rs
+++ b/crates/router/src/downstream/connections.rs
@@ -1,4 +1,5 @@
-//! The account of clients' connections: which are open, which make room for others, and how they end at a shutdown.
+//! The account of clients' connections: which are open, which make room for others, and how they end at a
+//! shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::net::TcpStream;
@@ -40,8 +41,8 @@
         self.unwritten_replies.get()
     }
 
-    /// Whether one more may be accepted. Closes a connection where too few are free or being closed, and cuts one
-    /// whose client does not close its side where none is left.
+    /// Whether one more may be accepted. Closes a connection where too few are free or being closed, and cuts
+    /// one whose client does not close its side where none is left.
     pub(super) fn make_room(&self, limits: &ClientLimits) -> bool {
         let all = self.all();
         let open = all.iter().filter(|connection| connection.phase() == Phase::Open).count();
--- a/crates/router/src/downstream/frame_reader.rs
+++ b/crates/router/src/downstream/frame_reader.rs
@@ -37,8 +37,8 @@
     buffer: BytesMut,
     /// When bytes were last read.
     arrived: Instant,
-    /// When the first byte of an incomplete frame was read; at first, when the connection was accepted. `None` while
-    /// the connection may stay idle.
+    /// When the first byte of an incomplete frame was read; at first, when the connection was accepted.
+    /// `None` while the connection may stay idle.
     incomplete_since: Option<Instant>,
 }
 
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -15,8 +15,8 @@
 use crate::configuration::limits::Limits;
 use crate::state::RouterState;
 
-/// Binds the listen address. While another process listens there, as the router's predecessor that has not ended, it is
-/// waited for.
+/// Binds the listen address. While another process listens there, as the router's predecessor that has not
+/// ended, it is waited for.
 pub async fn bind(address: SocketAddr, limits: &Limits) -> io::Result<Async<TcpListener>> {
     let begun = Instant::now();
     let mut is_logged = false;
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Accepts the connections that wait, as far as there is room; true once none is left. A connection that waits is
-    /// reset when the listener is closed, with the calls that it may carry.
+    /// Accepts the connections that wait, as far as there is room; true once none is left. A connection that
+    /// waits is reset when the listener is closed, with the calls that it may carry.
     pub fn accept_pending(&self) -> bool {
         while self.connections.make_room(&self.state.limits.client) {
             match self.socket.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
--- a/crates/router/src/downstream/request_fields.rs
+++ b/crates/router/src/downstream/request_fields.rs
@@ -1,4 +1,5 @@
-//! Reads and checks the fields of a call. Their wire names are mapped to the router's terms here and nowhere else.
+//! Reads and checks the fields of a call. Their wire names are mapped to the router's terms here and nowhere
+//! else.
 
 use bytes::Bytes;
 use tindoor::host::{Authorization, RequestMeta};
--- a/crates/router/src/downstream/session.rs
+++ b/crates/router/src/downstream/session.rs
@@ -28,7 +28,8 @@
 /// Serves one connection until either side closes it; calls that are still open then are abandoned.
 pub async fn serve_connection(state: Rc<RouterState>, connection: Rc<Connection>) {
     let limits = &state.limits.client;
-    // The writer lives on while the connection is closed, as a reply that is written in part must be completed.
+    // The writer lives on while the connection is closed, as a reply that is written in part must be
+    // completed.
     let mut writer = pin!(write_replies(limits, &connection));
     let reading = async { SessionEnd::Reader(read_calls(&state, &connection).await) };
     let writing = async { SessionEnd::Writer(writer.as_mut().await) };
@@ -51,8 +52,8 @@
     connection.end();
 }
 
-/// Writes the last replies, closes the router's side, and drops what still arrives for a bounded time: unread bytes
-/// would reset the connection and destroy replies that the client has not read.
+/// Writes the last replies, closes the router's side, and drops what still arrives for a bounded time: unread
+/// bytes would reset the connection and destroy replies that the client has not read.
 async fn close(limits: &ClientLimits, connection: &Connection, writer: impl Future<Output = io::Result<()>>) {
     connection.stop_accepting_calls();
     if with_timeout(limits.final_write_timeout, writer).await.is_err() {
--- a/crates/router/src/external/grpc/exchange.rs
+++ b/crates/router/src/external/grpc/exchange.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Waits for the decision and sends it; none where a final response was sent in its place. A proxy that ends its
-/// stream meanwhile has given the request up.
+/// Waits for the decision and sends it; none where a final response was sent in its place. A proxy that ends
+/// its stream meanwhile has given the request up.
 async fn send_decision(
     router: &Rc<RouterState>,
     stream: &mut MessageStream<'_>,
--- a/crates/router/src/external/grpc/mod.rs
+++ b/crates/router/src/external/grpc/mod.rs
@@ -1,4 +1,5 @@
-//! The external processing front: proxies call the router over gRPC for each request, and carry the bytes themselves.
+//! The external processing front: proxies call the router over gRPC for each request, and carry the bytes
+//! themselves.
 
 mod exchange;
 mod stream;
@@ -69,8 +70,8 @@
     }
 }
 
-/// Bounds what one proxy may cost: streams, resets before they are accepted, and headers; continuation frames count
-/// as headers.
+/// Bounds what one proxy may cost: streams, resets before they are accepted, and headers; continuation frames
+/// count as headers.
 fn connection_builder(limits: &ProxyLimits) -> server::Builder {
     let mut builder = server::Builder::new();
     builder
--- a/crates/router/src/external/http.rs
+++ b/crates/router/src/external/http.rs
@@ -1,5 +1,5 @@
-//! The plain call front: an HTTP/1.1 request asks for a decision, and another reports how it ended, for proxies that
-//! know only sub-requests. A second codec over the same table as external processing.
+//! The plain call front: an HTTP/1.1 request asks for a decision, and another reports how it ended, for
+//! proxies that know only sub-requests. A second codec over the same table as external processing.
 
 use std::fmt::Write;
 use std::io;
@@ -106,8 +106,8 @@
         with_timeout(self.router.limits.proxy.write_timeout, self.stream.write_all(head.as_bytes())).await
     }
 
-    /// Responds with a decision or a final refusal. A proxy that closes its connection before has given the request
-    /// up.
+    /// Responds with a decision or a final refusal. A proxy that closes its connection before has given the
+    /// request up.
     async fn decide(&mut self, head: &RequestHead) -> io::Result<()> {
         let router = Rc::clone(&self.router);
         let request = match read_request(&router, &head.headers(), &self.names) {
@@ -123,8 +123,8 @@
             let response = match reply {
                 CallReply::Decision { .. } if !router.external.confirm_send(&call, &reply) => continue,
                 CallReply::Decision { .. } => {
-                    // The proxy may use the decision once its first byte is sent: the report comes as a request of
-                    // its own, or the decision expires.
+                    // The proxy may use the decision once its first byte is sent: the report comes as a
+                    // request of its own, or the decision expires.
                     call.outlives_connection = true;
                     decision_response(&router, &call, &request, &reply)
                 }
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Takes a report. Status 204 has the proxy pass the endpoint's response on, 200 has it call again, and any other
-    /// is the response to the client.
+    /// Takes a report. Status 204 has the proxy pass the endpoint's response on, 200 has it call again, and
+    /// any other is the response to the client.
     async fn report(&mut self, head: &RequestHead) -> io::Result<()> {
         let router = Rc::clone(&self.router);
         let headers = head.report_headers();
--- a/crates/router/src/external/mod.rs
+++ b/crates/router/src/external/mod.rs
@@ -1,5 +1,6 @@
-//! Requests of external proxies: they carry the bytes themselves and ask the router for each request where to send it.
-//! Connects the table of these requests to the routing engine and to the two fronts, gRPC and plain HTTP.
+//! Requests of external proxies: they carry the bytes themselves and ask the router for each request where to
+//! send it. Connects the table of these requests to the routing engine and to the two fronts, gRPC and plain
+//! HTTP.
 
 mod call;
 mod checks;
@@ -103,9 +104,9 @@
         self.apply(|table, now, host| table.report_received(now, host, call.id, None, report));
     }
 
-    /// A proxy reports on an earlier call, by its id and the correlation id; `call` gets the replies to the earlier one
-    /// from now on. False where that call still has its connection or no decision in flight: a made-up id must not
-    /// take over another's call.
+    /// A proxy reports on an earlier call, by its id and the correlation id; `call` gets the replies to the
+    /// earlier one from now on. False where that call still has its connection or no decision in flight: a
+    /// made-up id must not take over another's call.
     fn report_on_earlier_call(
         self: &Rc<Self>,
         call: &Call,
@@ -149,8 +150,8 @@
         });
     }
 
-    /// The endpoint list changed, or objects were purged: withdraws the decisions that `is_stale` says would now be
-    /// different, where they have not been sent.
+    /// The endpoint list changed, or objects were purged: withdraws the decisions that `is_stale` says would
+    /// now be different, where they have not been sent.
     pub fn withdraw_stale_decisions(
         self: &Rc<Self>,
         is_stale: impl Fn(&ExternalRequest, &RoutingDecision) -> bool,
--- a/crates/router/src/external/table_host.rs
+++ b/crates/router/src/external/table_host.rs
@@ -112,8 +112,8 @@
         let Some(request) = self.in_flight.requests.remove(&number) else { return };
         let engine = &self.external.engine;
         engine.record_outcome(request.admitted, false);
-        // Attempts that were ordered and never issued are reported as well: the routing engine would otherwise count
-        // them as in flight for ever.
+        // Attempts that were ordered and never issued are reported as well: the routing engine would
+        // otherwise count them as in flight for ever.
         let queued = std::iter::from_fn(|| request.mailbox.try_next()).filter_map(|action| match action {
             Action::Send(attempt) => Some(attempt),
             _ => None,
--- a/crates/router/src/fleet/admission.rs
+++ b/crates/router/src/fleet/admission.rs
@@ -1,5 +1,5 @@
-//! The admission gate of the routing engine: requests are admitted by the lease, the policy and the quota of this
-//! router.
+//! The admission gate of the routing engine: requests are admitted by the lease, the policy and the quota of
+//! this router.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
 /// The policy's key of how many requests may be open.
 pub(super) const MAX_OPEN_REQUESTS_KEY: &str = "limit.open_views";
 
-/// Generations whose latency objectives are kept: requests in flight may be of a few generations back. Outcomes of
-/// older ones are not counted.
+/// Generations whose latency objectives are kept: requests in flight may be of a few generations back.
+/// Outcomes of older ones are not counted.
 const KEPT_OBJECTIVES: usize = 8;
 
 /// The latency objectives of one generation, by request class.
--- a/crates/router/src/fleet/clock.rs
+++ b/crates/router/src/fleet/clock.rs
@@ -1,5 +1,5 @@
-//! The clock that counts on while the machine sleeps, compared with the one that does not: where the two part, the
-//! clock has jumped.
+//! The clock that counts on while the machine sleeps, compared with the one that does not: where the two
+//! part, the clock has jumped.
 
 use std::cell::Cell;
 use std::time::Instant;
@@ -7,7 +7,8 @@
 use rustix::time::{ClockId, clock_gettime};
 use tindoor::time::Moment;
 
-/// How far the two clocks may part between two readings, in microseconds, and as a part of the time between them.
+/// How far the two clocks may part between two readings, in microseconds, and as a part of the time between
+/// them.
 const MAX_DIFFERENCE_MICROS: u64 = 10_000;
 const MAX_DIFFERENCE_DIVISOR: u64 = 100;
 
@@ -27,7 +28,8 @@
     fault: Option<ClockFault>,
 }
 
-/// A clock fault of an experiment, in a build for tests only: the clock runs faster by a factor, and jumps once.
+/// A clock fault of an experiment, in a build for tests only: the clock runs faster by a factor, and jumps
+/// once.
 #[derive(Clone, Copy)]
 struct ClockFault {
     rate: f64,
--- a/crates/router/src/fleet/configuration.rs
+++ b/crates/router/src/fleet/configuration.rs
@@ -18,7 +18,8 @@
 const MAX_WEIGHT: u64 = 1000;
 const MAX_VOTERS: usize = 7;
 
-/// The fleet of this router. The name, the timings and the number of voters must be the same at all its routers.
+/// The fleet of this router. The name, the timings and the number of voters must be the same at all its
+/// routers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfiguration {
--- a/crates/router/src/fleet/mod.rs
+++ b/crates/router/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! This router as a member of a fleet: its consensus node with a clock, stable storage, connections to its peers, and
-//! the routing engine that goes by the fleet's policy. What is decided here is decided by the node.
+//! This router as a member of a fleet: its consensus node with a clock, stable storage, connections to its
+//! peers, and the routing engine that goes by the fleet's policy. What is decided here is decided by the
+//! node.
 
 mod admission;
 mod clock;
--- a/crates/router/src/fleet/peers.rs
+++ b/crates/router/src/fleet/peers.rs
@@ -1,5 +1,5 @@
-//! Carries messages between the routers of a fleet: one connection for each pair and direction, with frames of bounded
-//! length and bounded queues. A message may be lost; whoever needs a response asks again.
+//! Carries messages between the routers of a fleet: one connection for each pair and direction, with frames
+//! of bounded length and bounded queues. A message may be lost; whoever needs a response asks again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Opens the queue to a peer, with a task that sends. None where the address is invalid, or where there are as many
-    /// connections as are allowed: each holds a descriptor.
+    /// Opens the queue to a peer, with a task that sends. None where the address is invalid, or where there
+    /// are as many connections as are allowed: each holds a descriptor.
     fn open_queue(self: &Rc<Self>, address: &str) -> Option<Rc<SendQueue>> {
         let socket_address: SocketAddr = address.parse().ok()?;
         if self.queues.borrow().len() >= self.limits.max_connections {
--- a/crates/router/src/fleet/replica_storage.rs
+++ b/crates/router/src/fleet/replica_storage.rs
@@ -1,5 +1,6 @@
-//! The stable storage of a replica: its id, hard state, log and snapshot, in one database file. Damage is detected by
-//! checksums, and a damaged storage counts as lost: a replica that has forgotten its vote never votes under its old id.
+//! The stable storage of a replica: its id, hard state, log and snapshot, in one database file. Damage is
+//! detected by checksums, and a damaged storage counts as lost: a replica that has forgotten its vote never
+//! votes under its old id.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/router/src/fleet/runtime.rs
+++ b/crates/router/src/fleet/runtime.rs
@@ -193,7 +193,8 @@
             if let Some(storage) = storage.as_ref().filter(|_| is_needed) {
                 let storage = Arc::clone(storage);
                 if let Err(error) = blocking::unblock(move || storage.write(&write)).await {
-                    // A write that failed is never reported as completed: this replica does not vote any more.
+                    // A write that failed is never reported as completed: this replica does not vote any
+                    // more.
                     tracing::error!(%error, "replica storage can't be written; this voter stops voting");
                     return;
                 }
@@ -202,8 +203,8 @@
         }
     }
 
-    /// Passes an event to the node, at the current time, and carries out the actions that it leads to. Nothing is
-    /// awaited meanwhile.
+    /// Passes an event to the node, at the current time, and carries out the actions that it leads to.
+    /// Nothing is awaited meanwhile.
     pub fn with_node<T>(&self, event: impl FnOnce(&mut Node, Moment) -> T) -> T {
         let _exit = ExitOnPanic;
         let (result, mut actions) = {
@@ -322,8 +323,8 @@
     name.bytes().fold(0xcbf2_9ce4_8422_2325, add)
 }
 
-/// Ends the process if the node panics. A task that panics is dropped and the others go on, but nobody may go by, or
-/// vote by, a state that is half changed: the process ends, and returns as another incarnation.
+/// Ends the process if the node panics. A task that panics is dropped and the others go on, but nobody may go
+/// by, or vote by, a state that is half changed: the process ends, and returns as another incarnation.
 pub(super) struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
--- a/crates/router/src/operator/command_line.rs
+++ b/crates/router/src/operator/command_line.rs
@@ -53,7 +53,8 @@
     Serve(Files),
     /// Read and check the files, print `ok` or the error, and end.
     Check(Files),
-    /// Print the safety checks that this build can disable for an experiment: none, unless it is a build for tests.
+    /// Print the safety checks that this build can disable for an experiment: none, unless it is a build for
+    /// tests.
     #[command(hide = true, name = "guards")]
     DisableableChecks,
     /// Keys of signed URLs.
@@ -62,7 +63,8 @@
     /// Signed URLs, for operators and scripts.
     #[command(subcommand, name = "signed-url", visible_alias = "link")]
     SignedUrl(SignedUrlCommand),
-    /// The policy of a fleet, by way of any of its routers; ends with 1 where a change was rejected or cancelled.
+    /// The policy of a fleet, by way of any of its routers; ends with 1 where a change was rejected or
+    /// cancelled.
     #[command(subcommand)]
     Policy(PolicyCommand),
 }
--- a/crates/router/src/operator/control_protocol.rs
+++ b/crates/router/src/operator/control_protocol.rs
@@ -1,4 +1,5 @@
-//! Requests of the control socket: one line of JSON each way. The JSON names are fixed; other programs write them.
+//! Requests of the control socket: one line of JSON each way. The JSON names are fixed; other programs write
+//! them.
 
 use std::collections::BTreeMap;
 
--- a/crates/router/src/operator/control_socket.rs
+++ b/crates/router/src/operator/control_socket.rs
@@ -155,7 +155,8 @@
     let token = fleet.with_node(|node, _| node.new_token());
     let in_force = version_in_force(fleet)?;
     let policy = in_force.policy.changed(changes);
-    // Checked here so that an invalid change is rejected at once; each router checks it again against its own state.
+    // Checked here so that an invalid change is rejected at once; each router checks it again against its own
+    // state.
     keys::check_change(&in_force.policy, &policy, fleet.classes())?;
     let base_generation = base_generation.unwrap_or(in_force.generation);
     submit(fleet, Proposal { token, base_generation, policy, reverts: None, author, note })
--- a/crates/router/src/operator/key_commands.rs
+++ b/crates/router/src/operator/key_commands.rs
@@ -48,8 +48,8 @@
     key_set_editor::new_key(&key.id, algorithm, now, valid_until).context("no random numbers")
 }
 
-/// Replaces a file atomically, with access for its owner alone: a router that reads it meanwhile gets the old content or
-/// the new one.
+/// Replaces a file atomically, with access for its owner alone: a router that reads it meanwhile gets the old
+/// content or the new one.
 fn replace_file(path: &Path, text: &str) -> Result<()> {
     let temporary = path.with_extension("new");
     let mut options = std::fs::OpenOptions::new();
--- a/crates/router/src/operator/mod.rs
+++ b/crates/router/src/operator/mod.rs
@@ -1,5 +1,5 @@
-//! What operators do with a router: the command line, the control socket of a running router, and the commands that use
-//! it or work on key files.
+//! What operators do with a router: the command line, the control socket of a running router, and the
+//! commands that use it or work on key files.
 
 pub mod command_line;
 mod control_client;
--- a/crates/router/src/operator/policy_commands.rs
+++ b/crates/router/src/operator/policy_commands.rs
@@ -21,8 +21,8 @@
 /// The pause between two requests for the outcome of a proposal.
 const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs a command. The exit code is 0 where it was done or the change took effect, 1 where the change was rejected or
-/// cancelled, and 3 where it is still under way after the wait. A request that fails is an error.
+/// Runs a command. The exit code is 0 where it was done or the change took effect, 1 where the change was
+/// rejected or cancelled, and 3 where it is still under way after the wait. A request that fails is an error.
 pub fn run(command: PolicyCommand) -> Result<ExitCode> {
     match command {
         PolicyCommand::Explain { key } => explain(key.as_deref()),
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: answers what still comes, closes each connection in order, and ends before the process is killed.
+//! Graceful shutdown: answers what still comes, closes each connection in order, and ends before the process
+//! is killed.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Accepts the connections that wait, and closes each on which nothing is owed, until all are closed or the deadline
-    /// is reached.
+    /// Accepts the connections that wait, and closes each on which nothing is owed, until all are closed or
+    /// the deadline is reached.
     async fn close_idle_connections(&self, listener: &Listener, deadline: Instant) {
         loop {
             let none_pending = listener.accept_pending();
--- a/crates/router/src/server/startup.rs
+++ b/crates/router/src/server/startup.rs
@@ -1,4 +1,5 @@
-//! Creates the parts of the router from the configuration, and the tasks that run beside the listener for clients.
+//! Creates the parts of the router from the configuration, and the tasks that run beside the listener for
+//! clients.
 
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
--- a/crates/router/src/signed_urls/mod.rs
+++ b/crates/router/src/signed_urls/mod.rs
@@ -1,4 +1,5 @@
-//! Signed URLs on the listeners for proxies: finds the tokens of a request, checks them, and renews playbacks.
+//! Signed URLs on the listeners for proxies: finds the tokens of a request, checks them, and renews
+//! playbacks.
 
 mod cookies;
 mod key_file;
--- a/crates/router/src/signed_urls/verification.rs
+++ b/crates/router/src/signed_urls/verification.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Whether a playback that began in time goes on all the same. A renewal does not make up for a token that was
-    /// tampered with or is for another request.
+    /// Whether a playback that began in time goes on all the same. A renewal does not make up for a token
+    /// that was tampered with or is for another request.
     fn allows_renewal(&self) -> bool {
         self.authorization == Authorization::Expired || self.reason == TokenError::Missing.to_string()
     }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -56,7 +56,8 @@
 }
 
 impl RouterState {
-    /// Whether this router is to get requests: it is not shutting down, and has a lease where it belongs to a fleet.
+    /// Whether this router is to get requests: it is not shutting down, and has a lease where it belongs to a
+    /// fleet.
     pub fn is_healthy(&self) -> bool {
         self.shutdown_deadline.get().is_none() && self.fleet.as_ref().is_none_or(|fleet| fleet.is_available())
     }
--- a/crates/router/src/upstream/endpoint_table.rs
+++ b/crates/router/src/upstream/endpoint_table.rs
@@ -58,8 +58,8 @@
         self.ids.get(name).copied()
     }
 
-    /// Adds an endpoint under the id of one that was removed before the retention time and that no request refers to,
-    /// or else under a new id.
+    /// Adds an endpoint under the id of one that was removed before the retention time and that no request
+    /// refers to, or else under a new id.
     pub fn add(
         &mut self,
         name: &str,
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -58,8 +58,8 @@
         *self.connection_quota.borrow_mut() = Some(Box::new(admits));
     }
 
-    /// Applies one entry of the endpoint list. The id stays the same until the endpoint is removed and its id given to
-    /// another; there is none for an endpoint that is not known and is already removed.
+    /// Applies one entry of the endpoint list. The id stays the same until the endpoint is removed and its id
+    /// given to another; there is none for an endpoint that is not known and is already removed.
     pub fn apply_update(
         &self,
         name: &str,
@@ -128,8 +128,8 @@
         idle.since.elapsed() < self.limits.idle_timeout && idle.connection.is_quiet()
     }
 
-    /// The latest idle connection that may be used again. One with anything to read is dropped: what surplus bytes an
-    /// answer brought would be taken for the next one.
+    /// The latest idle connection that may be used again. One with anything to read is dropped: what surplus
+    /// bytes an answer brought would be taken for the next one.
     pub(super) fn take_idle(&self, endpoint: EndpointId) -> Option<EndpointConnection> {
         let mut table = self.table.borrow_mut();
         let idle = &mut table.get_mut(endpoint).idle;
@@ -173,8 +173,8 @@
         }
     }
 
-    /// A permit for one more connection to this endpoint, counted before the connect so that those being established
-    /// stay within the limit, too.
+    /// A permit for one more connection to this endpoint, counted before the connect so that those being
+    /// established stay within the limit, too.
     fn admit_connection(&self, id: EndpointId) -> Option<ConnectionPermit> {
         if self.open_connections.get() >= self.limits.max_connections && !self.close_oldest_idle() {
             if let Some(times) = self.exhausted_log.record() {
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -1,6 +1,6 @@
-//! Two events that cross: what comes in the moment in which the router closes, ends, waits or is told of something
-//! else. Each crossing is forced by what a scripted peer has read or written, or by stopping the router between the
-//! two, so that it finds both at once.
+//! Two events that cross: what comes in the moment in which the router closes, ends, waits or is told of
+//! something else. Each crossing is forced by what a scripted peer has read or written, or by stopping the
+//! router between the two, so that it finds both at once.
 
 mod support;
 
@@ -55,8 +55,8 @@
 fn a_call_that_crosses_the_close_of_a_resting_connection_costs_no_answer_and_is_not_sent_on() {
     let world = world_of_long_answers();
     let mut client = client_with_answer_on_its_way(&world);
-    // Others that have asked, and rested for less long. Of 64 descriptors 21 are for clients, and of those 2 are kept
-    // free: the nineteenth connection has the first one closed.
+    // Others that have asked, and rested for less long. Of 64 descriptors 21 are for clients, and of those 2
+    // are kept free: the nineteenth connection has the first one closed.
     let mut others: Vec<_> = (0..18).map(|_| Client::connect(&world.router)).collect();
     others.iter_mut().for_each(|other| assert!(other.healthy(1)));
     world.heeds("client connection closed");
@@ -167,7 +167,8 @@
     assert!(asked.iter().all(|asked| !asked.contains(OBJECT)), "{asked:?}");
 }
 
-/// An error, after which a read is sent again, and the end of its client's wait: the router finds both at once.
+/// An error, after which a read is sent again, and the end of its client's wait: the router finds both at
+/// once.
 fn an_error_that_comes_as(client_leaves: impl FnOnce(&mut Client)) {
     let gate = Watched::default();
     let held = gate.clone();
@@ -214,7 +215,8 @@
     let mut client = Client::connect_small(&world.router);
     client.request(1, OBJECT);
     world.cache.requests(1);
-    // Far more answers than the buffers hold: the router does not read on, and can't see the close behind them.
+    // Far more answers than the buffers hold: the router does not read on, and can't see the close behind
+    // them.
     client.0.set_nonblocking(true).unwrap();
     let asks = frame(1, "health", 2, &[2, 0, 1, 1, 0]).repeat(1000);
     let full = Instant::now();
--- a/crates/router/tests/external_processing.rs
+++ b/crates/router/tests/external_processing.rs
@@ -1,5 +1,5 @@
-//! External proxies that call the router for each request: the experiment with its faults, each detected once its check
-//! is disabled, and what a proxy may do to the protocol.
+//! External proxies that call the router for each request: the experiment with its faults, each detected once
+//! its check is disabled, and what a proxy may do to the protocol.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -44,8 +44,8 @@
     assert_eq!(figures.rules_broken, 0, "{}", figures.table());
 }
 
-/// Without a safety check a fault must be detected, at the latest with the last of a few seeds. The faults are those that
-/// the check is for.
+/// Without a safety check a fault must be detected, at the latest with the last of a few seeds. The faults
+/// are those that the check is for.
 fn fault_is_detected_without(check: &str, faults: &str) {
     let mut last = String::new();
     for seed in 1..=5 {
--- a/crates/router/tests/policy.rs
+++ b/crates/router/tests/policy.rs
@@ -70,8 +70,9 @@
     }
 }
 
-/// ReceivedRequest with five routers under all faults: where all places are taken by a request of the old policy, none passes the
-/// gate at which a new one is adopted, and 262 requests were refused at the door by the old one, for seconds.
+/// ReceivedRequest with five routers under all faults: where all places are taken by a request of the old
+/// policy, none passes the gate at which a new one is adopted, and 262 requests were refused at the door by
+/// the old one, for seconds.
 #[test]
 fn what_is_refused_at_the_door_is_refused_by_the_policy_in_force() {
     let alone = Alone::start("door");
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -55,7 +55,8 @@
     }
 }
 
-/// A router whose only cache is this one, which takes no connection yet, with a request that has begun to connect to it.
+/// A router whose only cache is this one, which takes no connection yet, with a request that has begun to
+/// connect to it.
 pub fn stuck_world(stuck: &FullBacklogCache) -> (World, Client) {
     let world = world_with(
         |_| Behavior::Respond(served(b"other")),
--- a/crates/router/tests/unit/control_protocol.rs
+++ b/crates/router/tests/unit/control_protocol.rs
@@ -1,5 +1,5 @@
-//! Golden file of the control socket: the JSON text of each request, and of answers that do not need a running
-//! fleet. In `tests/golden/control-socket.txt` each line has a name, a tab and the JSON text.
+//! Golden file of the control socket: the JSON text of each request, and of answers that do not need a
+//! running fleet. In `tests/golden/control-socket.txt` each line has a name, a tab and the JSON text.
 //!
 //! ```sh
 //! cargo test -p tindoor-router -- --ignored record_control_socket
--- a/crates/router/tests/unit/replica_storage.rs
+++ b/crates/router/tests/unit/replica_storage.rs
@@ -12,8 +12,8 @@
 
 type IoResult<T> = std::result::Result<T, std::io::Error>;
 
-/// A disk that fails at one operation, by its number, and at all later ones. What was synced is kept; of what was
-/// written since, each piece is kept or lost.
+/// A disk that fails at one operation, by its number, and at all later ones. What was synced is kept; of what
+/// was written since, each piece is kept or lost.
 #[derive(Clone, Debug, Default)]
 struct FailingDisk(std::sync::Arc<std::sync::Mutex<DiskState>>);
 
@@ -109,8 +109,8 @@
     (last_completed, result.is_ok_and(|all_written| all_written))
 }
 
-/// The disk fails at each single operation in turn: what was reported as written is found, or the storage counts as
-/// lost; an older vote is never found.
+/// The disk fails at each single operation in turn: what was reported as written is found, or the storage
+/// counts as lost; an older vote is never found.
 #[test]
 fn a_disk_that_fails_at_any_operation_loses_nothing_that_was_reported_as_written() {
     let mut found_after_failure = 0;
@@ -171,8 +171,8 @@
     std::fs::remove_dir_all(path).unwrap();
 }
 
-/// Truncated anywhere, or with inverted bytes, a storage either holds all that was written or counts as lost: it never
-/// holds an older vote under its replica id.
+/// Truncated anywhere, or with inverted bytes, a storage either holds all that was written or counts as lost:
+/// it never holds an older vote under its replica id.
 #[test]
 fn a_damaged_storage_counts_as_lost() {
     let path = directory("damaged");
@@ -205,7 +205,8 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replica-storage.redb")
 }
 
-/// What that file holds: the hard state and snapshot of the golden files of `tindoor-consensus`, and sample log entries.
+/// What that file holds: the hard state and snapshot of the golden files of `tindoor-consensus`, and sample
+/// log entries.
 fn recorded_replica() -> StoredState {
     let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../consensus/tests/golden");
     let read = |name: &str| std::fs::read(directory.join(format!("replica-with-log-{name}.bin"))).unwrap();
@@ -214,8 +215,8 @@
     StoredState { hard_state: read("hard-state"), snapshot: read("snapshot"), entries }
 }
 
-/// The database file of a replica is opened, and the replica id, the predecessor, the hard state, the snapshot and the
-/// log entries are found as they were recorded.
+/// The database file of a replica is opened, and the replica id, the predecessor, the hard state, the
+/// snapshot and the log entries are found as they were recorded.
 #[test]
 fn recorded_replica_storage_is_opened() {
     let path = directory("recorded");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
 //! Reads the settings of a deployment from JSON into the engine's [`Settings`].
 //!
-//! The simulator adapter and the router both use it. The keys of the JSON are the operators'; they are mapped to the
-//! engine's names here and nowhere else.
+//! The simulator adapter and the router both use it. The keys of the JSON are the operators'; they are mapped
+//! to the engine's names here and nowhere else.
 //!
-//! A value that is missing, or of another type than it should be, is left to the engine's default. Where the engine
-//! needs the value, [`Error`] names its key.
+//! A value that is missing, or of another type than it should be, is left to the engine's default. Where the
+//! engine needs the value, [`Error`] names its key.
 
 use serde_json::Value;
 use thiserror::Error;
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -1,6 +1,6 @@
-//! What the engine is told of sample settings, compared with the recorded file in `tests/golden/`. The file has the
-//! names and values that the version before the typed settings looked up; a value that it stored and never acted on,
-//! like a word in place of a number, is left out of the comparison.
+//! What the engine is told of sample settings, compared with the recorded file in `tests/golden/`. The file
+//! has the names and values that the version before the typed settings looked up; a value that it stored and
+//! never acted on, like a word in place of a number, is left out of the comparison.
 
 use std::collections::BTreeSet;
 
--- a/crates/signed-urls/src/claims.rs
+++ b/crates/signed-urls/src/claims.rs
@@ -1,4 +1,5 @@
-//! The claims of a verified token, and whether they authorize a request. Every token format yields [`Claims`].
+//! The claims of a verified token, and whether they authorize a request. Every token format yields
+//! [`Claims`].
 
 use std::net::IpAddr;
 
@@ -212,8 +213,8 @@
     }
 }
 
-/// Whether a glob pattern matches a whole text: `*` matches any characters, `?` matches one. Takes time proportional
-/// to the product of both lengths.
+/// Whether a glob pattern matches a whole text: `*` matches any characters, `?` matches one. Takes time
+/// proportional to the product of both lengths.
 pub fn glob_matches(pattern: &str, text: &str) -> bool {
     let (pattern, text) = (pattern.as_bytes(), text.as_bytes());
     let (mut at, mut from, mut star) = (0, 0, None);
--- a/crates/signed-urls/src/clock.rs
+++ b/crates/signed-urls/src/clock.rs
@@ -1,5 +1,5 @@
-//! Estimates the offset of the router's clock from times that independent sources state: `Date` headers of responses, and
-//! events of the change stream. It sets no clock.
+//! Estimates the offset of the router's clock from times that independent sources state: `Date` headers of
+//! responses, and events of the change stream. It sets no clock.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
 /// Sources needed for an estimate: fewer can't outvote a wrong one.
 const MIN_SOURCES: usize = 3;
 
-/// Samples of one source: its time less ours on arrival, in milliseconds. Each is low by the time it took to arrive.
+/// Samples of one source: its time less ours on arrival, in milliseconds. Each is low by the time it took to
+/// arrive.
 #[derive(Default)]
 struct TimeSource {
     offsets: Vec<i64>,
@@ -65,8 +66,8 @@
         self.sources.entry(source).or_default().add(offset);
     }
 
-    /// The median of all sources; none while there are too few, or where it is too large. One wrong source among three
-    /// can move it only between the two others.
+    /// The median of all sources; none while there are too few, or where it is too large. One wrong source
+    /// among three can move it only between the two others.
     pub fn estimate(&self) -> Option<Estimate> {
         let mut offsets: Vec<i64> = self.sources.values().filter_map(TimeSource::best).collect();
         offsets.sort_unstable();
--- a/crates/signed-urls/src/hmac_format.rs
+++ b/crates/signed-urls/src/hmac_format.rs
@@ -115,7 +115,8 @@
     }
 }
 
-/// Parses the fields before the HMAC. Without patterns they cover `path` alone; the key is set once it is known.
+/// Parses the fields before the HMAC. Without patterns they cover `path` alone; the key is set once it is
+/// known.
 fn parse_fields(text: &str, path: &str) -> Result<Claims, TokenError> {
     let mut claims = Claims {
         key: String::new(),
--- a/crates/signed-urls/src/key_set_editor.rs
+++ b/crates/signed-urls/src/key_set_editor.rs
@@ -1,4 +1,5 @@
-//! Edits the text of a key set for operators: adds a key, or rotates to a new one. Everything else stays as written.
+//! Edits the text of a key set for operators: adds a key, or rotates to a new one. Everything else stays as
+//! written.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -51,8 +52,8 @@
     finish(set)
 }
 
-/// Adds a key that signs from now on. Keys that signed with the same algorithm stop signing, and stay valid for `overlap`
-/// seconds, so that what they signed is still accepted.
+/// Adds a key that signs from now on. Keys that signed with the same algorithm stop signing, and stay valid
+/// for `overlap` seconds, so that what they signed is still accepted.
 pub fn rotate(text: &[u8], key: Value, now: u64, overlap: u64) -> Result<Zeroizing<String>, KeySetError> {
     let mut set = parse_object(text)?;
     let until = now.saturating_add(overlap);
--- a/crates/signed-urls/src/keys.rs
+++ b/crates/signed-urls/src/keys.rs
@@ -1,5 +1,5 @@
-//! Key sets: JSON Web Key Sets (RFC 7517) of keys with an id, one algorithm, permitted operations and a validity
-//! period. A set is accepted as a whole or not at all.
+//! Key sets: JSON Web Key Sets (RFC 7517) of keys with an id, one algorithm, permitted operations and a
+//! validity period. A set is accepted as a whole or not at all.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- a/crates/signed-urls/src/lib.rs
+++ b/crates/signed-urls/src/lib.rs
@@ -1,8 +1,9 @@
-//! Signed URLs and tokens as content networks use them: formats, keys, claims and a verification cache. Nothing here does
-//! I/O or reads a clock.
+//! Signed URLs and tokens as content networks use them: formats, keys, claims and a verification cache.
+//! Nothing here does I/O or reads a clock.
 //!
-//! A token is verified in four steps, each of which bounds the cost of the next: its size, its signature by a key of the
-//! set, its claims, and the time and scope of the request. The result is an authorization for the routing engine.
+//! A token is verified in four steps, each of which bounds the cost of the next: its size, its signature by a
+//! key of the set, its claims, and the time and scope of the request. The result is an authorization for the
+//! routing engine.
 
 pub mod claims;
 pub mod clock;
--- a/crates/signed-urls/src/normalize.rs
+++ b/crates/signed-urls/src/normalize.rs
@@ -1,5 +1,5 @@
-//! Normalizes a request's path and query (RFC 3986, section 6.2), so that what is verified is what is served. A target
-//! without a safe normal form is rejected.
+//! Normalizes a request's path and query (RFC 3986, section 6.2), so that what is verified is what is served.
+//! A target without a safe normal form is rejected.
 
 use std::fmt::Write;
 
@@ -68,8 +68,8 @@
     }
 }
 
-/// Normalizes a path segment, query key or query value: unreserved characters are decoded, every other encoded one stays
-/// encoded, in upper case. Decoding more would change the URL's meaning.
+/// Normalizes a path segment, query key or query value: unreserved characters are decoded, every other
+/// encoded one stays encoded, in upper case. Decoding more would change the URL's meaning.
 fn normalize_component(text: &str, in_path: bool) -> Result<String, NormalizeError> {
     let mut out = String::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/crates/signed-urls/src/playback.rs
+++ b/crates/signed-urls/src/playback.rs
@@ -1,6 +1,7 @@
-//! Lets a playback that started under a valid signed URL continue past the URL's expiry, up to a stated end. Each response
-//! carries a renewal token signed by the router, so that any router with the same keys accepts it without shared state
-//! (chained tokens, RFC 9246 section 4; the claims differ, as RFC 9246's renewal would move the end each time).
+//! Lets a playback that started under a valid signed URL continue past the URL's expiry, up to a stated end.
+//! Each response carries a renewal token signed by the router, so that any router with the same keys accepts
+//! it without shared state (chained tokens, RFC 9246 section 4; the claims differ, as RFC 9246's renewal
+//! would move the end each time).
 
 use std::net::IpAddr;
 
@@ -85,7 +86,8 @@
 }
 
 impl Playback {
-    /// Starts a playback with the first part that a signed URL authorized; none for a URL that does not expire.
+    /// Starts a playback with the first part that a signed URL authorized; none for a URL that does not
+    /// expire.
     pub fn start(
         claims: &Claims,
         context: &VerificationContext,
--- a/crates/signed-urls/src/uri_signing.rs
+++ b/crates/signed-urls/src/uri_signing.rs
@@ -38,8 +38,8 @@
     Many(Vec<String>),
 }
 
-/// The claims by their names in RFC 9246. A claim that occurs twice rejects the token; unknown ones matter only where they
-/// are critical.
+/// The claims by their names in RFC 9246. A claim that occurs twice rejects the token; unknown ones matter
+/// only where they are critical.
 #[derive(Deserialize)]
 struct Payload {
     cdniv: Option<u64>,
--- a/crates/signed-urls/src/url_prefix.rs
+++ b/crates/signed-urls/src/url_prefix.rs
@@ -1,4 +1,5 @@
-//! The URL prefix format, `URLPrefix=..&Expires=..&KeyName=..&Signature=..`: an Ed25519 signature of the text before it.
+//! The URL prefix format, `URLPrefix=..&Expires=..&KeyName=..&Signature=..`: an Ed25519 signature of the text
+//! before it.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE;
@@ -15,8 +16,8 @@
 pub struct UrlPrefixFormat;
 
 impl UrlPrefixFormat {
-    /// Signs a URL prefix; none where the key may not sign. The prefix should end with a slash, or it covers every name that
-    /// begins alike.
+    /// Signs a URL prefix; none where the key may not sign. The prefix should end with a slash, or it covers
+    /// every name that begins alike.
     pub fn sign(&self, key: &Key, prefix: &str, expires: u64) -> Option<String> {
         let prefix = URL_SAFE.encode(prefix);
         let text = format!("URLPrefix={prefix}&Expires={expires}&KeyName={}", key.id);
--- a/crates/signed-urls/src/verification_cache.rs
+++ b/crates/signed-urls/src/verification_cache.rs
@@ -1,5 +1,5 @@
-//! Caches verified tokens, and limits how many verifications a client may cause. Both tables are bounded: they have two
-//! generations, and the older one is dropped when the newer one is full.
+//! Caches verified tokens, and limits how many verifications a client may cause. Both tables are bounded:
+//! they have two generations, and the older one is dropped when the newer one is full.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hash, Hasher};
@@ -169,8 +169,8 @@
         self.entries.len()
     }
 
-    /// The key of a cache entry. It covers the format's configuration, as two formats of one name may accept other keys or
-    /// audiences.
+    /// The key of a cache entry. It covers the format's configuration, as two formats of one name may accept
+    /// other keys or audiences.
     fn digest(&self, format: &dyn TokenFormat, token: &str, path: &str) -> u128 {
         let mut hasher = SipHasher24::new_with_keys(self.seed.0, self.seed.1);
         (format.name(), format.parameters(), token, path).hash(&mut hasher);
--- a/crates/signed-urls/tests/golden.rs
+++ b/crates/signed-urls/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden files of signed URLs: a key set made for this test alone, and one token of each form signed by it.
-//! In `tests/golden/tokens.txt` each line has a name, a tab and the token. Signing is deterministic in every form
-//! (HMAC and Ed25519), so each token is signed again and compared; and each recorded one is verified.
+//! In `tests/golden/tokens.txt` each line has a name, a tab and the token. Signing is deterministic in every
+//! form (HMAC and Ed25519), so each token is signed again and compared; and each recorded one is verified.
 //!
 //! ```sh
 //! cargo test -p tindoor-signed-urls --test golden -- --ignored record
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
 //! Connects [`tindoor::engine::RoutingEngine`] to the simulator, over standard input and output.
 //!
-//! The simulator writes batches of event records ([`frames`], [`event`]); each is answered with the actions that the
-//! engines took ([`host`]). The adapter maps ids and translates settings and makes no decisions. Routers share
-//! nothing but the process.
+//! The simulator writes batches of event records ([`frames`], [`event`]); each is answered with the actions
+//! that the engines took ([`host`]). The adapter maps ids and translates settings and makes no decisions.
+//! Routers share nothing but the process.
 
 mod event;
 mod frames;
--- a/crates/testbed/src/budgets.rs
+++ b/crates/testbed/src/budgets.rs
@@ -1,5 +1,6 @@
-//! Several routers of one fleet as processes that divide the fleet's budgets, with faults between them. What is counted
-//! is what stand-in caches saw by their own clock, over every window; no word of a router is taken for it.
+//! Several routers of one fleet as processes that divide the fleet's budgets, with faults between them. What
+//! is counted is what stand-in caches saw by their own clock, over every window; no word of a router is taken
+//! for it.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -24,15 +25,16 @@
 
 pub const GUARDS: &[&str] = &["lapse", "epoch", "returned", "burst", "wakes", "floor"];
 
-/// The wholes beside fills by the origin, which the plan tells: so few that clients on a slow machine want more as
-/// well, and so many that a router whose clients want little wants less than its part. A lowered whole is half of it.
+/// The wholes beside fills by the origin, which the plan tells: so few that clients on a slow machine want
+/// more as well, and so many that a router whose clients want little wants less than its part. A lowered
+/// whole is half of it.
 const FLOORS: f64 = 0.05;
 const FURTHER: [f64; 2] = [30.0, 40.0];
 const ACCOUNT: [f64; 2] = [400.0, 60.0];
 const CONNECTIONS: [f64; 2] = [40.0, 60.0];
 
-/// How far apart a spending and its arrival at a cache may lie, in seconds. What a machine with other things to do adds to
-/// it is measured: by how much a thread that sleeps oversleeps.
+/// How far apart a spending and its arrival at a cache may lie, in seconds. What a machine with other things
+/// to do adds to it is measured: by how much a thread that sleeps oversleeps.
 const SLACK: f64 = 0.15;
 
 /// How long it is calm at the end, after which use is counted.
@@ -120,8 +122,8 @@
         thread::sleep(Duration::from_millis(2 * plan.lease));
     }
     let calm = Instant::now();
-    // What use is held against, and who takes no requests as its clock is off: asked of the routers, as nothing is
-    // forgiven by it.
+    // What use is held against, and who takes no requests as its clock is off: asked of the routers, as
+    // nothing is forgiven by it.
     let in_force = (0..plan.routers).find_map(|no| cluster.control(no, &json!("policy"))).unwrap_or_default();
     let whole = in_force["policy"]["budget.origin_fills.per_s"].as_f64().unwrap_or(fills);
     thread::sleep(calm_lasts);
@@ -146,7 +148,8 @@
     cluster.control(no, &ask)?["token"].as_u64()
 }
 
-/// While faults are made: the whole is lowered and raised again, where that is asked for, and one more router comes.
+/// While faults are made: the whole is lowered and raised again, where that is asked for, and one more router
+/// comes.
 fn lower(cluster: &Cluster, begun: Instant) -> Vec<Told> {
     // The first is how it begins; the number of each is its note.
     let fills = cluster.plan.fills[0];
@@ -225,7 +228,8 @@
         let object = match kind {
             0 | 1 => format!("ee{:014x}", chance.random::<u64>() >> 8),
             2..6 => format!("00000000000010{:02x}", chance.random_range(0..16)),
-            // Where few may be under way at once each lasts: what is at the origin is then what routers have in hand.
+            // Where few may be under way at once each lasts: what is at the origin is then what routers have
+            // in hand.
             _ if cluster.plan.fills[2] < 20.0 => format!("f2{:014x}", chance.random::<u64>() >> 8),
             _ => format!("f1{:014x}", chance.random::<u64>() >> 8),
         };
@@ -272,8 +276,8 @@
     }
 }
 
-/// A bucket that begins full says for all windows at once whether there were more than so much a second and one burst:
-/// how many were over, and the most of the whole that any window took.
+/// A bucket that begins full says for all windows at once whether there were more than so much a second and
+/// one burst: how many were over, and the most of the whole that any window took.
 fn windows(times: &[Instant], burst: f64, slack: f64, rate: impl Fn(Instant) -> f64) -> (u64, f64) {
     let mut sorted = times.to_vec();
     sorted.sort_unstable();
@@ -319,8 +323,9 @@
     }
 }
 
-/// From what passed between routers: at how many moments more fills were lent than the whole allows beside the floors
-/// of all that may belong, and the most of it that was. What the leader keeps for itself passes nobody.
+/// From what passed between routers: at how many moments more fills were lent than the whole allows beside
+/// the floors of all that may belong, and the most of it that was. What the leader keeps for itself passes
+/// nobody.
 fn granted(
     passed: &[RecordedMessage],
     routers: usize,
--- a/crates/testbed/src/choices.rs
+++ b/crates/testbed/src/choices.rs
@@ -1,4 +1,5 @@
-//! Measurement: what a routing decision costs, against a call that the same front rejects before it looks at any state.
+//! Measurement: what a routing decision costs, against a call that the same front rejects before it looks at
+//! any state.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -66,8 +67,8 @@
     latency_us: Mutex<Histogram<u64>>,
 }
 
-/// Measures decisions, then rejected calls, on so many concurrent streams. Each stream calls again after its call has
-/// ended and it has paused; without a pause the router is saturated.
+/// Measures decisions, then rejected calls, on so many concurrent streams. Each stream calls again after its
+/// call has ended and it has paused; without a pause the router is saturated.
 pub fn run(seed: u64, requests: u64, streams: u64, pause: Duration) -> Result<Figures> {
     let fleet = Fleet::start(ENDPOINTS);
     let router = start_router(&fleet);
--- a/crates/testbed/src/cluster/client.rs
+++ b/crates/testbed/src/cluster/client.rs
@@ -9,14 +9,14 @@
 use super::process::{connect, is_healthy};
 use crate::stand_in::{Client, Reply, call};
 
-/// A client's connection to one router. After each connect it checks once whether the router is healthy, as the
-/// platform's front does.
+/// A client's connection to one router. After each connect it checks once whether the router is healthy, as
+/// the platform's front does.
 pub struct ClientConnection<'a> {
     cluster: &'a Cluster,
     /// The router's index.
     pub router: usize,
-    /// With the router's number of disruptions at the connect: a connection to a process that was killed since may take a
-    /// call and bring no answer.
+    /// With the router's number of disruptions at the connect: a connection to a process that was killed
+    /// since may take a call and bring no answer.
     open: Option<(Client, u64)>,
     /// When the router last stated after a connect that it is healthy.
     pub healthy_since: Option<Instant>,
--- a/crates/testbed/src/cluster/faults.rs
+++ b/crates/testbed/src/cluster/faults.rs
@@ -1,5 +1,5 @@
-//! Injects faults into a cluster: lossy and severed links, killed, stopped and restarted processes, torn storage, wrong
-//! clocks, draining endpoints, purges.
+//! Injects faults into a cluster: lossy and severed links, killed, stopped and restarted processes, torn
+//! storage, wrong clocks, draining endpoints, purges.
 
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -220,8 +220,8 @@
         self.next = self.links_repaired + Duration::from_millis(500);
     }
 
-    /// Messages of the leader do not reach the routers whose clients want much now and will soon want little: they go on
-    /// with what they were granted, and the leader hears that they want less.
+    /// Messages of the leader do not reach the routers whose clients want much now and will soon want little:
+    /// they go on with what they were granted, and the leader hears that they want less.
     fn sever_leader_from_high_demand(&mut self, draw: Draw) {
         let late_in_period = self.cluster.rest_of_demand_period() < Duration::from_millis(500);
         if self.cluster.has_fault("shift") && !late_in_period {
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! Several routers of one fleet as processes, each behind a [`Relay`], with faults injected between and into them.
+//! Several routers of one fleet as processes, each behind a [`Relay`], with faults injected between and into
+//! them.
 
 mod client;
 mod faults;
@@ -279,8 +280,8 @@
         DEMAND_PERIOD - Duration::from_micros(elapsed as u64)
     }
 
-    /// Whether a router's clients want much in this period. Those of the leader never do: what it keeps for itself is
-    /// granted to nobody, so most of what there is should go to others.
+    /// Whether a router's clients want much in this period. Those of the leader never do: what it keeps for
+    /// itself is granted to nobody, so most of what there is should go to others.
     pub fn has_high_demand(&self, index: usize) -> bool {
         let period = self.started_at.elapsed().as_micros() / DEMAND_PERIOD.as_micros();
         (index as u128 + period).is_multiple_of(2) && self.leader.load(Ordering::Relaxed) != index
@@ -323,8 +324,8 @@
         control_request(&self.nodes[index].control_socket, request).ok()
     }
 
-    /// Waits until no policy change is pending and all routers take requests again, within the time that is stated for
-    /// it; returns how many waits failed.
+    /// Waits until no policy change is pending and all routers take requests again, within the time that is
+    /// stated for it; returns how many waits failed.
     pub fn settle(&self) -> u64 {
         // Two leases and graces for the change, and as much as it takes for a router to be listed again.
         let lease = self.plan.lease;
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -29,8 +29,8 @@
     Ok(answer)
 }
 
-/// An address that stays free between a router's end and its next start: each run has a loopback address of its own, so
-/// that runs side by side do not take each other's ports.
+/// An address that stays free between a router's end and its next start: each run has a loopback address of
+/// its own, so that runs side by side do not take each other's ports.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let (run, count) = (process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -40,8 +40,8 @@
     SocketAddr::from((address, port))
 }
 
-/// Ensures that the router's build can switch the check off. Only builds for tests can: with any other the audit would
-/// pass for no reason.
+/// Ensures that the router's build can switch the check off. Only builds for tests can: with any other the
+/// audit would pass for no reason.
 pub fn ensure_check_is_known(check: &str, all: &[&str]) -> Result<()> {
     ensure!(all.contains(&check), "no such guard: {check}; there are {}", all.join(", "));
     let program = program();
--- a/crates/testbed/src/external_processing/client.rs
+++ b/crates/testbed/src/external_processing/client.rs
@@ -143,7 +143,8 @@
         Self { workload, idle: [None, None] }
     }
 
-    /// Sends a request; it is to get one answer, in time. None where the client disconnects or gets no answer.
+    /// Sends a request; it is to get one answer, in time. None where the client disconnects or gets no
+    /// answer.
     async fn send(&mut self, request: ClientRequest<'_>) -> Option<ClientResponse> {
         let counts = &self.workload.counts;
         let correlation_id = format!("{:016x}", request.correlation_id);
--- a/crates/testbed/src/external_processing/mod.rs
+++ b/crates/testbed/src/external_processing/mod.rs
@@ -1,4 +1,5 @@
-//! Experiment: proxies call the router for each request, under faults. What is counted was seen at caches and clients.
+//! Experiment: proxies call the router for each request, under faults. What is counted was seen at caches and
+//! clients.
 
 mod client;
 
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -36,7 +36,8 @@
 }
 
 impl Figures {
-    /// Sums what must be 0: the common counts, attempts beyond `attempt_limit`, and the experiment's own violations.
+    /// Sums what must be 0: the common counts, attempts beyond `attempt_limit`, and the experiment's own
+    /// violations.
     pub fn judge(&mut self, attempt_limit: u64, other_violations: u64) {
         self.rules_broken = self.answered_none
             + self.answered_twice
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,5 +1,6 @@
 //! A fleet of stand-in caches with copies, fills, drains and purges, and the record that the audit reads.
-//! What is recorded is what the caches saw; the rules' times are reckoned from when the change stream was told.
+//! What is recorded is what the caches saw; the rules' times are reckoned from when the change stream was
+//! told.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex};
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,6 @@
 //! The project's stand-ins and experiments on loopback. Nothing here shares code with the router: what is
-//! audited is seen at the caches and at the clients. One exception: [`simulation`] runs the router's own state machines
-//! without I/O in virtual time.
+//! audited is seen at the caches and at the clients. One exception: [`simulation`] runs the router's own
+//! state machines without I/O in virtual time.
 
 pub mod budgets;
 pub mod choices;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -111,11 +111,11 @@
         #[arg(long, default_value_t = 0)]
         pause_us: u64,
     },
-    /// Routers of one fleet as processes: changes of policy, with faults between them. Guards: lease, staged, compare,
-    /// incarnation, pinned, synced.
+    /// Routers of one fleet as processes: changes of policy, with faults between them. Guards: lease, staged,
+    /// compare, incarnation, pinned, synced.
     Policy(Several),
-    /// Routers of one fleet as processes that divide its budgets, with faults between them. Guards: lapse, epoch, returned,
-    /// burst, wakes, floor.
+    /// Routers of one fleet as processes that divide its budgets, with faults between them. Guards: lapse,
+    /// epoch, returned, burst, wakes, floor.
     Budgets(Several),
     /// A fleet in virtual time, without sockets: changes of policy under faults, one day for each seed.
     Simulated {
@@ -129,7 +129,8 @@
         /// Faults by name, with commas between; `all` for every one.
         #[arg(long, default_value = "")]
         faults: String,
-        /// Takes one guard out: lease, staged, compare; with a budget lapse, epoch, returned, burst, wakes, floor.
+        /// Takes one guard out: lease, staged, compare; with a budget lapse, epoch, returned, burst, wakes,
+        /// floor.
         #[arg(long)]
         without: Option<String>,
         /// By a simple way in place of the fleet's own: told, two-phase.
--- a/crates/testbed/src/peer.rs
+++ b/crates/testbed/src/peer.rs
@@ -253,8 +253,8 @@
     })
 }
 
-/// Makes one call that is reported served at once; returns the time to its first message, none where anything was
-/// missing.
+/// Makes one call that is reported served at once; returns the time to its first message, none where anything
+/// was missing.
 pub async fn exchange_once(sender: SendRequest<Bytes>, path: &str, headers: Bytes) -> Option<Duration> {
     let mut sender = sender.ready().await.ok()?;
     let started_at = Instant::now();
@@ -271,7 +271,8 @@
     reader.trailers().await.ok().flatten().map(|_| latency)
 }
 
-/// Makes a call on a connection that never opens its flow-control window; returns whether the router resets its stream.
+/// Makes a call on a connection that never opens its flow-control window; returns whether the router resets
+/// its stream.
 pub fn is_reset_without_window(front: SocketAddr) -> bool {
     run_to_end(async {
         let socket = TcpStream::connect(front).await.expect("the front listens");
--- a/crates/testbed/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -1,6 +1,7 @@
-//! Several routers of one fleet as processes, with faults between them and changes of policy under way. Each policy
-//! shows at clients and caches: by the time that it tells those rejected, and by the age that its attempts
-//! accept. So every answer names the policy that decided it, and no word of a router is taken for it.
+//! Several routers of one fleet as processes, with faults between them and changes of policy under way. Each
+//! policy shows at clients and caches: by the time that it tells those rejected, and by the age that its
+//! attempts accept. So every answer names the policy that decided it, and no word of a router is taken for
+//! it.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -25,7 +26,8 @@
 /// The pause that tells of no lease; no policy of the experiment tells it.
 const NO_LEASE: u64 = 400;
 
-/// Marks that there are beside that of the start: a policy's fresh time and its longest Retry-After say which.
+/// Marks that there are beside that of the start: a policy's fresh time and its longest Retry-After say
+/// which.
 const MARKS: u64 = 45;
 
 fn fresh_ms(mark: u64) -> u64 {
@@ -205,7 +207,8 @@
     changes
 }
 
-/// Cuts one that does not lead off from all others, while nothing stands in the way of the change that is proposed next.
+/// Cuts one that does not lead off from all others, while nothing stands in the way of the change that is
+/// proposed next.
 fn strand(cluster: &Cluster, chance: &mut Pcg64Mcg, end: Instant) -> Option<usize> {
     while Instant::now() < end {
         let no = chance.random_range(0..cluster.nodes.len());
--- a/crates/testbed/src/proxy/attempt.rs
+++ b/crates/testbed/src/proxy/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a request: asks the router, forwards to the endpoint that it names, reports what came of it.
+//! One attempt of a request: asks the router, forwards to the endpoint that it names, reports what came of
+//! it.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -254,8 +255,8 @@
         }
     }
 
-    /// Reports on other decisions, with this request's correlation id: on the lease of another request, and on leases
-    /// that never were.
+    /// Reports on other decisions, with this request's correlation id: on the lease of another request, and
+    /// on leases that never were.
     async fn report_wrongly(&self, request: &Message) {
         let foreign_lease = self.foreign_lease.lock().unwrap().clone();
         let foreign_lease = match foreign_lease {
--- a/crates/testbed/src/proxy/mod.rs
+++ b/crates/testbed/src/proxy/mod.rs
@@ -1,5 +1,6 @@
-//! A stand-in front proxy: HTTP/1.1 from clients, a stock gRPC client of the published external processing service,
-//! HTTP/1.1 to caches. It does what such a proxy does, and injects the fault that a client names in `x-fault`.
+//! A stand-in front proxy: HTTP/1.1 from clients, a stock gRPC client of the published external processing
+//! service, HTTP/1.1 to caches. It does what such a proxy does, and injects the fault that a client names in
+//! `x-fault`.
 
 mod attempt;
 mod http;
@@ -63,7 +64,8 @@
 }
 
 impl Proxy {
-    /// Starts a proxy that calls the router's external processing front, and with some faults its plain call front.
+    /// Starts a proxy that calls the router's external processing front, and with some faults its plain call
+    /// front.
     pub async fn start(front: SocketAddr, call: SocketAddr) -> Arc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let proxy = Arc::new(Self {
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,5 +1,6 @@
-//! The relay that carries all messages between routers under test: it loses, delays, duplicates and reorders them, and
-//! severs links. It reads only a message's length and its sender; messages can be recorded for an audit.
+//! The relay that carries all messages between routers under test: it loses, delays, duplicates and reorders
+//! them, and severs links. It reads only a message's length and its sender; messages can be recorded for an
+//! audit.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
--- a/crates/testbed/src/signed.rs
+++ b/crates/testbed/src/signed.rs
@@ -1,6 +1,6 @@
 //! Experiment: links of every kind, good and bent, under key rotation. An oracle that shares no code with the
-//! router, and signs by other libraries, says what each must get; caches say whether a refused request reached
-//! them.
+//! router, and signs by other libraries, says what each must get; caches say whether a refused request
+//! reached them.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -330,7 +330,8 @@
             let (object, own) = (format!("{:016x}", 0x1000 + no % 40), format!("10.1.7.{no}"));
             let path = |nth: u64| format!("/v1/store/pages/{object}/{nth}");
             let first = part(format!("{}?t={link}", path(0)), &own, "").await;
-            // On a machine that had no time for it the moment has passed, and nothing is to be said of this one.
+            // On a machine that had no time for it the moment has passed, and nothing is to be said of this
+            // one.
             if begun.elapsed() > Duration::from_millis(700) {
                 return Vec::new();
             }
--- a/crates/testbed/src/simulation/audit.rs
+++ b/crates/testbed/src/simulation/audit.rs
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Counts fills beyond the rate and burst, by a token bucket that begins full: it covers all windows at once.
+    /// Counts fills beyond the rate and burst, by a token bucket that begins full: it covers all windows at
+    /// once.
     fn audit_fills(&mut self, initial_rate: f64) {
         let burst = self.day.fill_budget("burst");
         let limits = self.rate_limits(initial_rate);
@@ -110,7 +111,8 @@
         }
     }
 
-    /// The rates in force over the day. Within the clock tolerance around an activation, the higher rate is allowed.
+    /// The rates in force over the day. Within the clock tolerance around an activation, the higher rate is
+    /// allowed.
     fn rate_limits(&self, initial_rate: f64) -> Vec<RateLimit> {
         let tolerance = self.clock_tolerance_us();
         let mut limits = vec![RateLimit { from_us: 0, per_second: initial_rate }];
--- a/crates/testbed/src/simulation/baselines.rs
+++ b/crates/testbed/src/simulation/baselines.rs
@@ -1,5 +1,5 @@
-//! Baselines for the distribution of policy changes, simulated under the same faults as the fleet's own protocol:
-//! direct file reload and a plain two-phase commit.
+//! Baselines for the distribution of policy changes, simulated under the same faults as the fleet's own
+//! protocol: direct file reload and a plain two-phase commit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,7 +27,8 @@
 pub enum Baseline {
     /// Each router applies a change as soon as it is notified.
     FileReload,
-    /// All routers vote, then all commit. Messages are sent again until every router has acknowledged the commit.
+    /// All routers vote, then all commit. Messages are sent again until every router has acknowledged the
+    /// commit.
     TwoPhaseCommit,
 }
 
@@ -272,7 +273,8 @@
         }
     }
 
-    /// Sends the current message of a change again, until the change has timed out or all have acknowledged it.
+    /// Sends the current message of a change again, until the change has timed out or all have acknowledged
+    /// it.
     fn retransmit(&mut self, generation: u64) {
         let Some(change) = self.changes.get(&generation) else { return };
         let (coordinator, committed) = (change.coordinator, change.committed);
--- a/crates/testbed/src/simulation/day.rs
+++ b/crates/testbed/src/simulation/day.rs
@@ -11,7 +11,8 @@
 const MIN_CONCURRENT_FILLS: f64 = 40.0;
 /// The least burst of fills on a day with a budget.
 const MIN_FILL_BURST: f64 = 60.0;
-/// From the beginning of a day to the first proposal. The time in which faults are injected counts from then on.
+/// From the beginning of a day to the first proposal. The time in which faults are injected counts from then
+/// on.
 pub(super) const WARM_UP: Span = Span::millis(2000);
 /// How many routers beyond the initial ones the budget is laid out for.
 const SPARE_ROUTERS: usize = 3;
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -193,8 +193,8 @@
         self.processes.iter().all(Process::is_running)
     }
 
-    /// Whether three or more voters run and agree on the voters. A replica that loses its storage then is not the last
-    /// one that knew an entry; while a third voter is added to two, both are needed.
+    /// Whether three or more voters run and agree on the voters. A replica that loses its storage then is not
+    /// the last one that knew an entry; while a third voter is added to two, both are needed.
     fn has_redundant_voters(&self) -> bool {
         let Some(newest) = self.most_advanced_node() else { return false };
         let voters = &newest.agreed().voters;
--- a/crates/testbed/src/simulation/plots.rs
+++ b/crates/testbed/src/simulation/plots.rs
@@ -1,4 +1,5 @@
-//! Plots of simulated days: activation delay and use of a budget, by fleet size and message loss, for several leases.
+//! Plots of simulated days: activation delay and use of a budget, by fleet size and message loss, for several
+//! leases.
 
 use std::path::Path;
 
--- a/crates/testbed/src/simulation/workload.rs
+++ b/crates/testbed/src/simulation/workload.rs
@@ -97,7 +97,8 @@
         self.with_node(process, |node, _| node.quota().release(admitted_at, &[concurrent_fill_key()]));
     }
 
-    /// Samples what all running routers together could spend, and counts starvation at the end of each period.
+    /// Samples what all running routers together could spend, and counts starvation at the end of each
+    /// period.
     pub(super) fn sample_quotas(&mut self) {
         self.schedule_in(QUOTA_SAMPLE_INTERVAL_US, Event::SampleQuotas);
         self.record_commitment();
--- a/crates/testbed/src/stand_in/process.rs
+++ b/crates/testbed/src/stand_in/process.rs
@@ -194,8 +194,8 @@
         self.child.id()
     }
 
-    /// The peak of the process's own memory in kilobytes: without the pages of its program, which the system reads
-    /// again from the file, and of which a build for tests has twice as many as another.
+    /// The peak of the process's own memory in kilobytes: without the pages of its program, which the system
+    /// reads again from the file, and of which a build for tests has twice as many as another.
     pub fn peak_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = |name: &str| status.lines().find(|line| line.starts_with(name)).unwrap();
--- a/crates/testbed/src/stand_in/scripted_cache.rs
+++ b/crates/testbed/src/stand_in/scripted_cache.rs
@@ -28,7 +28,8 @@
     RespondAfter(Duration, Completion),
 }
 
-/// Makes the response of a request that ran for a while; the argument says whether the router still waits for it.
+/// Makes the response of a request that ran for a while; the argument says whether the router still waits for
+/// it.
 pub type Completion = Arc<dyn Fn(bool) -> Vec<u8> + Send + Sync>;
 
 /// An HTTP response with this status, these header lines and this body.
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The figures of simulated days of a fleet, compared with the recorded file in `tests/golden/`. A seed replays
-//! exactly, so every figure has to stay the same.
+//! The figures of simulated days of a fleet, compared with the recorded file in `tests/golden/`. A seed
+//! replays exactly, so every figure has to stay the same.
 //!
 //! To record the file anew: `cargo test -p tindoor-testbed --test golden -- --ignored record`
 
--- a/crates/testbed/tests/simulated.rs
+++ b/crates/testbed/tests/simulated.rs
@@ -50,8 +50,9 @@
     );
 }
 
-/// A member that was away for longer than it stays listed rejoins at once, and no activation waits for an absent one.
-/// The bound on removals detects a leader that counts the silence of a returning member from its own election on.
+/// A member that was away for longer than it stays listed rejoins at once, and no activation waits for an
+/// absent one. The bound on removals detects a leader that counts the silence of a returning member from its
+/// own election on.
 #[test]
 fn a_router_that_was_away_rejoins_and_delays_no_activation() {
     for routers in [3, 5] {
--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -39,7 +39,8 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// Sends an attempt of a request if all rules permit it, else gives the request up. Every send passes here.
+    /// Sends an attempt of a request if all rules permit it, else gives the request up. Every send passes
+    /// here.
     pub(super) fn send(&mut self, slot: RequestSlot, plan: AttemptPlan) {
         let Some(request) = self.requests.get(slot).filter(|request| rule_1_is_unanswered(request)) else {
             return;
@@ -145,7 +146,8 @@
         Some(self.now.since(purged_at).max(MIN_MAX_AGE))
     }
 
-    /// What copies may be served. Stale ones, which are worth less, only for retries and while fills are congested.
+    /// What copies may be served. Stale ones, which are worth less, only for retries and while fills are
+    /// congested.
     fn freshness(&self, request: &Request, plan: AttemptPlan, is_retry: bool) -> Freshness {
         let since_purge = self.rule_5_max_age(request);
         let class = self.class(request.meta.class);
--- a/src/engine/congestion.rs
+++ b/src/engine/congestion.rs
@@ -1,7 +1,7 @@
 //! Lateness and congestion, which decide what is admitted.
 //!
-//! Lateness is the time that responses took over their objectives. Congestion is the number in flight over the number
-//! up to which responses come in time: at 1 or more, another request would be late.
+//! Lateness is the time that responses took over their objectives. Congestion is the number in flight over
+//! the number up to which responses come in time: at 1 or more, another request would be late.
 
 use crate::host::Host;
 
@@ -62,8 +62,8 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// What the last `count` samples show together, older ones counting less; where there are few, lateness leans on
-    /// `usual_lateness`.
+    /// What the last `count` samples show together, older ones counting less; where there are few, lateness
+    /// leans on `usual_lateness`.
     fn pressure(&self, loads: &LoadSamples, count: usize, usual_lateness: f64) -> Pressure {
         let (mut weight, mut took, mut due) = (0.0, 0.0, EPSILON);
         let (mut work, mut in_flight, mut objective) = (EPSILON, EPSILON, EPSILON);
@@ -90,10 +90,10 @@
 
     /// How congested an endpoint or a path of fills is for a request, with that many in flight there.
     ///
-    /// On a saturated link response times grow in proportion to the number in flight, so the number at which they
-    /// pass the objective follows from the mean lateness and the mean number. The more routers share the link, the
-    /// less this router's own number tells: lateness decides, together with the request's admission draw, so that
-    /// all routers together admit what comes in time.
+    /// On a saturated link response times grow in proportion to the number in flight, so the number at which
+    /// they pass the objective follows from the mean lateness and the mean number. The more routers share the
+    /// link, the less this router's own number tells: lateness decides, together with the request's admission
+    /// draw, so that all routers together admit what comes in time.
     fn congestion(
         &self,
         pressure: Pressure,
--- a/src/engine/load.rs
+++ b/src/engine/load.rs
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Fills in flight by estimate. Attempts that fill misses as they occur count by the share of their time that
-    /// recently went to fills.
+    /// Fills in flight by estimate. Attempts that fill misses as they occur count by the share of their time
+    /// that recently went to fills.
     pub(super) fn fills_in_flight(&self, path: FillPath) -> f64 {
         let (mut hit_secs, mut source_secs, mut origin_secs) = (MIN_HIT_SECS, 0.0, 0.0);
         for response in self.responses.iter() {
@@ -181,8 +181,8 @@
 
     /// The mean service time of a request class in seconds.
     ///
-    /// It is never above the latency objective, which also stands in for it until there are samples: under load from
-    /// the start no sample shows the service time alone.
+    /// It is never above the latency objective, which also stands in for it until there are samples: under
+    /// load from the start no sample shows the service time alone.
     pub(super) fn mean_work(&self, class: u16) -> f64 {
         let service_times = &self.load.service_times[usize::from(class)];
         let objective = self.class(class).latency_objective.as_secs();
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,10 +1,11 @@
-//! The routing engine: all decisions about where a request is sent, where a miss is filled from, and when a request
-//! is given up.
+//! The routing engine: all decisions about where a request is sent, where a miss is filled from, and when a
+//! request is given up.
 //!
-//! A caller builds one [`RoutingEngine`] with a [`Host`], the settings of its deployment, a seed and the time. When
-//! something happens it sets the time with [`set_time`](RoutingEngine::set_time) and calls the method named for the
-//! event, like [`request_received`](RoutingEngine::request_received). The engine acts by calling its host; trait and
-//! types are in [`crate::host`]. It does no I/O and reads no clock: the same calls give the same decisions.
+//! A caller builds one [`RoutingEngine`] with a [`Host`], the settings of its deployment, a seed and the
+//! time. When something happens it sets the time with [`set_time`](RoutingEngine::set_time) and calls the
+//! method named for the event, like [`request_received`](RoutingEngine::request_received). The engine acts by
+//! calling its host; trait and types are in [`crate::host`]. It does no I/O and reads no clock: the same
+//! calls give the same decisions.
 
 mod attempts;
 mod congestion;
--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -137,8 +137,8 @@
 
     /// Records what the end of an attempt tells about the health of endpoints.
     ///
-    /// A bad request is an error at every endpoint and says nothing about them, so errors without a reported cause
-    /// count only once another attempt of the request is served.
+    /// A bad request is an error at every endpoint and says nothing about them, so errors without a reported
+    /// cause count only once another attempt of the request is served.
     fn record_attempt_health(&mut self, slot: RequestSlot, ended: &EndedAttempt) {
         if ended.outcome.status == AttemptStatus::Served {
             let request = self.requests.get(slot);
--- a/src/engine/outliers.rs
+++ b/src/engine/outliers.rs
@@ -29,8 +29,8 @@
 const MIN_HEALTH_WEIGHT: f64 = 0.1;
 
 impl<H: Host> RoutingEngine<H> {
-    /// The share of its objects that an endpoint keeps: less for a parent whose fills take longer than the best
-    /// one's, so not where all are slow.
+    /// The share of its objects that an endpoint keeps: less for a parent whose fills take longer than the
+    /// best one's, so not where all are slow.
     pub(super) fn health_weight(&self, endpoint: &Endpoint) -> f64 {
         if endpoint.tier != Tier::Parent {
             return 1.0;
@@ -50,7 +50,8 @@
         endpoint.ejected_until.is_some_and(|until| until > self.now || endpoint.in_flight > 0)
     }
 
-    /// Ejects an endpoint for a time that grows with each ejection, unless too little of its tier would be left.
+    /// Ejects an endpoint for a time that grows with each ejection, unless too little of its tier would be
+    /// left.
     pub(super) fn eject(&mut self, id: EndpointId) {
         let endpoint = &self.endpoints[id];
         let capacity = self.endpoints.ready_capacity(endpoint.tier);
@@ -150,8 +151,8 @@
         let is_unexplained = detail == OutcomeDetail::Unknown && status != AttemptStatus::Unreachable;
         let Some(source) = source.filter(|_| by_source || is_unexplained) else { return };
         self.record_outcome(source, false);
-        // The source was not there at all. It may restart before the endpoint list shows it, so it is treated as
-        // warming up from now on, lest all routers flood it once it answers.
+        // The source was not there at all. It may restart before the endpoint list shows it, so it is treated
+        // as warming up from now on, lest all routers flood it once it answers.
         if status == AttemptStatus::Overloaded {
             self.endpoints[source].entry.started_at = Some(self.now);
         }
