--- a/src/engine/routing.rs
+++ b/src/engine/routing.rs
@@ -1,7 +1,8 @@
 //! The choice of endpoint, source and fill mode for a request.
 //!
-//! Requests for one object meet at one cache, which joins the fill in flight for it, and the fills of all locations
-//! meet at one parent. Everything else here is an exception for endpoints that fail, warm up or are congested.
+//! Requests for one object meet at one cache, which joins the fill in flight for it, and the fills of all
+//! locations meet at one parent. Everything else here is an exception for endpoints that fail, warm up or are
+//! congested.
 
 use crate::host::{EndpointId, Host, RequestSlot};
 
@@ -15,7 +16,8 @@
 
 /// Attempts in flight at a cache that are never too many for its fair share.
 const FAIR_SHARE_ALLOWANCE: f64 = 4.0;
-/// Attempts in flight at a cache, over its share by capacity, beyond which a hot object goes to the next cache.
+/// Attempts in flight at a cache, over its share by capacity, beyond which a hot object goes to the next
+/// cache.
 const FAIR_SHARE_MULTIPLE: f64 = 1.5;
 /// Congestion of fills from which on a request is first sent without one.
 const NEAR_CONGESTION: f64 = 0.8;
@@ -79,7 +81,8 @@
         self.send(slot, AttemptPlan { endpoint, source, fill_mode });
     }
 
-    /// Searches a tier for the endpoint that suits a request best. Among equals the rendezvous ranking decides.
+    /// Searches a tier for the endpoint that suits a request best. Among equals the rendezvous ranking
+    /// decides.
     fn select(&self, request: &Request, tier: Tier, hash: u64) -> Selection {
         let work = self.mean_work(request.meta.class);
         let in_flight: u32 = self.endpoints.tier(tier).map(|endpoint| endpoint.in_flight).sum();
@@ -117,7 +120,8 @@
         }
     }
 
-    /// The source of a fill: the best parent, or the origin where every parent is ejected or failed the request.
+    /// The source of a fill: the best parent, or the origin where every parent is ejected or failed the
+    /// request.
     fn choose_source(
         &self,
         class: u16,
@@ -134,8 +138,8 @@
         }
     }
 
-    /// The endpoint that answers: the best cache, or the source itself where no cache can take the request, or where
-    /// the cache would be late and the source is calm.
+    /// The endpoint that answers: the best cache, or the source itself where no cache can take the request,
+    /// or where the cache would be late and the source is calm.
     fn choose_endpoint(
         &self,
         request: &Request,
@@ -154,8 +158,9 @@
 
     /// How an attempt treats a miss; none where the request has to be given up.
     ///
-    /// While fills are congested a request is first sent without one, or with only what the source holds where just
-    /// the origin's fills are. Hits are served as ever; what surely misses is filled up to the limit or given up.
+    /// While fills are congested a request is first sent without one, or with only what the source holds
+    /// where just the origin's fills are. Hits are served as ever; what surely misses is filled up to the
+    /// limit or given up.
     fn choose_fill_mode(
         &self,
         request: &Request,
@@ -188,8 +193,8 @@
         }
     }
 
-    /// Where sources' and origin's fills are not reported apart, whether half of all being quick shows that only those
-    /// by the origin are late.
+    /// Where sources' and origin's fills are not reported apart, whether half of all being quick shows that
+    /// only those by the origin are late.
     fn shows_only_origin_late(&self) -> bool {
         let fills = self.load.fills(FillPath::Source);
         let median = fills.quantile(0.5, |load| load.took.as_secs() / load.objective);
--- a/src/engine/slow_start.rs
+++ b/src/engine/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how much work is sent to endpoints that warm up after a start (rule 4).
 //!
-//! All routers together must not overload a warming endpoint, so each keeps to its share of what the endpoint surely
-//! can take. Objects come back to a restarted endpoint one by one, the same ones at every router.
+//! All routers together must not overload a warming endpoint, so each keeps to its share of what the endpoint
+//! surely can take. Objects come back to a restarted endpoint one by one, the same ones at every router.
 
 use crate::host::{EndpointId, Host};
 use crate::settings::Ramp;
@@ -56,7 +56,8 @@
     at: Moment,
     /// In seconds of service time.
     work: f64,
-    /// The attempt that brought it there; none where it was sent elsewhere instead, or took no work after all.
+    /// The attempt that brought it there; none where it was sent elsewhere instead, or took no work after
+    /// all.
     sent: Option<AttemptId>,
 }
 
@@ -135,8 +136,8 @@
         work / last.at.since(first.at).as_secs().max(MIN_RATE_SECS)
     }
 
-    /// The share of its tier's capacity that an endpoint has. Endpoints that were lately active count too, as one of
-    /// several that are restarted together may be listed first.
+    /// The share of its tier's capacity that an endpoint has. Endpoints that were lately active count too, as
+    /// one of several that are restarted together may be listed first.
     fn tier_share(&self, endpoint: &Endpoint) -> f64 {
         let ramp_duration = self.settings.slow_start.caches.duration.unwrap_or(DEFAULT_RAMP_DURATION);
         let since = self.now - ramp_duration * ACTIVE_WITHIN_RAMPS;
@@ -146,8 +147,8 @@
     /// The work per second that this router may send to an endpoint once it is warm.
     ///
     /// Where capacities are known it is this router's share of the endpoint's; else it follows from what warm
-    /// endpoints did, and from first attempts for a router that has just started. Retries of clients do not count, as
-    /// they multiply after an outage.
+    /// endpoints did, and from first attempts for a router that has just started. Retries of clients do not
+    /// count, as they multiply after an outage.
     fn warm_capacity(&self, endpoint: &Endpoint, arrival_rate: f64, tier_share: f64) -> f64 {
         let topology = &self.settings.topology;
         let is_parent = endpoint.tier == Tier::Parent;
@@ -169,9 +170,9 @@
 
     /// Whether an endpoint can absorb this work without being overloaded (rule 4).
     ///
-    /// A warming endpoint has a budget for each sliding window: what it surely has, times the multiple that it takes,
-    /// times the window. Where the budget is less than one request, requests pass by their admission draw, at most
-    /// one a window.
+    /// A warming endpoint has a budget for each sliding window: what it surely has, times the multiple that
+    /// it takes, times the window. Where the budget is less than one request, requests pass by their
+    /// admission draw, at most one a window.
     pub(super) fn can_absorb(&self, endpoint: &Endpoint, work: f64, admission_draw: u64) -> bool {
         let warm_share = self.warm_share(endpoint);
         if warm_share >= 1.0 {
@@ -196,8 +197,8 @@
 
     /// The work wanted of a warming endpoint in one window, this work included.
     ///
-    /// At first it is the endpoint's share of all requests, as routers that ejected the other endpoints send it more
-    /// than the objects of a warm one; then what was seen.
+    /// At first it is the endpoint's share of all requests, as routers that ejected the other endpoints send
+    /// it more than the objects of a warm one; then what was seen.
     fn demand(&self, endpoint: &Endpoint, work: f64, expected_rate: Option<f64>) -> f64 {
         let window = self.settings.slow_start.window();
         let expected_rate =
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,5 +1,5 @@
-//! The interface between the routing engine and its caller: the [`Host`] trait that the engine acts through, and the
-//! plain types that pass between the two.
+//! The interface between the routing engine and its caller: the [`Host`] trait that the engine acts through,
+//! and the plain types that pass between the two.
 
 use crate::time::{Moment, Span};
 
@@ -9,8 +9,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestSlot(pub u32);
 
-/// The index of an endpoint in the caller's endpoint table, assigned from 0 in the order in which endpoints are
-/// first listed.
+/// The index of an endpoint in the caller's endpoint table, assigned from 0 in the order in which endpoints
+/// are first listed.
 ///
 /// Caches, parents and origins share one table. The index of a removed endpoint may be assigned again once no
 /// request in flight was sent to it or names it as its source.
@@ -65,7 +65,8 @@
     pub started_at: Option<Moment>,
     /// The location of the endpoint.
     pub location: u8,
-    /// The endpoint's capacity in transfers at full speed, or a relative weight where capacities are not known.
+    /// The endpoint's capacity in transfers at full speed, or a relative weight where capacities are not
+    /// known.
     pub capacity: f32,
     /// The deployment's number for caches, parents or origins.
     pub kind: u8,
@@ -112,7 +113,8 @@
     Incomplete,
     /// The router cancelled the attempt.
     Cancelled,
-    /// The attempt was dropped before it was sent, as its request was finished or a limit was reached; nothing ran.
+    /// The attempt was dropped before it was sent, as its request was finished or a limit was reached;
+    /// nothing ran.
     Superseded,
     /// Neither the endpoint nor a source that only gives what it holds had a suitable copy; nothing ran.
     Miss,
@@ -195,7 +197,8 @@
 
 /// What the routing engine acts through. Every call takes effect at once, in the order made.
 pub trait Host {
-    /// Sends an attempt to an endpoint that answers from its own fresh copy only, or that runs the request itself.
+    /// Sends an attempt to an endpoint that answers from its own fresh copy only, or that runs the request
+    /// itself.
     fn send_cache_only(&mut self, slot: RequestSlot, endpoint: EndpointId, timeout: Span);
     /// Sends an attempt to an endpoint that may fill a miss.
     fn send_with_fill(
@@ -211,7 +214,8 @@
     fn reject(&mut self, slot: RequestSlot, retry_after: Option<Span>);
     /// Gives the final answer that the request failed; whether it ran is not known.
     fn fail(&mut self, slot: RequestSlot);
-    /// Sets the engine's one timer: [`timer_fired`](crate::engine::RoutingEngine::timer_fired) is due after this time.
+    /// Sets the engine's one timer: [`timer_fired`](crate::engine::RoutingEngine::timer_fired) is due after
+    /// this time.
     fn set_timer(&mut self, wait: Span);
     /// Subscribes to the endpoint list and its changes.
     fn watch_endpoints(&mut self);
@@ -226,7 +230,8 @@
         true
     }
 
-    /// This router's share of a warming cache's or parent's capacity; none where it is not divided by the fleet.
+    /// This router's share of a warming cache's or parent's capacity; none where it is not divided by the
+    /// fleet.
     fn slow_start_share(&self, _stable_id: u64, _is_parent: bool) -> Option<f64> {
         None
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,7 +9,9 @@
 //!     fn send_cache_only(&mut self, request: RequestSlot, endpoint: EndpointId, _: Span) {
 //!         println!("{request:?} to {endpoint:?}")
 //!     }
-//!     fn send_with_fill(&mut self, request: RequestSlot, endpoint: EndpointId, _: Span, fill: FillDirectives) {
+//!     fn send_with_fill(
+//!         &mut self, request: RequestSlot, endpoint: EndpointId, _: Span, fill: FillDirectives,
+//!     ) {
 //!         println!("{request:?} to {endpoint:?}, a miss from {:?}", fill.source)
 //!     }
 //!     fn cancel(&mut self, _: RequestSlot, _: u16) {}
@@ -18,12 +20,14 @@
 //!     fn set_timer(&mut self, _: Span) {}
 //!     fn watch_endpoints(&mut self) {}
 //! }
-//! let class = ClassSettings { deadline: Span::millis(2000), latency_objective: Span::millis(300), ..Default::default() };
+//! let (deadline, latency_objective) = (Span::millis(2000), Span::millis(300));
+//! let class = ClassSettings { deadline, latency_objective, ..Default::default() };
 //! let settings = Settings { classes: vec![class], ..Default::default() };
 //! let mut engine = RoutingEngine::start(Printer, settings, 7, Moment::at_micros(0));
 //! let (first_ran, authorization, client_retry, size_kb) = Default::default();
+//! let (object, part, group, class) = (5, 0, 0, 0);
 //! let meta =
-//!     RequestMeta { object: 5, part: 0, group: 0, class: 0, size_kb, client_retry, first_ran, authorization };
+//!     RequestMeta { object, part, group, class, size_kb, client_retry, first_ran, authorization };
 //! engine.request_received(RequestSlot(0), meta, Span::millis(900)); // no endpoint is listed: rejected
 //! ```
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of a deployment as the routing engine uses them: one struct for each concern, with typed values.
+//! The settings of a deployment as the routing engine uses them: one struct for each concern, with typed
+//! values.
 //!
 //! Values that a deployment may leave out are `Option`s; the accessor of the same concern has the default.
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -48,7 +48,8 @@
             [Action::SendWithFill { source: 4, .. }]
         ));
     }
-    // A tenth of 20 transfers, twice, for two seconds: 8 s of work, or 26 requests before any service time is sampled.
+    // A tenth of 20 transfers, twice, for two seconds: 8 s of work, or 26 requests before any service time is
+    // sampled.
     assert!((1..26).contains(&filled), "{filled} fills from one warming parent");
 }
 
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,4 +1,5 @@
-//! The load of warming endpoints from all routers of a fleet: no more than their budget, and what is put down to chance.
+//! The load of warming endpoints from all routers of a fleet: no more than their budget, and what is put down
+//! to chance.
 
 mod support;
 
@@ -32,8 +33,8 @@
 /// The service time of a request, and the window in which a warming cache is overloaded, in milliseconds.
 const SERVICE_TIME: u64 = 200;
 const WINDOW: u64 = 1500;
-/// The share of its capacity that a cache has at its start, and when it has all of it, in milliseconds; the multiple
-/// of its capacity that it takes.
+/// The share of its capacity that a cache has at its start, and when it has all of it, in milliseconds; the
+/// multiple of its capacity that it takes.
 const INITIAL_SHARE: f64 = 0.2;
 const RAMP_DURATION: u64 = 15_000;
 const OVERLOAD_MULTIPLE: f64 = 2.5;
@@ -42,8 +43,8 @@
 
 /// What a simulation shows.
 struct Report {
-    /// The most that any window of a warming cache had beyond its budget of N requests, over the 2 x root of N + 2
-    /// that are put down to chance.
+    /// The most that any window of a warming cache had beyond its budget of N requests, over the 2 x root of
+    /// N + 2 that are put down to chance.
     excess: f64,
     /// The share of requests that were served.
     served: f64,
@@ -64,7 +65,8 @@
         3 + self.caches - self.warming_caches()
     }
 
-    /// Parents that can do all there is, the origin, and the caches; the warming ones only once they have started.
+    /// Parents that can do all there is, the origin, and the caches; the warming ones only once they have
+    /// started.
     fn endpoints(&self, have_started: bool) -> Vec<EndpointUpdate> {
         let upstream = [(0, PARENT), (1, PARENT), (2, ORIGIN)].map(|(id, kind)| EndpointUpdate {
             capacity: 1e4,
@@ -165,7 +167,8 @@
     }
 }
 
-/// Thirty routers before ten caches of four transfers each, a hundred and twenty requests a second, one cache warming.
+/// Thirty routers before ten caches of four transfers each, a hundred and twenty requests a second, one cache
+/// warming.
 const USUAL: Layout = Layout {
     routers: 30,
     caches: 10,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -82,7 +82,8 @@
     pub size_kb: Option<f32>,
 }
 
-/// A ready endpoint of the list; caches are in the routers' location. Starts are in milliseconds since [`START`].
+/// A ready endpoint of the list; caches are in the routers' location. Starts are in milliseconds since
+/// [`START`].
 pub fn entry(endpoint: u32, stable_id: u64, kind: u8, started_at: Option<u64>) -> EndpointUpdate {
     EndpointUpdate {
         endpoint: EndpointId(endpoint),
@@ -102,8 +103,9 @@
     kinds.iter().zip(0..).map(|(kind, id)| entry(id, 1000 + u64::from(id), *kind, None)).collect()
 }
 
-/// A router with these endpoints. Request class 0 is idempotent and stored; 1 may be served stale; 2 is idempotent with
-/// a key, 3 non-idempotent, and both run at the origin. `changes` are settings by name, with their values.
+/// A router with these endpoints. Request class 0 is idempotent and stored; 1 may be served stale; 2 is
+/// idempotent with a key, 3 non-idempotent, and both run at the origin. `changes` are settings by name, with
+/// their values.
 pub fn start_router(list: &[EndpointUpdate], changes: &[(&str, f64)]) -> TestRouter {
     let mut settings = settings();
     for (name, value) in changes {
