--- a/crates/extproc/src/headers.rs
+++ b/crates/extproc/src/headers.rs
@@ -11,7 +11,7 @@
     /// The path of the request.
     pub path: String,
     /// The correlation id, 16 hex digits.
-    #[serde(alias = "ticket")]
+    #[serde(rename = "ticket", alias = "correlation_id")]
     pub correlation_id: String,
     /// The proxy's request id; its hash is the correlation id where that is missing.
     #[serde(rename = "request")]
@@ -22,11 +22,12 @@
     /// The proxy's timeout, in milliseconds; used where `time_remaining` is missing.
     pub timeout: String,
     /// The idempotency key, 32 hex digits.
-    #[serde(alias = "mark")]
+    #[serde(rename = "mark", alias = "idempotency_key")]
     pub idempotency_key: String,
     /// The group of the object.
     pub group: String,
     /// Whether the client says that it retries.
+    #[serde(rename = "repeat", alias = "client_retry")]
     pub client_retry: String,
     /// The attempt, counted by the proxy from 1.
     pub attempt: String,
--- a/crates/router/src/fleet/peers.rs
+++ b/crates/router/src/fleet/peers.rs
@@ -17,8 +17,9 @@
 use crate::log_throttle::LogThrottle;
 use crate::timeout::with_timeout;
 
-/// What the first line on each connection begins with. The names of the fleet and of the sender follow.
-const PREFACE: &str = "tindoor-membership 1";
+/// What the first line on each connection begins with, at all versions. The names of the fleet and of the
+/// sender follow.
+const PREFACE: &str = "tindoor-fleet 1";
 
 /// How often the idle timeout may pass on an accepted connection before it is closed.
 const ACCEPTED_IDLE_TIMEOUTS: u32 = 2;
--- a/crates/router/tests/golden_configuration.rs
+++ b/crates/router/tests/golden_configuration.rs
@@ -8,6 +8,7 @@
 
 use std::path::PathBuf;
 use std::process::Command;
+use std::sync::atomic::{AtomicU64, Ordering};
 
 use golden::Recording;
 use serde_json::{Value, json};
@@ -33,7 +34,9 @@
 
 impl Scratch {
     fn new(kind: &str, text: &str) -> Self {
-        let name = format!("tindoor-golden-{kind}-{}.json", std::process::id());
+        static COUNT: AtomicU64 = AtomicU64::new(0);
+        let number = COUNT.fetch_add(1, Ordering::Relaxed);
+        let name = format!("tindoor-golden-{kind}-{}-{number}.json", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, text).unwrap();
         Self(path)
@@ -193,3 +196,14 @@
     }
     out
 }
+
+#[test]
+fn every_header_can_be_renamed_by_its_documented_key() {
+    let keys = ["path", "ticket", "request", "patience", "timeout", "mark", "group", "repeat", "attempt"];
+    for key in keys {
+        for front in ["external_processing", "call"] {
+            let fronts = json!({front: {"listen": "127.0.0.1:0", "headers": {key: "x-other"}}});
+            assert_eq!(check(&whole().to_string(), Some(&fronts.to_string())), "ok", "{front}: {key}");
+        }
+    }
+}
--- a/crates/router/tests/policy.rs
+++ b/crates/router/tests/policy.rs
@@ -1,5 +1,7 @@
 //! Stories of one router that decides by its fleet's policy: a fleet of one, so that each is short.
 
+use std::io::{BufRead, BufReader};
+use std::net::TcpListener;
 use std::path::PathBuf;
 
 use serde_json::{Value, json};
@@ -104,3 +106,19 @@
     alone.change(json!({"limit.open_views": 2}));
     assert_eq!(peer::hold_streams(alone.router.front("external_processing"), 5), 2);
 }
+
+/// Routers of an earlier version refuse a connection with another first line, and a rolling upgrade would split the
+/// fleet.
+#[test]
+fn the_first_line_on_a_connection_to_a_peer_is_that_of_earlier_versions() {
+    let peer = TcpListener::bind("127.0.0.1:0").unwrap();
+    let change_stream = ChangeStream::start();
+    let fleet = json!({
+        "name": "alone", "listen": free_address(), "seeds": [peer.local_addr().unwrap()], "beat_ms": 25,
+    });
+    let start = StartOptions { fronts: Some(json!({ "fleet": fleet })), ..StartOptions::default() };
+    let _router = Router::start_with(&configuration(change_stream.address, Vec::new()), &start);
+    let mut line = String::new();
+    BufReader::new(peer.accept().unwrap().0).read_line(&mut line).unwrap();
+    assert_eq!(line, "tindoor-fleet 1 alone n0\n");
+}
