--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -66,7 +66,7 @@
     pub resend_interval: u32,
     /// How often a command is forwarded.
     pub command_hops: u8,
-    /// When a change on probation is rolled back.
+    /// When a change on probation is reverted.
     pub probation: ProbationLimits,
     /// Up to so many members request quota from the leader itself; in larger fleets one member of each
     /// location passes quota on.
--- a/crates/consensus/src/errors.rs
+++ b/crates/consensus/src/errors.rs
@@ -44,13 +44,13 @@
     TooManyPending,
 }
 
-/// Why there is nothing to roll back.
+/// Why there is nothing to revert.
 #[derive(Debug, thiserror::Error)]
-pub enum RollbackError {
+pub enum RevertError {
     /// That generation is not on probation.
     #[error("generation {generation} is not on probation: propose the old values instead")]
     NotOnProbation {
-        /// The generation that was to be rolled back.
+        /// The generation that was to be reverted.
         generation: u64,
     },
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use actions::{Action, Objection};
 pub use config::{Limits, LocalIdentity, NodeConfig, SafetyChecks};
-pub use errors::{BootstrapError, RollbackError, StartError, SubmitError};
+pub use errors::{BootstrapError, RevertError, StartError, SubmitError};
 pub use membership_change::{MembershipChange, ReplicaInfo, plan_membership_change};
 pub use messages::{
     AgedConfirmation, CatchUp, ClassOutcomes, Command, Envelope, Message, PeerConfirmation, UnreadableMessage,
--- a/crates/consensus/src/node/activation.rs
+++ b/crates/consensus/src/node/activation.rs
@@ -6,7 +6,7 @@
 
 use super::Node;
 use crate::actions::Objection;
-use crate::errors::RollbackError;
+use crate::errors::RevertError;
 use crate::status::UnavailableReason;
 
 /// A decision of a change, as observed here.
@@ -50,7 +50,7 @@
     /// The staged change, if its activation time has passed.
     fn activated_change(&self, now: Moment) -> Result<Option<&StagedChange>, UnavailableReason> {
         let Some((staged, at)) =
-            self.agreed.staged.as_ref().and_then(|staged| Some((staged, staged.effective_at?)))
+            self.agreed.staged.as_ref().and_then(|staged| Some((staged, staged.activation_time?)))
         else {
             return Ok(None);
         };
@@ -89,16 +89,16 @@
     }
 
     /// A proposal to roll a generation back: the policy before it, as a change of its own.
-    pub fn rollback_proposal(
+    pub fn revert_proposal(
         &mut self,
         generation: u64,
         by: &str,
         note: &str,
-    ) -> Result<Proposal, RollbackError> {
+    ) -> Result<Proposal, RevertError> {
         let on_probation = self.agreed.probation.as_ref();
         let Some(on_probation) = on_probation.filter(|on_probation| on_probation.generation == generation)
         else {
-            return Err(RollbackError::NotOnProbation { generation });
+            return Err(RevertError::NotOnProbation { generation });
         };
         let policy = (*on_probation.previous.policy).clone();
         let token = self.new_token();
--- a/crates/consensus/src/node/commands.rs
+++ b/crates/consensus/src/node/commands.rs
@@ -22,9 +22,8 @@
                 !is_staged && agreed.past_proposal(proposal.token).is_none()
             }
             Self::Withdraw { generation } => {
-                let is_undecided = |staged: &StagedChange| {
-                    staged.effective_at.is_none() && staged.version.generation == *generation
-                };
+                let is_undecided =
+                    |staged: &StagedChange| !staged.is_decided() && staged.version.generation == *generation;
                 agreed.staged.as_ref().is_some_and(is_undecided)
             }
             Self::RemoveMember { name } => agreed.members.find_by_name(name).is_some(),
@@ -66,7 +65,7 @@
 
     /// Sends the result of checking the proposed policy to the leader.
     pub(super) fn send_policy_check(&mut self, now: Moment) {
-        let proposed = self.agreed.staged.as_ref().filter(|staged| staged.effective_at.is_none());
+        let proposed = self.agreed.staged.as_ref().filter(|staged| !staged.is_decided());
         let Some(generation) = proposed.map(|staged| staged.version.generation) else { return };
         let Some(objection) = self.policy_checks.get(&generation) else { return };
         let objection = objection.as_ref().map(|objection| objection.reason.clone());
--- a/crates/consensus/src/node/entries.rs
+++ b/crates/consensus/src/node/entries.rs
@@ -26,8 +26,8 @@
         let decided = if let LogEntry::Decide { generation, .. } = &entry { Some(*generation) } else { None };
         // Some member has just heard from who joins. Otherwise one that returns after a long absence would be
         // removed again within a heartbeat, as silent since this leader was elected.
-        if let LogEntry::Join { incarnation: start, .. } = &entry {
-            self.failure_detector.record_heartbeat(*start, now);
+        if let LogEntry::Join { incarnation, .. } = &entry {
+            self.failure_detector.record_heartbeat(*incarnation, now);
         }
         for transition in self.agreed.apply(index, entry) {
             self.handle_transition(now, transition);
@@ -65,7 +65,7 @@
     /// follow.
     fn allow_another_decision(&mut self, decided: Option<u64>) {
         if decided.is_some()
-            && self.agreed.staged.as_ref().is_none_or(|staged| staged.effective_at.is_none())
+            && !self.agreed.has_decided_change()
             && let Some(leadership) = &mut self.leadership
         {
             leadership.decision_proposed.take_if(|generation| Some(*generation) == decided);
@@ -122,7 +122,7 @@
         let is_observed = self.observed_decision.is_some_and(|observed| {
             (observed.from_generation, observed.to_generation) == (from_generation, to_generation)
         });
-        if staged.effective_at.is_some() && !is_observed {
+        if staged.is_decided() && !is_observed {
             self.observed_decision = Some(ObservedDecision { at: now, from_generation, to_generation });
         }
     }
--- a/crates/consensus/src/node/leader/clocks.rs
+++ b/crates/consensus/src/node/leader/clocks.rs
@@ -17,8 +17,7 @@
     /// clock is changed at once, and none while a change is decided: its activation time is given in the
     /// fleet's time.
     pub(super) fn reconcile_clocks(&mut self, now: Moment) {
-        let is_decided = self.agreed.staged.as_ref().is_some_and(|staged| staged.effective_at.is_some());
-        if is_decided || self.is_decision_uncommitted() || !self.is_member() {
+        if self.agreed.has_decided_change() || self.is_decision_uncommitted() || !self.is_member() {
             return;
         }
         let own = self.identity.incarnation;
@@ -71,7 +70,7 @@
         }
         match self.agreed.clocks.get(&clock) {
             None => {
-                let local = now.since(Moment::default()).as_micros() as i64;
+                let local = now.as_micros() as i64;
                 Some(offset.midpoint() + local - time.midpoint())
             }
             Some(agreed) => {
--- a/crates/consensus/src/node/leader/decision.rs
+++ b/crates/consensus/src/node/leader/decision.rs
@@ -37,7 +37,7 @@
     pub(super) fn reconcile_change(&mut self, now: Moment) {
         let Some(staged) = self.agreed.staged.clone() else { return };
         let generation = staged.version.generation;
-        match staged.effective_at {
+        match staged.activation_time {
             None => self.reconcile_decision(now, &staged),
             Some(at) if self.is_activated_everywhere(now, at) => {
                 self.propose(now, LogEntry::Activated { generation });
@@ -63,11 +63,13 @@
         if self.leadership.is_none() {
             return;
         }
-        if let Some(why) = self.reason_to_cancel(now, staged) {
-            return self.propose(now, LogEntry::Cancel { generation, reason: why });
+        if let Some(reason) = self.reason_to_cancel(now, staged) {
+            return self.propose(now, LogEntry::Cancel { generation, reason });
         }
-        let is_proposed =
-            self.leadership.as_ref().is_some_and(|lead| lead.decision_proposed == Some(generation));
+        let is_proposed = self
+            .leadership
+            .as_ref()
+            .is_some_and(|leadership| leadership.decision_proposed == Some(generation));
         if !is_proposed && self.may_decide(now, staged) {
             self.propose_decision(now, generation);
         }
@@ -114,14 +116,14 @@
     fn propose_decision(&mut self, now: Moment, generation: u64) {
         let Some(at) = self.activation_time(now) else { return };
         let (Some(replica), Some(leadership)) = (&mut self.replica, &mut self.leadership) else { return };
-        if replica.propose(&LogEntry::Decide { generation, effective_at: at }) {
+        if replica.propose(&LogEntry::Decide { generation, activation_time: at }) {
             leadership.decision_proposed = Some(generation);
         }
     }
 
     /// Whether this leader has proposed a decision that is not yet committed.
     pub(in crate::node) fn is_decision_uncommitted(&self) -> bool {
-        let undecided = self.agreed.staged.as_ref().filter(|staged| staged.effective_at.is_none());
+        let undecided = self.agreed.staged.as_ref().filter(|staged| !staged.is_decided());
         let proposed = self.leadership.as_ref().and_then(|leadership| leadership.decision_proposed);
         self.checks.staged_activation
             && undecided.is_some_and(|staged| proposed == Some(staged.version.generation))
--- a/crates/consensus/src/node/leader/probation.rs
+++ b/crates/consensus/src/node/leader/probation.rs
@@ -6,11 +6,11 @@
 
 use super::super::Node;
 
-/// Derives the token of a rollback from its generation.
-const ROLLBACK_TOKEN_FACTOR: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Derives the token of a revert from its generation.
+const REVERT_TOKEN_FACTOR: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl Node {
-    /// Judges the change on probation, and has it kept or rolled back.
+    /// Judges the change on probation, and has it kept or reverted.
     pub(super) fn reconcile_probation(&mut self, now: Moment) {
         let Some((generation, assessment)) = self.assess_probation(now) else { return };
         let finding = match assessment {
@@ -19,7 +19,7 @@
                 let note = format!(
                     "in time at location {location}, offering {class}: {before:.3} before, {after:.3} after"
                 );
-                return self.propose_rollback(now, generation, &note);
+                return self.propose_revert(now, generation, &note);
             }
             Assessment::UnrelatedFault { began_before: true } => "kept: trouble that had begun before",
             Assessment::UnrelatedFault { .. } => "kept: trouble everywhere alike",
@@ -49,11 +49,11 @@
         Some((change.to, assessment))
     }
 
-    /// Proposes the rollback with the same token for as long as this leader leads, so that it is proposed
+    /// Proposes the revert with the same token for as long as this leader leads, so that it is proposed
     /// once.
-    fn propose_rollback(&mut self, now: Moment, generation: u64, note: &str) {
-        if let Ok(proposal) = self.rollback_proposal(generation, "probation", note) {
-            let token = generation.wrapping_mul(ROLLBACK_TOKEN_FACTOR) | 1;
+    fn propose_revert(&mut self, now: Moment, generation: u64, note: &str) {
+        if let Ok(proposal) = self.revert_proposal(generation, "probation", note) {
+            let token = generation.wrapping_mul(REVERT_TOKEN_FACTOR) | 1;
             self.propose(now, LogEntry::Propose(Proposal { token, ..proposal }));
         }
     }
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -213,11 +213,6 @@
         &self.agreed
     }
 
-    /// Who this router is.
-    pub fn identity(&self) -> &LocalIdentity {
-        &self.identity
-    }
-
     fn send(&mut self, address: &str, message: Message) {
         let envelope = Envelope {
             fleet: self.fleet.clone(),
--- a/crates/consensus/src/node/quota.rs
+++ b/crates/consensus/src/node/quota.rs
@@ -25,7 +25,7 @@
 pub(super) struct SkippedLenders {
     /// How many.
     pub count: usize,
-    /// When the last of them was skipped.
+    /// When the number last changed.
     pub since: Moment,
 }
 
@@ -37,7 +37,7 @@
 
     /// Plans the division of budgets under the policy that this router goes by, and under the decided one.
     pub(super) fn plan_quota(&mut self, now: Moment) {
-        let decided = self.agreed.staged.as_ref().filter(|staged| staged.effective_at.is_some());
+        let decided = self.agreed.staged.as_ref().filter(|staged| staged.is_decided());
         let next = decided
             .map(|staged| &staged.version)
             .filter(|next| next.generation > self.newest_used_generation);
--- a/crates/consensus/src/node/status.rs
+++ b/crates/consensus/src/node/status.rs
@@ -38,7 +38,7 @@
 
 fn describe(staged: &StagedChange) -> String {
     let version = &staged.version;
-    let state = if staged.effective_at.is_some() { "decided" } else { "asked" };
+    let state = if staged.is_decided() { "decided" } else { "asked" };
     format!(
         "{} ({}, from {}, by {}): {state}",
         version.generation, version.hash, version.base_generation, staged.author
--- a/crates/consensus/src/node/status_exchange.rs
+++ b/crates/consensus/src/node/status_exchange.rs
@@ -87,7 +87,7 @@
         let quorum = self.lease.latest_quorum_confirmation();
         let response = Message::StatusResponse {
             nonce: request.nonce,
-            clock_micros: now.since(Moment::default()).as_micros() as i64,
+            clock_micros: now.as_micros() as i64,
             clock_offsets: self.clock_offsets(now),
             index: self.agreed.index,
             confirms_index: !self.agreed.has_undecided_change(),
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -12,7 +12,7 @@
 /// What is to be written atomically, before messages that depend on it are sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StorageWrite {
-    /// Counted from 1, in the order in which writes are to be done.
+    /// Counted from 1, in the order in which writes are to be done; 0 for the write that bootstraps a storage.
     pub number: u64,
     /// The new hard state: term, vote and commit index.
     pub hard_state: Option<Vec<u8>>,
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -226,11 +226,11 @@
         ("log-entry-propose-rollback", LogEntry::Propose(sample_proposal(0xdead_beef, 300, Some(300)))),
         (
             "log-entry-commit",
-            LogEntry::Decide { generation: 300, effective_at: FleetTime(1_700_000_000_123_456) },
+            LogEntry::Decide { generation: 300, activation_time: FleetTime(1_700_000_000_123_456) },
         ),
         (
             "log-entry-commit-at-negative-time",
-            LogEntry::Decide { generation: 300, effective_at: FleetTime(-5) },
+            LogEntry::Decide { generation: 300, activation_time: FleetTime(-5) },
         ),
         ("log-entry-abort", LogEntry::Cancel { generation: 300, reason: "router-1 rejects it".into() }),
         ("log-entry-activate", LogEntry::Activated { generation: 300 }),
@@ -286,7 +286,7 @@
 }
 
 fn commit(generation: u64) -> LogEntry {
-    LogEntry::Decide { generation, effective_at: FleetTime(1_700_000_000_123_456) }
+    LogEntry::Decide { generation, activation_time: FleetTime(1_700_000_000_123_456) }
 }
 
 /// A refused, an aborted and an activated change; the last one is on probation.
@@ -332,8 +332,8 @@
         (members.members.members().len(), members.members.possible_members(), members.clocks.len()),
         (3, 3, 3)
     );
-    assert!(named("snapshot-proposed-change").staged.unwrap().effective_at.is_none());
-    assert!(named("snapshot-committed-change").staged.unwrap().effective_at.is_some());
+    assert!(named("snapshot-proposed-change").staged.unwrap().activation_time.is_none());
+    assert!(named("snapshot-committed-change").staged.unwrap().activation_time.is_some());
     let on_probation = named("snapshot-change-on-probation");
     assert_eq!((on_probation.probation.is_some(), on_probation.past.len()), (true, 3));
     assert_eq!(named("snapshot-proposed-rollback").staged.unwrap().reverts, Some(3));
--- a/crates/external-requests/src/call.rs
+++ b/crates/external-requests/src/call.rs
@@ -50,9 +50,9 @@
 }
 
 impl RoutingDecision {
-    /// Whether its endpoint or its source is this one.
-    pub fn references(&self, endpoint: EndpointId) -> bool {
-        self.endpoint == endpoint || self.directives.is_some_and(|directives| directives.source == endpoint)
+    /// Where a miss is to be filled from; none for a cache-only read.
+    pub fn source(&self) -> Option<EndpointId> {
+        self.directives.map(|directives| directives.source)
     }
 }
 
--- a/crates/external-requests/tests/model.rs
+++ b/crates/external-requests/tests/model.rs
@@ -302,7 +302,7 @@
 
     fn fire_timer(&mut self) -> Option<()> {
         let next = self.table.next_timer()?;
-        self.now = self.now.max(next.since(Moment::default()).as_micros().div_ceil(1000));
+        self.now = self.now.max(next.as_micros().div_ceil(1000));
         let at = self.at();
         self.table.timer_fired(at, &mut self.host);
         Some(())
--- a/crates/membership/src/clocks.rs
+++ b/crates/membership/src/clocks.rs
@@ -229,5 +229,5 @@
 }
 
 fn micros(moment: Moment) -> i64 {
-    moment.since(Moment::default()).as_micros() as i64
+    moment.as_micros() as i64
 }
--- a/crates/policy/src/agreed/log_entry.rs
+++ b/crates/policy/src/agreed/log_entry.rs
@@ -23,7 +23,7 @@
     Join {
         /// Its incarnation.
         incarnation: Incarnation,
-        /// How it is listed.
+        /// The member.
         member: Member,
         /// The incarnation before it, where that is known to have ended.
         predecessor: Option<Incarnation>,
@@ -63,7 +63,7 @@
         /// Its generation.
         generation: u64,
         /// When it takes effect.
-        effective_at: FleetTime,
+        activation_time: FleetTime,
     },
     /// The proposed policy is cancelled.
     Cancel {
--- a/crates/policy/src/agreed/proposal.rs
+++ b/crates/policy/src/agreed/proposal.rs
@@ -55,13 +55,13 @@
     /// The index of the log at which it was proposed.
     pub index: u64,
     /// When it takes effect, once that is decided.
-    pub effective_at: Option<FleetTime>,
+    pub activation_time: Option<FleetTime>,
 }
 
 impl StagedChange {
     /// Whether it is decided that the change takes effect.
     pub fn is_decided(&self) -> bool {
-        self.effective_at.is_some()
+        self.activation_time.is_some()
     }
 }
 
--- a/crates/policy/src/agreed/state.rs
+++ b/crates/policy/src/agreed/state.rs
@@ -33,7 +33,7 @@
     pub voters: Vec<u64>,
     /// During a change of voters, those before it; their majority must agree as well.
     pub outgoing_voters: Vec<u64>,
-    /// The last incarnation of each voter and its address. A voter that is no longer listed stays, as its
+    /// The last incarnation of each voter and its address. A voter that is no longer a member stays, as its
     /// vote may be needed to list it again.
     pub replica_addresses: BTreeMap<u64, (Incarnation, String)>,
     /// How far the clocks that tell the fleet's time are ahead of it, in microseconds.
@@ -79,7 +79,8 @@
         self.staged.as_ref().is_some_and(|staged| !staged.is_decided())
     }
 
-    fn has_decided_change(&self) -> bool {
+    /// Whether a decided change waits for its activation.
+    pub fn has_decided_change(&self) -> bool {
         self.staged.as_ref().is_some_and(StagedChange::is_decided)
     }
 
@@ -110,7 +111,7 @@
             LogEntry::Voters { replica_ids, outgoing } => self.change_voters(replica_ids, outgoing),
             LogEntry::Clock { incarnation, offset_us } => self.set_clock(incarnation, offset_us),
             LogEntry::Propose(proposal) => self.propose(index, proposal),
-            LogEntry::Decide { generation, effective_at } => self.decide(generation, effective_at),
+            LogEntry::Decide { generation, activation_time } => self.decide(generation, activation_time),
             LogEntry::Cancel { generation, reason } => self.cancel(generation, reason),
             LogEntry::Activated { generation } => self.activate(generation),
             LogEntry::ProbationEnded { generation, finding } => self.end_probation(generation, finding),
@@ -144,13 +145,13 @@
             self.replica_addresses.insert(replica_id, (incarnation, member.address.clone()));
         }
         self.members.add(index, incarnation, member, predecessor);
-        self.remove_unlisted_clocks();
+        self.remove_clocks_of_non_members();
         vec![Transition::Joined(incarnation)]
     }
 
     fn leave(&mut self, index: u64, incarnation: Incarnation, ended: bool) -> Vec<Transition> {
         self.members.remove(index, incarnation, ended);
-        self.remove_unlisted_clocks();
+        self.remove_clocks_of_non_members();
         vec![Transition::Removed(incarnation)]
     }
 
@@ -171,8 +172,8 @@
         Vec::new()
     }
 
-    /// Sets a clock's offset, except while a change is decided: its moment is told by the time that this
-    /// would move.
+    /// Sets a clock's offset, except while a change is decided: its activation time is given in the
+    /// fleet's time, which this would move.
     fn set_clock(&mut self, incarnation: Incarnation, offset_us: Option<i64>) -> Vec<Transition> {
         if self.has_decided_change() {
             return Vec::new();
@@ -184,9 +185,9 @@
         Vec::new()
     }
 
-    /// Removes the clocks of routers that are no longer listed, except while a change is decided: what was
-    /// read of them still tells its moment, and with a single clock left nobody would notice that it jumps.
-    fn remove_unlisted_clocks(&mut self) {
+    /// Removes the clocks of routers that are no longer members, except while a change is decided: what was
+    /// read of them still defines its activation time, and with a single clock left nobody would notice that it jumps.
+    fn remove_clocks_of_non_members(&mut self) {
         if !self.has_decided_change() {
             let members = &self.members;
             self.clocks.retain(|incarnation, _| members.contains(*incarnation));
@@ -208,7 +209,8 @@
         let Proposal { base_generation, policy, reverts, author, note, .. } = proposal;
         let hash = policy.hash();
         let version = PolicyVersion { generation, base_generation, hash, policy: Arc::new(policy) };
-        self.staged = Some(StagedChange { version, token, reverts, author, note, index, effective_at: None });
+        self.staged =
+            Some(StagedChange { version, token, reverts, author, note, index, activation_time: None });
         vec![Transition::Proposed(generation)]
     }
 
@@ -228,12 +230,12 @@
 
     /// Decides a change. A clock may have been removed while the entry was on its way: with too few clocks it
     /// decides nothing, as nobody would notice that the last one jumps.
-    fn decide(&mut self, generation: u64, effective_at: FleetTime) -> Vec<Transition> {
+    fn decide(&mut self, generation: u64, activation_time: FleetTime) -> Vec<Transition> {
         let has_clocks = self.has_clocks();
         match &mut self.staged {
             Some(staged) if staged.version.generation == generation && !staged.is_decided() && has_clocks => {
-                staged.effective_at = Some(effective_at);
-                vec![Transition::Decided(generation, effective_at)]
+                staged.activation_time = Some(activation_time);
+                vec![Transition::Decided(generation, activation_time)]
             }
             _ => Vec::new(),
         }
@@ -257,7 +259,7 @@
             .filter(|_| staged.reverts.is_none())
             .map(|previous| OnProbation { generation, previous });
         self.remember(PastProposal::ended(staged, ProposalOutcome::Activated));
-        self.remove_unlisted_clocks();
+        self.remove_clocks_of_non_members();
         vec![Transition::Activated(generation)]
     }
 
--- a/crates/policy/src/budgets.rs
+++ b/crates/policy/src/budgets.rs
@@ -8,6 +8,7 @@
 pub use limits::max_routers;
 pub use limits::{plan, retries_per_success, router_bound_objection};
 
+use tindoor::host::stable_id;
 use tindoor_quota::BudgetKey;
 
 /// The budgets, by the numbers that name them in messages between routers.
@@ -66,12 +67,7 @@
     }
 }
 
-const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-const FNV_PRIME: u64 = 0x0100_0000_01b3;
-
-/// The scope that stands for a named member, such as a request class: the FNV-1a hash of its name, which is
-/// the same at every router.
+/// The scope that stands for a named member, such as a request class or an endpoint: its stable id.
 pub fn scope_of_name(name: &str) -> u64 {
-    let mix = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
-    name.bytes().fold(FNV_OFFSET_BASIS, mix)
+    stable_id(name)
 }
--- a/crates/policy/tests/agreed.rs
+++ b/crates/policy/tests/agreed.rs
@@ -27,14 +27,14 @@
 #[test]
 fn a_change_is_proposed_decided_activated_and_ends_probation_in_this_order_only() {
     let (mut agreed, at) = bootstrapped();
-    assert_eq!(agreed.apply(at, LogEntry::Decide { generation: 2, effective_at: FleetTime(5) }), []);
+    assert_eq!(agreed.apply(at, LogEntry::Decide { generation: 2, activation_time: FleetTime(5) }), []);
     assert_eq!(agreed.apply(at + 1, LogEntry::Propose(proposal(11, 1))), [Transition::Proposed(2)]);
     assert!(agreed.has_undecided_change(), "routers confirm no leases until it is decided");
     assert_eq!(agreed.apply(at + 2, LogEntry::Activated { generation: 2 }), [], "it is not decided yet");
-    let decided = agreed.apply(at + 3, LogEntry::Decide { generation: 2, effective_at: FleetTime(5) });
+    let decided = agreed.apply(at + 3, LogEntry::Decide { generation: 2, activation_time: FleetTime(5) });
     assert_eq!(decided, [Transition::Decided(2, FleetTime(5))]);
     assert_eq!(
-        agreed.apply(at + 4, LogEntry::Decide { generation: 2, effective_at: FleetTime(9) }),
+        agreed.apply(at + 4, LogEntry::Decide { generation: 2, activation_time: FleetTime(9) }),
         [],
         "the moment is decided once"
     );
@@ -70,10 +70,10 @@
     agreed.apply(at + 2, LogEntry::Propose(proposal(11, 1)));
     agreed.apply(at + 3, join(3));
     assert_eq!(agreed.clocks.keys().collect::<Vec<_>>(), [&Incarnation(1)]);
-    assert_eq!(agreed.apply(at + 4, LogEntry::Decide { generation: 2, effective_at: FleetTime(5) }), []);
+    assert_eq!(agreed.apply(at + 4, LogEntry::Decide { generation: 2, activation_time: FleetTime(5) }), []);
     agreed.apply(at + 5, LogEntry::Clock { incarnation: Incarnation(3), offset_us: Some(0) });
     assert_eq!(
-        agreed.apply(at + 6, LogEntry::Decide { generation: 2, effective_at: FleetTime(9) }).len(),
+        agreed.apply(at + 6, LogEntry::Decide { generation: 2, activation_time: FleetTime(9) }).len(),
         1,
         "a later decision can"
     );
@@ -103,7 +103,7 @@
     );
     agreed.apply(at + 2, LogEntry::Propose(proposal(21, 1)));
     assert_eq!(agreed.staged.as_ref().unwrap().version.generation, 2, "a repeated proposal is accepted once");
-    agreed.apply(at + 3, LogEntry::Decide { generation: 2, effective_at: FleetTime(1) });
+    agreed.apply(at + 3, LogEntry::Decide { generation: 2, activation_time: FleetTime(1) });
     agreed.apply(at + 4, LogEntry::Activated { generation: 2 });
     agreed.apply(at + 5, LogEntry::ProbationEnded { generation: 2, finding: String::new() });
     agreed.apply(at + 6, LogEntry::Propose(proposal(23, 1)));
@@ -122,11 +122,11 @@
 fn a_revert_is_a_change_like_others_and_is_on_no_probation_itself() {
     let (mut agreed, at) = bootstrapped();
     agreed.apply(at, LogEntry::Propose(proposal(31, 1)));
-    agreed.apply(at + 1, LogEntry::Decide { generation: 2, effective_at: FleetTime(1) });
+    agreed.apply(at + 1, LogEntry::Decide { generation: 2, activation_time: FleetTime(1) });
     agreed.apply(at + 2, LogEntry::Activated { generation: 2 });
     let revert = Proposal { reverts: Some(2), policy: policy(0.0), ..proposal(32, 2) };
     assert_eq!(agreed.apply(at + 3, LogEntry::Propose(revert)), [Transition::Proposed(3)]);
-    agreed.apply(at + 4, LogEntry::Decide { generation: 3, effective_at: FleetTime(2) });
+    agreed.apply(at + 4, LogEntry::Decide { generation: 3, activation_time: FleetTime(2) });
     agreed.apply(at + 5, LogEntry::Activated { generation: 3 });
     assert_eq!((agreed.generation(), agreed.probation.is_none()), (3, true));
     assert_eq!(agreed.in_force.as_ref().unwrap().hash, policy(0.0).hash());
--- a/crates/quota/src/lease_ledger.rs
+++ b/crates/quota/src/lease_ledger.rs
@@ -240,7 +240,7 @@
     }
 
     fn divide(&mut self, now: Moment, limit: &BudgetLimit) {
-        let rotation = (now.since(Moment::default()).as_micros() / ROTATION_PERIOD.as_micros()) as usize;
+        let rotation = (now.as_micros() / ROTATION_PERIOD.as_micros()) as usize;
         let rate_demands = self.weighted_demands(|quota| quota.rate);
         let burst_demands = self.weighted_demands(|quota| quota.burst);
         let rates = max_min_fair_shares(self.income.rate, &rate_demands, 1, rotation);
--- a/crates/quota/src/participant/lending.rs
+++ b/crates/quota/src/participant/lending.rs
@@ -16,7 +16,7 @@
 /// The largest weight in the division, so that sums of weights don't overflow.
 const MAX_WEIGHT: u64 = 1 << 40;
 
-/// How long a router that is no longer listed is remembered after its last request, in leases.
+/// How long a router that is no longer a member is remembered after its last request, in leases.
 const REQUESTER_RETENTION_LEASES: f64 = 4.0;
 
 impl Participant {
@@ -194,10 +194,10 @@
         }
     }
 
-    /// Forgets the last requests of routers that are no longer listed, some time after those.
-    pub fn retain(&mut self, now: Moment, is_listed: impl Fn(Incarnation) -> bool) {
+    /// Forgets the last requests of routers that are no longer members, some time after those.
+    pub fn retain(&mut self, now: Moment, is_member: impl Fn(Incarnation) -> bool) {
         let retention = self.timings.lease * REQUESTER_RETENTION_LEASES;
         self.requesters
-            .retain(|requester, last| is_listed(*requester) || now.since(last.received_at) < retention);
+            .retain(|requester, last| is_member(*requester) || now.since(last.received_at) < retention);
     }
 }
--- a/crates/request-runtime/src/admission.rs
+++ b/crates/request-runtime/src/admission.rs
@@ -27,24 +27,24 @@
     fn can_afford_fill(&self, class: u16) -> bool;
 
     /// Charges one attempt to the shared quota; none where the quota does not allow it.
-    fn charge_quota(&self, charge: &QuotaCharge) -> Option<FillCharge>;
+    fn charge_quota(&self, charge: &QuotaCharge) -> Option<AttemptCharge>;
 
-    /// Settles the charge of an attempt for a fill once the attempt has ended.
-    fn settle_charge(&self, charge: FillCharge, outcome: Outcome);
+    /// Settles the charge of an attempt once the attempt has ended.
+    fn settle_charge(&self, charge: AttemptCharge, outcome: Outcome);
 
     /// This router's share of the load that a warming endpoint takes; none where it is not divided.
-    fn slow_start_share(&self, stable: u64, parent: bool) -> Option<f64>;
+    fn slow_start_share(&self, stable_id: u64, is_parent: bool) -> Option<f64>;
 }
 
 /// What one attempt was charged, to be settled with the quota it came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FillCharge {
+pub struct AttemptCharge {
     /// When it was charged, on the quota's clock.
     pub at: Moment,
     /// The request class.
     pub class: u16,
     /// Whether the attempt may have the origin asked for a fill.
-    pub fills: bool,
+    pub may_fill_from_origin: bool,
 }
 
 /// A request that the admission gate admitted, to be counted at its end.
--- a/crates/request-runtime/src/attempt.rs
+++ b/crates/request-runtime/src/attempt.rs
@@ -34,3 +34,10 @@
     /// When the routing engine ordered it.
     pub issued_at: Instant,
 }
+
+impl Attempt {
+    /// Where a miss is to be filled from; none for a cache-only read.
+    pub fn source(&self) -> Option<EndpointId> {
+        self.directives.map(|directives| directives.source)
+    }
+}
--- a/crates/request-runtime/src/clock.rs
+++ b/crates/request-runtime/src/clock.rs
@@ -24,6 +24,11 @@
         Moment::at_micros((self.unix_at_start + self.start.elapsed()).as_micros() as u64)
     }
 
+    /// The Unix time now, in milliseconds.
+    pub fn unix_ms(&self) -> u64 {
+        self.now().as_micros() / MICROS_PER_MILLI
+    }
+
     /// A Unix time in milliseconds as a point on this clock.
     pub fn at_unix_ms(ms: u64) -> Moment {
         Moment::at_micros(ms.saturating_mul(MICROS_PER_MILLI))
--- a/crates/request-runtime/src/engine_host.rs
+++ b/crates/request-runtime/src/engine_host.rs
@@ -6,7 +6,7 @@
 use tindoor::host::{EndpointId, FillDirectives, Host, QuotaCharge, RequestSlot};
 use tindoor::time::Span;
 
-use crate::{Action, AdmissionGate, Attempt, FillCharge, Mailbox, WakeTimer};
+use crate::{Action, AdmissionGate, Attempt, AttemptCharge, Mailbox, WakeTimer};
 
 /// The requests in flight by their slots, and when the routing engine is to be called next.
 #[derive(Default)]
@@ -26,7 +26,7 @@
     /// The endpoints and sources of its attempts: their ids are not given to others before the request ends.
     referenced: Vec<EndpointId>,
     /// By attempt, the charge to settle at its end; none where the attempt fills nothing.
-    charges: Vec<Option<FillCharge>>,
+    charges: Vec<Option<AttemptCharge>>,
 }
 
 impl EngineHost {
@@ -67,7 +67,7 @@
     }
 
     /// Removes the charge of an attempt, if there is one to settle.
-    pub(crate) fn take_charge(&mut self, slot: RequestSlot, attempt_index: u16) -> Option<FillCharge> {
+    pub(crate) fn take_charge(&mut self, slot: RequestSlot, attempt_index: u16) -> Option<AttemptCharge> {
         self.entry_mut(slot)?.charges.get_mut(usize::from(attempt_index))?.take()
     }
 
@@ -159,12 +159,12 @@
         let Some(charged) = gate.charge_quota(&charge) else { return false };
         // The attempt that is sent next has the index of this charge.
         if let Some(entry) = self.entry_mut(slot) {
-            entry.charges.push(Some(charged).filter(|charged| charged.fills));
+            entry.charges.push(Some(charged).filter(|charged| charged.may_fill_from_origin));
         }
         true
     }
 
-    fn slow_start_share(&self, stable: u64, parent: bool) -> Option<f64> {
-        self.gate.as_ref()?.slow_start_share(stable, parent)
+    fn slow_start_share(&self, stable_id: u64, is_parent: bool) -> Option<f64> {
+        self.gate.as_ref()?.slow_start_share(stable_id, is_parent)
     }
 }
--- a/crates/request-runtime/src/lib.rs
+++ b/crates/request-runtime/src/lib.rs
@@ -11,7 +11,7 @@
 mod mailbox;
 mod timer;
 
-pub use admission::{AdmissionGate, AdmittedRequest, FillCharge};
+pub use admission::{AdmissionGate, AdmittedRequest, AttemptCharge};
 pub use attempt::{Action, Attempt};
 pub use clock::Clock;
 pub use engine_handle::EngineHandle;
--- a/crates/router/src/configuration/file.rs
+++ b/crates/router/src/configuration/file.rs
@@ -7,10 +7,11 @@
 use serde_json::{Map, Value};
 use tindoor::settings::Settings;
 use tindoor_discovery::WatchEvent;
+use tindoor_extproc::request::RequestClass;
 
 use super::ConfigurationError;
 use super::limits::{LimitInputs, Limits};
-use super::request_classes::{RequestClass, parse_request_classes};
+use super::request_classes::parse_request_classes;
 use super::section::{List, Section};
 
 type Result<T> = std::result::Result<T, ConfigurationError>;
@@ -126,7 +127,12 @@
             descriptors: descriptors_allowed.min(descriptors as usize),
             connect_timeout,
             endpoint_idle_timeout,
-            longest_deadline: self.classes.iter().map(|class| class.deadline).max().unwrap_or_default(),
+            longest_deadline: self
+                .classes
+                .iter()
+                .map(|class| class.default_deadline)
+                .max()
+                .unwrap_or_default(),
             warm_up: self.warm_up,
             max_open_requests: max_open_requests.min(MAX_OPEN_REQUESTS) as usize,
         }))
--- a/crates/router/src/configuration/fronts.rs
+++ b/crates/router/src/configuration/fronts.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use tindoor_extproc::request::HeaderNames;
 
-use super::SignedUrlSettings;
+use super::{FleetConfiguration, SignedUrlSettings};
 
 /// The content of the fronts file.
 #[derive(Debug, Default, Deserialize)]
@@ -19,7 +19,7 @@
     pub call: Option<Front>,
     /// The fleet that this router belongs to.
     #[serde(default)]
-    pub fleet: Option<crate::fleet::FleetConfiguration>,
+    pub fleet: Option<FleetConfiguration>,
     /// Signed URLs that are checked on the fronts of this file.
     #[serde(default, rename = "links")]
     pub signed_urls: Option<SignedUrlSettings>,
--- a/crates/router/src/configuration/mod.rs
+++ b/crates/router/src/configuration/mod.rs
@@ -2,6 +2,7 @@
 
 mod error;
 mod file;
+mod fleet;
 mod fronts;
 pub mod limits;
 mod line_numbers;
@@ -11,7 +12,7 @@
 
 pub use error::ConfigurationError;
 pub use file::{Configuration, FixedSettings};
+pub use fleet::FleetConfiguration;
 pub use fronts::Fronts;
 pub use line_numbers::line_of_value;
-pub use request_classes::RequestClass;
 pub use signed_urls::{SignedUrlSettings, TokenFormatSettings, TokenSource};
--- a/crates/router/src/configuration/request_classes.rs
+++ b/crates/router/src/configuration/request_classes.rs
@@ -2,57 +2,31 @@
 
 use std::time::Duration;
 
+use tindoor_extproc::request::RequestClass;
+
 use super::ConfigurationError;
 use super::section::{List, Section};
 
-/// A request class.
-#[derive(Clone, Debug)]
-pub struct RequestClass {
-    /// Its name, as clients and endpoints know it.
-    pub name: String,
-    /// Whether and how its requests may run twice.
-    pub idempotency: Idempotency,
-    /// Time within which a request is to be answered.
-    pub deadline: Duration,
-}
-
-/// Whether a request may run twice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Idempotency {
-    /// It may run any number of times.
-    Idempotent,
-    /// It may be sent again with the same idempotency key.
-    WithKey,
-    /// It must not run twice.
-    NonIdempotent,
-}
-
-impl RequestClass {
-    /// Whether requests have to carry an idempotency key.
-    pub fn requires_idempotency_key(&self) -> bool {
-        self.idempotency == Idempotency::WithKey
-    }
+/// The effects of requests: none, one that an idempotency key keeps from happening twice, or one that must not
+/// happen twice.
+const EFFECTS: [&str; 3] = ["read_like", KEYED_EFFECT, "non_idempotent"];
+const KEYED_EFFECT: &str = "idempotency_key";
 
-    fn parse(section: &Section) -> Result<Self, ConfigurationError> {
-        section.number("objective", 1..=u64::MAX)?;
-        let deadline = Duration::from_micros(section.number("deadline", 1..=u64::MAX)?);
-        let idempotency = match section.text("effect")? {
-            "read_like" => Idempotency::Idempotent,
-            "idempotency_key" => Idempotency::WithKey,
-            "non_idempotent" => Idempotency::NonIdempotent,
-            unknown => {
-                let problem = format!("{unknown:?} is not known");
-                return Err(ConfigurationError::new(section.path_of("effect"), problem));
-            }
-        };
-        Ok(Self { name: section.text("name")?.to_string(), idempotency, deadline })
+fn parse_request_class(section: &Section) -> Result<RequestClass, ConfigurationError> {
+    section.number("objective", 1..=u64::MAX)?;
+    let default_deadline = Duration::from_micros(section.number("deadline", 1..=u64::MAX)?);
+    let effect = section.text("effect")?;
+    if !EFFECTS.contains(&effect) {
+        return Err(ConfigurationError::new(section.path_of("effect"), format!("{effect:?} is not known")));
     }
+    let requires_idempotency_key = effect == KEYED_EFFECT;
+    Ok(RequestClass { name: section.text("name")?.to_string(), requires_idempotency_key, default_deadline })
 }
 
 /// Parses the list of request classes, which has at least one.
 pub fn parse_request_classes(list: &List) -> Result<Vec<RequestClass>, ConfigurationError> {
     let classes: Vec<_> =
-        list.sections().map(|section| RequestClass::parse(&section)).collect::<Result<_, _>>()?;
+        list.sections().map(|section| parse_request_class(&section)).collect::<Result<_, _>>()?;
     if classes.is_empty() {
         return Err(ConfigurationError::new(&list.path, "empty"));
     }
--- a/crates/router/src/discovery/apply.rs
+++ b/crates/router/src/discovery/apply.rs
@@ -1,7 +1,6 @@
 //! Applies watch events.
 
-use tindoor::host::{EndpointId, EndpointState, EndpointUpdate, ListUpdateKind};
-use tindoor::time::Moment;
+use tindoor::host::{EndpointId, EndpointState, EndpointUpdate, ListUpdateKind, stable_id};
 use tindoor_discovery::{EndpointEntry, EndpointList, EndpointPhase, Purge, WatchEvent};
 use tindoor_request_runtime::Clock;
 
@@ -33,8 +32,7 @@
     state.engine.with(|engine| engine.endpoints_changed(kind, &updates));
     let is_ready = |endpoint| state.endpoints.is_ready(endpoint);
     state.external.withdraw_stale_decisions(|_, decision| {
-        let source = decision.directives.map(|directives| directives.source);
-        !is_ready(decision.endpoint) || source.is_some_and(|source| !is_ready(source))
+        !is_ready(decision.endpoint) || decision.source().is_some_and(|source| !is_ready(source))
     });
 }
 
@@ -89,8 +87,7 @@
     let now = state.engine.clock.now();
     let age = now.since(Clock::at_unix_ms(purge.unix_ms));
     if let Some(signed_urls) = &state.signed_urls {
-        let now_unix_ms = now.since(Moment::default()).as_micros() / 1000;
-        signed_urls.observe_clock(CHANGE_STREAM_CLOCK, purge.unix_ms, now_unix_ms);
+        signed_urls.observe_clock(CHANGE_STREAM_CLOCK, purge.unix_ms, state.engine.clock.unix_ms());
     }
     state.engine.with(|engine| engine.purged(object, group, age));
     state.external.withdraw_stale_decisions(|request, _| match object {
@@ -98,10 +95,3 @@
         None => request.group == group,
     });
 }
-
-/// A number for an endpoint's name that is the same at every router: FNV-1a.
-fn stable_id(name: &str) -> u64 {
-    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x100_0000_01b3;
-    name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
-}
--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -107,7 +107,7 @@
 impl<'a> AttemptRequest<'a> {
     fn new(transport: &'a ClientTransport<'a>, attempt: Attempt) -> Self {
         let endpoints = &transport.state.endpoints;
-        let source = attempt.directives.map(|directives| directives.source);
+        let source = attempt.source();
         let other_source = source.filter(|source| *source != attempt.endpoint);
         Self {
             transport,
@@ -144,7 +144,7 @@
         let is_client_waiting = connection.is_client_waiting(state.limits.client.max_read_backlog);
         let time_remaining = self.deadline.saturating_duration_since(Instant::now());
         let timeout_ms = time_remaining.as_millis() as u64;
-        let source = self.attempt.directives.map(|directives| directives.source);
+        let source = self.attempt.source();
         let is_current = state.endpoints.snapshot(self.attempt.endpoint, source) == self.snapshot;
         let may_send = is_current && is_client_waiting && timeout_ms > 0;
         may_send.then(|| self.endpoint_request(timeout_ms).encode_head())
--- a/crates/router/src/downstream/request_fields.rs
+++ b/crates/router/src/downstream/request_fields.rs
@@ -4,10 +4,10 @@
 use bytes::Bytes;
 use tindoor::host::{Authorization, RequestMeta};
 use tindoor::time::Span;
+use tindoor_extproc::request::RequestClass;
 use tindoor_http::EndpointRequest;
 use tindoor_thrift::Fields;
 
-use crate::configuration::RequestClass;
 use crate::configuration::limits::ClientLimits;
 
 /// Names of fields on the wire.
@@ -109,7 +109,7 @@
     let class = classes.iter().position(|class| class.name == class_name);
     let class = class.ok_or(InvalidField(wire_name::CLASS))?;
     let idempotency_key = reader.optional_hex(wire_name::IDEMPOTENCY_KEY, IDEMPOTENCY_KEY_LENGTH)?;
-    if idempotency_key.is_none() && classes[class].requires_idempotency_key() {
+    if idempotency_key.is_none() && classes[class].requires_idempotency_key {
         return Err(InvalidField(wire_name::IDEMPOTENCY_KEY));
     }
     let client_tag = reader.optional_hex(wire_name::CLIENT_TAG, CLIENT_TAG_LENGTH)?;
--- a/crates/router/src/external/checks.rs
+++ b/crates/router/src/external/checks.rs
@@ -1,31 +1,15 @@
-//! Checks that a test disables, to see that the fault they prevent is detected without them.
+//! The checks of externally processed requests.
 
 use tindoor_external_requests::EnabledChecks;
 
-/// Names the check that a test disables; read by debug builds only.
-const DISABLED_CHECK: &str = "TINDOOR_WITHOUT";
+use crate::disabled_check::is_disabled;
 
-/// All checks, but for the one that a test disables.
+/// All checks, but for the one that an experiment disables.
 pub fn enabled() -> EnabledChecks {
-    let mut checks = EnabledChecks::default();
-    if cfg!(debug_assertions)
-        && let Ok(name) = std::env::var(DISABLED_CHECK)
-    {
-        disable(&mut checks, &name);
-        tracing::warn!(check = name, "a check is disabled for a test");
-    }
-    checks
-}
-
-fn disable(checks: &mut EnabledChecks, name: &str) {
-    match name {
-        "marks" => checks.idempotency_keys = false,
-        "tickets" => checks.correlation_ids = false,
-        "withdraw" => checks.withdrawal = false,
-        "leases" => checks.leases = false,
-        // Signed URLs and the fleet disable these themselves.
-        "links" | "revoked" | "clock" | "lease" | "staged" | "compare" | "incarnation" | "synced"
-        | "pinned" => {}
-        other => tracing::error!(check = other, "unknown check"),
+    EnabledChecks {
+        idempotency_keys: !is_disabled("marks"),
+        correlation_ids: !is_disabled("tickets"),
+        withdrawal: !is_disabled("withdraw"),
+        leases: !is_disabled("leases"),
     }
 }
--- a/crates/router/src/external/grpc/exchange.rs
+++ b/crates/router/src/external/grpc/exchange.rs
@@ -13,9 +13,7 @@
 
 use super::stream::{MessageStream, StreamEnd};
 use crate::external::call::Call;
-use crate::external::request::{
-    CheckedRequest, bad_request, final_response_to_request, read_request, unix_ms,
-};
+use crate::external::request::{CheckedRequest, bad_request, final_response_to_request, read_request};
 use crate::external::target;
 use crate::state::RouterState;
 use crate::timeout::with_timeout;
@@ -128,10 +126,10 @@
     headers: &HttpHeaders,
 ) -> Result<(), StreamEnd> {
     let headers = headers_of(headers);
-    if let Some(links) = &router.signed_urls {
+    if let Some(signed_urls) = &router.signed_urls {
         // Endpoints tell the time by the date of their responses; 0 stands for the discovery service.
         let participant = 1 + u64::from(decision.endpoint.0);
-        links.observe_date_header(participant, &headers, unix_ms(router));
+        signed_urls.observe_date_header(participant, &headers, router.engine.clock.unix_ms());
     }
     let report = read_report(&headers).map_err(|error| {
         tracing::debug!(%error, "unusable report of an external proxy");
@@ -159,11 +157,7 @@
     request: &CheckedRequest,
 ) -> Result<(), StreamEnd> {
     let message = match next_reply(call, stream).await? {
-        CallReply::PassThrough => {
-            let links = router.signed_urls.as_ref().zip(request.playback.as_ref());
-            let cookie = links.and_then(|(links, playback)| links.renewal_cookie(playback, unix_ms(router)));
-            response::pass_through(cookie)
-        }
+        CallReply::PassThrough => response::pass_through(request.renewal_cookie(router)),
         CallReply::AwaitRetry => response::request_retry(),
         other => {
             let refusal = response::final_response(&other);
--- a/crates/router/src/external/grpc/mod.rs
+++ b/crates/router/src/external/grpc/mod.rs
@@ -116,7 +116,7 @@
         && let Some(times) = router.malformed_log.record()
     {
         let GrpcStatus { code, message } = status;
-        tracing::warn!(code, message, times, "stream of an external proxy ended with an error");
+        tracing::warn!(code, reason = message, times, "stream of an external proxy ended with an error");
     }
     stream.send_trailers(trailers(status));
 }
--- a/crates/router/src/external/http.rs
+++ b/crates/router/src/external/http.rs
@@ -13,9 +13,7 @@
 use tindoor_extproc::response::{self, FinalResponse, HeaderField};
 
 use super::call::Call;
-use super::request::{
-    CheckedRequest, bad_request, final_response, final_response_to_request, read_request, unix_ms,
-};
+use super::request::{CheckedRequest, bad_request, final_response, final_response_to_request, read_request};
 use super::target;
 use crate::state::RouterState;
 use crate::timeout::with_timeout;
@@ -251,8 +249,7 @@
         response::decision_headers(&request.request, decision, &target, *use_within, *time_remaining);
     fields.push(HeaderField::new(LEASE, call.id.0.to_string()));
     fields.extend(request.path.iter().map(|path| HeaderField::new("x-tindoor-path", path)));
-    let links = router.signed_urls.as_ref().zip(request.playback.as_ref());
-    let cookie = links.and_then(|(links, playback)| links.renewal_cookie(playback, unix_ms(router)));
+    let cookie = request.renewal_cookie(router);
     fields.extend(cookie.map(|cookie| HeaderField::new("x-tindoor-set-cookie", cookie)));
     FinalResponse { status: 200, fields }
 }
--- a/crates/router/src/external/request.rs
+++ b/crates/router/src/external/request.rs
@@ -1,8 +1,7 @@
 //! Reads a request of an external proxy and checks its signed URL, for both fronts.
 
-use tindoor::time::Moment;
 use tindoor_external_requests::{CallReply, ExternalRequest};
-use tindoor_extproc::request::{self as headers_of, HeaderError, HeaderNames, Headers};
+use tindoor_extproc::request::{self as request_headers, HeaderError, HeaderNames, Headers};
 use tindoor_extproc::response::{self, FinalResponse, REASON};
 use tindoor_signed_urls::playback::Playback;
 
@@ -24,9 +23,12 @@
     pub playback: Option<Playback>,
 }
 
-/// Unix milliseconds, by the router's clock.
-pub fn unix_ms(router: &RouterState) -> u64 {
-    router.engine.clock.now().since(Moment::default()).as_micros() / 1000
+impl CheckedRequest {
+    /// The `Set-Cookie` value that authorizes the next part of a playback, where this is a part of one.
+    pub fn renewal_cookie(&self, router: &RouterState) -> Option<String> {
+        let (signed_urls, playback) = router.signed_urls.as_ref().zip(self.playback.as_ref())?;
+        signed_urls.renewal_cookie(playback, router.engine.clock.unix_ms())
+    }
 }
 
 /// Reads a request and checks its signed URL; an error names the header at fault.
@@ -35,22 +37,23 @@
     headers: &Headers,
     names: &HeaderNames,
 ) -> Result<CheckedRequest, HeaderError> {
-    let Some(links) = &router.signed_urls else {
-        let request = headers_of::read_request(headers, names, &router.header_classes)?;
+    let Some(signed_urls) = &router.signed_urls else {
+        let request = request_headers::read_request(headers, names, &router.classes)?;
         return Ok(CheckedRequest { request, path: None, denial: None, playback: None });
     };
     let path = headers.one(&names.path).unwrap_or_default();
-    let judged = links.authorize(path, headers, unix_ms(router));
-    let judged = judged.map_err(|_| HeaderError { header: names.path.clone(), problem: "no normal form" })?;
+    let authorized = signed_urls
+        .authorize(path, headers, router.engine.clock.unix_ms())
+        .map_err(|_| HeaderError { header: names.path.clone(), problem: "no normal form" })?;
     let others = headers.0.iter().copied().filter(|header| header.0 != names.path);
-    let headers = Headers(others.chain([(names.path.as_str(), judged.path.as_bytes())]).collect());
-    let mut request = headers_of::read_request(&headers, names, &router.header_classes)?;
-    let AuthorizedRequest { path, authorization, refusal_reason: why, playback } = judged;
-    if !links.needs_signature(request.class) {
+    let headers = Headers(others.chain([(names.path.as_str(), authorized.path.as_bytes())]).collect());
+    let mut request = request_headers::read_request(&headers, names, &router.classes)?;
+    let AuthorizedRequest { path, authorization, refusal_reason: denial, playback } = authorized;
+    if !signed_urls.needs_signature(request.class) {
         return Ok(CheckedRequest { request, path: Some(path), denial: None, playback: None });
     }
     request.authorization = authorization;
-    Ok(CheckedRequest { request, path: Some(path), denial: why, playback })
+    Ok(CheckedRequest { request, path: Some(path), denial, playback })
 }
 
 /// The response to a request that can't be read.
--- a/crates/router/src/external/target.rs
+++ b/crates/router/src/external/target.rs
@@ -8,8 +8,7 @@
 /// Resolves the endpoint and the source of a decision.
 pub fn resolve(router: &RouterState, decision: &RoutingDecision) -> RoutingTarget {
     let address = router.endpoints.address(decision.endpoint).map(|address| address.to_string());
-    let source = decision.directives.map(|directives| directives.source);
-    let source = source.filter(|source| *source != decision.endpoint);
+    let source = decision.source().filter(|source| *source != decision.endpoint);
     RoutingTarget {
         endpoint: router.endpoints.name(decision.endpoint),
         address: address.unwrap_or_default(),
--- a/crates/router/src/fleet/admission.rs
+++ b/crates/router/src/fleet/admission.rs
@@ -9,7 +9,7 @@
 use tindoor_policy::budgets::{self, Budget};
 use tindoor_policy::{OutcomeCount, PolicyVersion, keys};
 use tindoor_quota::{Participant, QuotaStatus, RetryBudget};
-use tindoor_request_runtime::{AdmissionGate, FillCharge};
+use tindoor_request_runtime::{AdmissionGate, AttemptCharge};
 
 use super::Fleet;
 use super::runtime::ExitOnPanic;
@@ -38,7 +38,7 @@
         let policy = &version.policy;
         let mut settings = keys::apply_to_settings(policy, &self.settings, &self.classes).ok()?;
         if !self.checks.pinned_settings {
-            settings.attempts.settings_unpinned = true;
+            settings.attempts.follows_new_settings = true;
         }
         self.keep_latency_objectives(version);
         // Without a value, as after a rollback, the limit is the one that the router was started with.
@@ -135,7 +135,7 @@
         self.with_quota(|participant, now| participant.can_afford(now, &keys))
     }
 
-    fn charge_quota(&self, charge: &QuotaCharge) -> Option<FillCharge> {
+    fn charge_quota(&self, charge: &QuotaCharge) -> Option<AttemptCharge> {
         let retry_budget = self.retry_budget.get();
         if charge.is_retry && retry_budget.is_some_and(|budget| !budget.can_afford()) {
             return None;
@@ -152,10 +152,10 @@
         if charge.is_retry {
             self.retry_budget.set(retry_budget.map(RetryBudget::after_retry));
         }
-        Some(FillCharge { at, class: charge.class, fills: charge.may_fill_from_origin })
+        Some(AttemptCharge { at, class: charge.class, may_fill_from_origin: charge.may_fill_from_origin })
     }
 
-    fn settle_charge(&self, charge: FillCharge, outcome: Outcome) {
+    fn settle_charge(&self, charge: AttemptCharge, outcome: Outcome) {
         let keys = self.budget_scope.fill_keys(charge.class);
         // The last key is of fills in flight, the others are of rates.
         let in_flight = &keys[keys.len() - 1..];
--- a/crates/router/src/fleet/mod.rs
+++ b/crates/router/src/fleet/mod.rs
@@ -3,14 +3,12 @@
 //! node.
 
 mod admission;
+mod checks;
 mod clock;
-mod configuration;
-mod disabled_checks;
 mod peers;
 mod policy_objections;
 mod replica_storage;
 mod runtime;
 mod transitions;
 
-pub use configuration::FleetConfiguration;
 pub use runtime::{Fleet, FleetStatus, LocalRouter};
--- a/crates/router/src/fleet/runtime.rs
+++ b/crates/router/src/fleet/runtime.rs
@@ -10,6 +10,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
+use tindoor::host::stable_id;
 use tindoor::settings::Settings;
 use tindoor::time::{Moment, Span};
 use tindoor_consensus::{Action, Limits, LocalIdentity, Node, NodeConfig, Status, StorageWrite, StoredState};
@@ -17,13 +18,13 @@
 use tindoor_policy::{Policy, budgets, keys};
 use tindoor_quota::RetryBudget;
 
-use super::FleetConfiguration;
 use super::admission::LatencyObjectives;
+use super::checks::FleetChecks;
 use super::clock::BootClock;
-use super::disabled_checks::FleetChecks;
 use super::peers::{Peers, SentTraffic};
 use super::replica_storage::ReplicaStorage;
 use super::transitions::{log_leadership, log_transition};
+use crate::configuration::FleetConfiguration;
 use crate::configuration::limits::PeerLimits;
 
 /// The exit status of a process whose node has failed.
@@ -100,7 +101,7 @@
         router: LocalRouter,
     ) -> Result<Rc<Self>> {
         let timings = configuration.timings()?;
-        let checks = FleetChecks::from_environment();
+        let checks = FleetChecks::enabled();
         let process = Process::start(configuration, &router.name, checks)?;
         let listener = Async::<TcpListener>::bind(configuration.listen)
             .with_context(|| format!("fleet.listen: {}", configuration.listen))?;
@@ -269,7 +270,7 @@
     fn start(configuration: &FleetConfiguration, name: &str, checks: FleetChecks) -> Result<Self> {
         // Drawn from the system: the node's seed may be the same again.
         let random = getrandom::u64().context("a number for this start")?;
-        let incarnation = if checks.unique_incarnations { random } else { hash_of_name(name) };
+        let incarnation = if checks.unique_incarnations { random } else { stable_id(name) };
         let directory = configuration.storage_directory.as_ref().filter(|_| configuration.may_vote);
         let Some(directory) = directory else {
             return Ok(Self {
@@ -317,12 +318,6 @@
     limits
 }
 
-/// The FNV-1a hash of a name.
-fn hash_of_name(name: &str) -> u64 {
-    let add = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, add)
-}
-
 /// Ends the process if the node panics. A task that panics is dropped and the others go on, but nobody may go
 /// by, or vote by, a state that is half changed: the process ends, and returns as another incarnation.
 pub(super) struct ExitOnPanic;
--- a/crates/router/src/operator/control_socket.rs
+++ b/crates/router/src/operator/control_socket.rs
@@ -165,7 +165,7 @@
 fn revert(fleet: &Fleet, generation: Option<u64>, author: &str) -> Result<Value> {
     let proposal = fleet.with_node(|node, _| {
         let generation = generation.unwrap_or(node.agreed().generation());
-        node.rollback_proposal(generation, author, REVERT_NOTE)
+        node.revert_proposal(generation, author, REVERT_NOTE)
     });
     submit(fleet, proposal?)
 }
--- a/crates/router/src/operator/signed_url_commands.rs
+++ b/crates/router/src/operator/signed_url_commands.rs
@@ -129,7 +129,7 @@
     for part in parts {
         println!("{part}");
     }
-    println!("not checked: `tindoor link check` says whether it passes");
+    println!("not checked: `tindoor signed-url check` says whether it passes");
     Ok(())
 }
 
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -31,7 +31,7 @@
 pub fn check(files: &Files) -> Result<()> {
     let LoadedFiles { configuration, fronts } = load_files(files)?;
     if let Some(settings) = fronts.signed_urls {
-        SignedUrls::start(settings, &startup::header_classes(&configuration.classes), 0).context("fronts")?;
+        SignedUrls::start(settings, &configuration.classes, 0).context("fronts")?;
     }
     if let Some(fleet) = fronts.fleet {
         fleet.timings().context("fronts")?;
--- a/crates/router/src/server/startup.rs
+++ b/crates/router/src/server/startup.rs
@@ -11,11 +11,10 @@
 use async_io::{Async, Timer};
 use tindoor::time::Span;
 use tindoor_discovery::{WatchEvent, WatchPosition};
-use tindoor_extproc::request::RequestClass as HeaderClass;
 use tindoor_request_runtime::{AdmissionGate, EngineHandle, InFlightIds};
 
 use crate::configuration::limits::{Limits, PeerLimits};
-use crate::configuration::{Configuration, Fronts, RequestClass};
+use crate::configuration::{Configuration, Fronts};
 use crate::discovery::apply_event;
 use crate::external::{ExternalProcessing, grpc, http, listener};
 use crate::fleet::{Fleet, LocalRouter};
@@ -43,10 +42,9 @@
         limits.max_open_requests,
         limits.external_request_limits(configuration.grace, configuration.idempotency_window),
     );
-    let header_classes = header_classes(&configuration.classes);
     let signed_urls = match fronts.signed_urls.take() {
         Some(settings) => {
-            Some(SignedUrls::start(settings, &header_classes, configuration.seed).context("fronts")?)
+            Some(SignedUrls::start(settings, &configuration.classes, configuration.seed).context("fronts")?)
         }
         None => None,
     };
@@ -55,7 +53,6 @@
         executor: Rc::clone(executor),
         limits,
         classes: std::mem::take(&mut configuration.classes),
-        header_classes,
         locations: std::mem::take(&mut configuration.locations),
         endpoint_kinds: std::mem::take(&mut configuration.endpoint_kinds),
         engine,
@@ -84,16 +81,6 @@
     limits
 }
 
-/// Request classes for the reader of proxies' headers.
-pub fn header_classes(classes: &[RequestClass]) -> Vec<HeaderClass> {
-    let header_class = |class: &RequestClass| HeaderClass {
-        name: class.name.clone(),
-        requires_idempotency_key: class.requires_idempotency_key(),
-        default_deadline: class.deadline,
-    };
-    classes.iter().map(header_class).collect()
-}
-
 /// Joins the fleet of the fronts file, and lets it admit requests.
 fn start_fleet(
     executor: &Rc<LocalExecutor<'static>>,
--- a/crates/router/src/signed_urls/mod.rs
+++ b/crates/router/src/signed_urls/mod.rs
@@ -17,19 +17,17 @@
 use tindoor_signed_urls::clock::ClockEstimator;
 use tindoor_signed_urls::hmac_format::HmacFormat;
 use tindoor_signed_urls::keys::KeySet;
-use tindoor_signed_urls::playback::{Playback, PlaybackLimits};
+use tindoor_signed_urls::playback::Playback;
 use tindoor_signed_urls::uri_signing::UriSigningFormat;
 use tindoor_signed_urls::url_prefix::UrlPrefixFormat;
 use tindoor_signed_urls::verification_cache::{Limits, VerificationCache};
 
 use crate::configuration::{SignedUrlSettings, TokenFormatSettings, TokenSource};
+use crate::disabled_check::is_disabled;
 use crate::log_throttle::LogThrottle;
 
 pub use key_file::read_keys;
 
-/// How long playbacks are renewed, in seconds, and how often.
-const PLAYBACK_LIMITS: PlaybackLimits =
-    PlaybackLimits { renewal_seconds: 60, max_seconds: 7200, grace_seconds: 900, max_renewals: 10_000 };
 /// The largest offset of this machine's clock that is corrected.
 const MAX_CLOCK_OFFSET_MS: u64 = 15_000;
 /// The largest clock skew that may be configured.
@@ -116,7 +114,7 @@
 
     /// Reads the keys again. Where the file can't be used, the old keys stay.
     pub fn reload_keys(&self) -> Result<()> {
-        if is_check_disabled("revoked") {
+        if is_disabled("revoked") {
             tracing::info!("keys read again");
             return Ok(());
         }
@@ -143,7 +141,7 @@
 
     /// The time to check tokens by: this machine's, corrected by the median of the other clocks.
     fn now(&self, unix_ms: u64) -> VerificationTime {
-        if is_check_disabled("clock") {
+        if is_disabled("clock") {
             return VerificationTime { unix_ms, skew_ms: self.skew_ms };
         }
         let clock = self.clock.borrow();
@@ -177,7 +175,7 @@
     }
     let is_unknown = |name: &&String| !classes.iter().any(|class| class.name == **name);
     if let Some(unknown) = settings.classes.iter().find(is_unknown) {
-        bail!("links.offerings: {unknown:?} is not known");
+        bail!("links.request_classes: {unknown:?} is not known");
     }
     Ok(())
 }
@@ -192,8 +190,3 @@
     }
     Ok(())
 }
-
-/// Whether a fault experiment has disabled this check; never in a release build.
-fn is_check_disabled(check: &str) -> bool {
-    cfg!(debug_assertions) && std::env::var("TINDOOR_WITHOUT").is_ok_and(|disabled| disabled == check)
-}
--- a/crates/router/src/signed_urls/verification.rs
+++ b/crates/router/src/signed_urls/verification.rs
@@ -8,12 +8,13 @@
 use tindoor_signed_urls::TokenFormat;
 use tindoor_signed_urls::claims::{TokenError, VerificationContext, VerificationTime};
 use tindoor_signed_urls::normalize;
-use tindoor_signed_urls::playback::Playback;
+use tindoor_signed_urls::playback::{Playback, PlaybackLimits};
 use tindoor_signed_urls::verification_cache::VerificationError;
 
 use super::cookies::cookie;
-use super::{AuthorizedRequest, PLAYBACK_LIMITS, SignedUrls, is_check_disabled};
+use super::{AuthorizedRequest, SignedUrls};
 use crate::configuration::TokenSource;
+use crate::disabled_check::is_disabled;
 
 /// A token of a request and its format.
 struct Token<'a> {
@@ -21,38 +22,34 @@
     text: String,
 }
 
-/// Why the last token was refused; that of a request without any, at first.
-struct RequestRefusal {
-    authorization: Authorization,
-    reason: String,
-}
+/// Why the last token was refused, or that there is none.
+struct RequestRefusal(VerificationError);
 
 impl RequestRefusal {
-    fn missing_token() -> Self {
-        Self { authorization: Authorization::Denied, reason: TokenError::Missing.to_string() }
-    }
+    const MISSING_TOKEN: Self = Self(VerificationError::Token(TokenError::Missing));
 
-    fn new(refused: &VerificationError) -> Self {
-        match refused {
-            VerificationError::RateLimited(wait) => Self {
-                authorization: Authorization::NotYetValid(Span::millis(*wait)),
-                reason: "too many tokens to check".to_string(),
-            },
-            VerificationError::Token(refusal) => {
-                let authorization = match refusal {
-                    TokenError::NotYetValid(wait) => Authorization::NotYetValid(Span::millis(*wait)),
-                    TokenError::Expired(_) => Authorization::Expired,
-                    _ => Authorization::Denied,
-                };
-                Self { authorization, reason: refusal.to_string() }
+    fn authorization(&self) -> Authorization {
+        match &self.0 {
+            VerificationError::RateLimited(wait_ms)
+            | VerificationError::Token(TokenError::NotYetValid(wait_ms)) => {
+                Authorization::NotYetValid(Span::millis(*wait_ms))
             }
+            VerificationError::Token(TokenError::Expired(_)) => Authorization::Expired,
+            VerificationError::Token(_) => Authorization::Denied,
+        }
+    }
+
+    fn reason(&self) -> String {
+        match &self.0 {
+            VerificationError::RateLimited(_) => "too many tokens to check".to_string(),
+            VerificationError::Token(error) => error.to_string(),
         }
     }
 
     /// Whether a playback that began in time goes on all the same. A renewal does not make up for a token
     /// that was tampered with or is for another request.
     fn allows_renewal(&self) -> bool {
-        self.authorization == Authorization::Expired || self.reason == TokenError::Missing.to_string()
+        matches!(&self.0, VerificationError::Token(TokenError::Missing | TokenError::Expired(_)))
     }
 }
 
@@ -82,20 +79,21 @@
         // Without an address it fits no token that is for one, and shares one budget with all such requests.
         let client = client.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED));
         let now = self.now(unix_ms);
-        if is_check_disabled("links") {
+        if is_disabled("links") {
             return Ok(AuthorizedRequest::granted(path, None));
         }
         let request = VerificationContext { base_url: &self.base, target: &target, client };
-        let playback = self.playback_under_way(headers, &request, now);
         let refusal = match self.check_tokens(tokens, &request, now) {
             Ok(playback) => return Ok(AuthorizedRequest::granted(path, playback)),
             Err(refusal) => refusal,
         };
-        if let Some(playback) = playback.filter(|_| refusal.allows_renewal()) {
-            return Ok(AuthorizedRequest::granted(path, playback.renew(now, &PLAYBACK_LIMITS)));
+        if refusal.allows_renewal()
+            && let Some(playback) = self.playback_under_way(headers, &request, now)
+        {
+            return Ok(AuthorizedRequest::granted(path, playback.renew(now, &PlaybackLimits::DEFAULT)));
         }
-        let RequestRefusal { authorization, reason } = refusal;
-        Ok(AuthorizedRequest { path, authorization, refusal_reason: Some(reason), playback: None })
+        let (authorization, refusal_reason) = (refusal.authorization(), Some(refusal.reason()));
+        Ok(AuthorizedRequest { path, authorization, refusal_reason, playback: None })
     }
 
     fn take_tokens(&self, target: &mut normalize::Target, headers: &Headers) -> Vec<Token<'_>> {
@@ -131,15 +129,15 @@
     ) -> Result<Option<Playback>, RequestRefusal> {
         let keys = self.keys.borrow();
         let mut verification_cache = self.verification_cache.borrow_mut();
-        let mut refusal = RequestRefusal::missing_token();
+        let mut refusal = RequestRefusal::MISSING_TOKEN;
         for Token { format, text } in tokens {
             match verification_cache.verify(format, &keys, &text, request, now) {
                 // Each part that a token grants may begin a playback: its end is bound to the token.
                 Ok(checked) if self.playback_cookie.is_some() => {
-                    return Ok(Playback::start(&checked.claims, request, now, &PLAYBACK_LIMITS));
+                    return Ok(Playback::start(&checked.claims, request, now, &PlaybackLimits::DEFAULT));
                 }
                 Ok(_) => return Ok(None),
-                Err(refused) => refusal = RequestRefusal::new(&refused),
+                Err(error) => refusal = RequestRefusal(error),
             }
         }
         Err(refusal)
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -6,10 +6,9 @@
 
 use async_executor::LocalExecutor;
 use tindoor_discovery::WatchPosition;
-use tindoor_extproc::request::RequestClass as HeaderClass;
+use tindoor_extproc::request::RequestClass;
 use tindoor_request_runtime::{EngineHandle, InFlightIds};
 
-use crate::configuration::RequestClass;
 use crate::configuration::limits::Limits;
 use crate::external::ExternalProcessing;
 use crate::fleet::Fleet;
@@ -25,8 +24,6 @@
     pub limits: Limits,
     /// Request classes, in the order of the engine's settings.
     pub classes: Vec<RequestClass>,
-    /// The same classes for the reader of proxies' headers.
-    pub header_classes: Vec<HeaderClass>,
     /// The names of the locations, in the order of the engine's settings.
     pub locations: Vec<String>,
     /// The names of the kinds of endpoints, in the order of the engine's settings.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -87,7 +87,7 @@
         cancellation: limits.flag("cancelling"),
         hedging: limits.flag("second_copies").unwrap_or(false),
         drain_grace: Span::micros(root.section("rules").required("drain_grace")? as u64),
-        settings_unpinned: false,
+        follows_new_settings: false,
     })
 }
 
--- a/crates/signed-urls/benches/checks.rs
+++ b/crates/signed-urls/benches/checks.rs
@@ -69,7 +69,7 @@
         });
     }
     let claims = hmac.verify(&cases[0].2, &keys, &context).unwrap();
-    let playback = Playback::start(&claims, &context, now, &PlaybackLimits::default()).unwrap();
+    let playback = Playback::start(&claims, &context, now, &PlaybackLimits::DEFAULT).unwrap();
     let token = playback.sign(&keys, now).unwrap();
     criterion.bench_function("a renewal checked", |bencher| {
         bencher.iter(|| Playback::verify(black_box(&token), &keys, &context, now).unwrap());
--- a/crates/signed-urls/src/key_set_editor.rs
+++ b/crates/signed-urls/src/key_set_editor.rs
@@ -14,13 +14,13 @@
 pub fn new_key(id: &str, algorithm: Algorithm, from: u64, until: u64) -> Option<Value> {
     let mut secret = Zeroizing::new([0; 32]);
     SystemRandom::new().fill(&mut secret[..]).ok()?;
-    let signs_alike = URL_SAFE_NO_PAD.encode(&secret[..]);
+    let secret_text = Zeroizing::new(URL_SAFE_NO_PAD.encode(&secret[..]));
     let mut key = match algorithm {
-        Algorithm::Hs256 => json!({"kid": id, "kty": "oct", "alg": "HS256", "k": signs_alike}),
+        Algorithm::Hs256 => json!({"kid": id, "kty": "oct", "alg": "HS256", "k": *secret_text}),
         Algorithm::EdDsa => {
             let pair = Ed25519KeyPair::from_seed_unchecked(&secret[..]).ok()?;
             let public = URL_SAFE_NO_PAD.encode(pair.public_key());
-            json!({"kid": id, "kty": "OKP", "crv": "Ed25519", "alg": "EdDSA", "x": public, "d": signs_alike})
+            json!({"kid": id, "kty": "OKP", "crv": "Ed25519", "alg": "EdDSA", "x": public, "d": *secret_text})
         }
         Algorithm::Es256 => return None,
     };
@@ -33,10 +33,9 @@
 }
 
 fn parse_object(text: &[u8]) -> Result<Map<String, Value>, KeySetError> {
-    let malformed = || KeySetError::Malformed("no JSON object with a list of keys".to_string());
     match serde_json::from_slice(text) {
         Ok(Value::Object(set)) if set.get("keys").is_some_and(Value::is_array) => Ok(set),
-        _ => Err(malformed()),
+        _ => Err(KeySetError::Malformed("no JSON object with a list of keys".to_string())),
     }
 }
 
--- a/crates/signed-urls/src/playback.rs
+++ b/crates/signed-urls/src/playback.rs
@@ -30,10 +30,10 @@
     pub max_renewals: u32,
 }
 
-impl Default for PlaybackLimits {
-    fn default() -> Self {
-        Self { renewal_seconds: 60, max_seconds: 7200, grace_seconds: 900, max_renewals: 10_000 }
-    }
+impl PlaybackLimits {
+    /// The limits of a router.
+    pub const DEFAULT: Self =
+        Self { renewal_seconds: 60, max_seconds: 7200, grace_seconds: 900, max_renewals: 10_000 };
 }
 
 #[derive(Deserialize, Serialize)]
--- a/crates/signed-urls/tests/golden.rs
+++ b/crates/signed-urls/tests/golden.rs
@@ -118,8 +118,8 @@
     let (keys, target) = (keys(), target());
     let (name, link) = link_tokens().swap_remove(0);
     let claims = verify(name, &link, at(NOW)).unwrap();
-    let first = Playback::start(&claims, &request(&target), at(NOW), &PlaybackLimits::default()).unwrap();
-    let next = first.renew(at(NOW + 10), &PlaybackLimits::default()).unwrap();
+    let first = Playback::start(&claims, &request(&target), at(NOW), &PlaybackLimits::DEFAULT).unwrap();
+    let next = first.renew(at(NOW + 10), &PlaybackLimits::DEFAULT).unwrap();
     vec![
         ("session-first", first.sign(&keys, at(NOW)).unwrap()),
         ("session-next", next.sign(&keys, at(NOW + 10)).unwrap()),
--- a/crates/testbed/src/simulation/audit.rs
+++ b/crates/testbed/src/simulation/audit.rs
@@ -49,7 +49,7 @@
                 _ => self.outcome.proposals_cancelled += 1,
             }
         }
-        let staged = agreed.staged.iter().filter(|staged| staged.effective_at.is_some());
+        let staged = agreed.staged.iter().filter(|staged| staged.is_decided());
         activated.extend(staged.map(|staged| staged.version.generation));
         let oldest_known = oldest_known_generation(agreed);
         for (generation, times) in &self.request_times {
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -225,7 +225,7 @@
     /// Runs `action` under the settings with which that request was received.
     pub(super) fn with_settings_of(&mut self, slot: RequestSlot, action: impl FnOnce(&mut Self)) {
         let newest = Arc::clone(&self.settings);
-        let pinned = self.requests.get(slot).filter(|_| !self.settings.attempts.settings_unpinned);
+        let pinned = self.requests.get(slot).filter(|_| !self.settings.attempts.follows_new_settings);
         self.settings = Arc::clone(pinned.map_or(&newest, |request| &request.settings));
         action(self);
         self.settings = newest;
--- a/src/engine/routing.rs
+++ b/src/engine/routing.rs
@@ -196,9 +196,12 @@
     /// Where sources' and origin's fills are not reported apart, whether half of all being quick shows that
     /// only those by the origin are late.
     fn shows_only_origin_late(&self) -> bool {
+        if self.settings.topology.fill_details_reported {
+            return false;
+        }
         let fills = self.load.fills(FillPath::Source);
         let median = fills.quantile(0.5, |load| load.took.as_secs() / load.objective);
-        !self.settings.topology.fill_details_reported && median.is_some_and(|median| median < CALM_LATENESS)
+        median.is_some_and(|median| median < CALM_LATENESS)
     }
 }
 
--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -7,7 +7,7 @@
 use crate::time::{Moment, Span};
 
 use super::RoutingEngine;
-use super::requests::RequestId;
+use super::requests::{Request, RequestId};
 
 /// What a timer is for. At the same moment the endpoint list comes first, then requests by age.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,8 +55,7 @@
             match timer.target {
                 TimerTarget::EndpointList => self.host.watch_endpoints(),
                 TimerTarget::Request { id, slot } => {
-                    let is_pending =
-                        |request: &super::requests::Request| request.id == id && !request.finished;
+                    let is_pending = |request: &Request| request.id == id && !request.finished;
                     if self.requests.get(slot).is_some_and(is_pending) {
                         self.with_settings_of(slot, |engine| engine.request_timer_due(slot));
                     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -74,6 +74,13 @@
     pub cell: u16,
 }
 
+/// The stable id of a name, the same at every router: its FNV-1a hash.
+pub fn stable_id(name: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+}
+
 /// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -84,9 +84,9 @@
     pub hedging: bool,
     /// How long an attempt may still be sent to an endpoint that is draining.
     pub drain_grace: Span,
-    /// Whether a request keeps the settings under which it was received once they change. Only an experiment
-    /// switches this off.
-    pub settings_unpinned: bool,
+    /// Whether requests in flight follow settings that change; else they keep those under which they were
+    /// received. Only an experiment sets this.
+    pub follows_new_settings: bool,
 }
 
 impl AttemptSettings {
--- a/src/time.rs
+++ b/src/time.rs
@@ -18,6 +18,11 @@
         Self(micros)
     }
 
+    /// The microseconds since the clock's origin.
+    pub const fn as_micros(self) -> u64 {
+        self.0
+    }
+
     /// The time since `earlier`; zero if it lies ahead.
     pub const fn since(self, earlier: Self) -> Span {
         Span(self.0.saturating_sub(earlier.0))
