--- a/crates/testbed/src/budgets.rs
+++ b/crates/testbed/src/budgets.rs
@@ -62,7 +62,7 @@
 /// Runs the experiment: its figures.
 pub fn run(plan: &Plan) -> Result<Figures> {
     let mut fleet = Fleet::start(4);
-    fleet.keep_shared();
+    fleet.record_shared_use();
     // Fills may be many at once by the routing engine's own reckoning: the budget is what is looked at.
     let change = |told: &mut Value| {
         told["settings"]["request_classes"][0]["objective"] = json!(2_000_000);
@@ -368,7 +368,7 @@
     stuck: u64,
     ready: Duration,
 ) -> Figures {
-    let shared = cluster.fleet.lock().unwrap().shared();
+    let shared = cluster.fleet.lock().unwrap().shared_use();
     let mut figures = counts.figures;
     cluster.fleet.lock().unwrap().audit(&mut figures);
     // A lowered whole counts from when it was known to hold, a raised one from when it was asked for.
@@ -383,10 +383,10 @@
     };
     let burst = |burst: f64| burst.max(2.0 * (cluster.nodes.len() + 4) as f64);
     let from = |times: &[Instant]| times.iter().copied().filter(|at| *at >= begun).collect::<Vec<_>>();
-    let began: Vec<Instant> = shared.fills.iter().map(|fill| fill.0).collect();
+    let began: Vec<Instant> = shared.fills.iter().map(|fill| fill.began).collect();
     let (fills_over, most) = windows(&from(&began), burst(cluster.plan.fills[1]), slack, whole);
     let (further_over, most_further) =
-        windows(&from(&shared.further), burst(FURTHER[1]), slack, |_| FURTHER[0]);
+        windows(&from(&shared.retries), burst(FURTHER[1]), slack, |_| FURTHER[0]);
     let (requests_over, most_requests) =
         windows(&from(&shared.requests), burst(ACCOUNT[1]), slack, |_| ACCOUNT[0]);
     let connections = shared
@@ -397,7 +397,7 @@
         connections.fold((0, 0f64), |(over, most), (more, of)| (over + more, most.max(of)));
     // In hand: what began and has not ended yet.
     let mut edges: Vec<(Instant, i64)> =
-        shared.fills.iter().flat_map(|(from, to, _)| [(*from, 1), (*to, -1)]).collect();
+        shared.fills.iter().flat_map(|fill| [(fill.began, 1), (fill.ended, -1)]).collect();
     edges.sort_unstable();
     let (mut in_hand, mut most_in_hand) = (0i64, 0i64);
     for (_, edge) in edges {
@@ -454,7 +454,7 @@
         ("regrant_ms_p99", json!(part(0.99))),
         ("lowered", json!(told.len() - 1)),
         ("filled", json!(began.len())),
-        ("further", json!(shared.further.len())),
+        ("further", json!(shared.retries.len())),
         ("stuck", json!(stuck)),
         ("lost_with_router", json!(counts.lost_with_router)),
         ("ready_ms", json!(ready.as_millis() as u64)),
--- a/crates/testbed/src/choices.rs
+++ b/crates/testbed/src/choices.rs
@@ -48,8 +48,9 @@
 fn start_router(fleet: &Fleet) -> Router {
     let fronts = Some(json!({"external_processing": {"listen": "127.0.0.1:0"}}));
     let options = StartOptions { fronts, log_level: Some("info"), ..StartOptions::default() };
-    let router = Router::start_with(&configuration(fleet.log.address, fleet.members()), &options);
-    fleet.log.wait_for_subscriptions(1);
+    let router =
+        Router::start_with(&configuration(fleet.change_stream.address, fleet.endpoint_list()), &options);
+    fleet.change_stream.wait_for_subscriptions(1);
     router
 }
 
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -221,10 +221,10 @@
     fn node_configuration(&self, index: usize) -> Value {
         let node = &self.nodes[index];
         let fleet = self.fleet.lock().unwrap();
-        let mut configuration = configuration(fleet.log.address, fleet.members());
+        let mut configuration = configuration(fleet.change_stream.address, fleet.endpoint_list());
         configuration["name"] = json!(node.name);
         configuration["listen"] = json!(node.address.to_string());
-        configuration["known"] = fleet.known();
+        configuration["known"] = fleet.known_events();
         configuration["settings"]["zones"] = json!(["central", "north"]);
         configuration["settings"]["zone"] = json!(index % 2);
         // The purge of the start is never forgotten, so that each attempt states the age that it accepts.
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -15,8 +15,9 @@
 pub fn run(seed: u64, requests: u64, seconds: u64) -> Result<Figures> {
     let mut fleet = Fleet::start(4);
     let start = StartOptions { log_level: Some("info"), ..StartOptions::default() };
-    let router = Router::start_with(&configuration(fleet.log.address, fleet.members()), &start);
-    fleet.log.wait_for_subscriptions(1);
+    let router =
+        Router::start_with(&configuration(fleet.change_stream.address, fleet.endpoint_list()), &start);
+    fleet.change_stream.wait_for_subscriptions(1);
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut client = Client::connect(&router);
     let (mut figures, begun, before) =
--- a/crates/testbed/src/external_processing/mod.rs
+++ b/crates/testbed/src/external_processing/mod.rs
@@ -154,7 +154,7 @@
             ..StartOptions::default()
         };
         let router = Some(Router::start_with(&router_configuration(&fleet), &options));
-        fleet.log.wait_for_subscriptions(1);
+        fleet.change_stream.wait_for_subscriptions(1);
         let proxies =
             runtime.block_on(async { [Proxy::start(front, call).await, Proxy::start(front, call).await] });
         let active = (0..ENDPOINTS).collect();
@@ -180,9 +180,9 @@
                 self.active[target] = self.fleet.replace(self.active[target]);
             }
             if plan.has("die") && round % 4 == 2 {
-                self.fleet.die(self.active[target], true);
+                self.fleet.set_dead(self.active[target], true);
                 pause_ms(300);
-                self.fleet.die(self.active[target], false);
+                self.fleet.set_dead(self.active[target], false);
             }
             if plan.has("connection") && round % 3 == 1 {
                 let _entered = self.runtime.enter();
@@ -199,9 +199,10 @@
             old.terminate();
             old.wait();
         }
-        let subscriptions = self.fleet.log.subscriptions.change(|subscriptions| subscriptions.len());
+        let subscriptions =
+            self.fleet.change_stream.subscriptions.change(|subscriptions| subscriptions.len());
         self.router = Some(Router::start_with(&router_configuration(&self.fleet), &self.options));
-        self.fleet.log.wait_for_subscriptions(subscriptions + 1);
+        self.fleet.change_stream.wait_for_subscriptions(subscriptions + 1);
         self.restarts += 1;
     }
 
@@ -249,8 +250,8 @@
 }
 
 fn router_configuration(fleet: &Fleet) -> Value {
-    let mut configuration = configuration(fleet.log.address, fleet.members());
-    configuration["known"] = fleet.known();
+    let mut configuration = configuration(fleet.change_stream.address, fleet.endpoint_list());
+    configuration["known"] = fleet.known_events();
     configuration
 }
 
--- a/crates/testbed/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -65,7 +65,7 @@
 /// Runs the experiment: its figures.
 pub fn run(plan: &Plan) -> Result<Figures> {
     let mut fleet = Fleet::start(4);
-    fleet.keep_ages();
+    fleet.record_accepted_ages();
     let guards = ["lease", "staged", "compare", "incarnation", "pinned", "synced"];
     let (cluster, ready) = Cluster::start(plan, FAULTS, &guards, fleet, |_| ())?;
     let counts = Arc::new(Mutex::new(Counts::default()));
@@ -184,7 +184,7 @@
                 continue;
             };
             if bad {
-                cluster.fleet.lock().unwrap().fail(failing, "1");
+                cluster.fleet.lock().unwrap().fail_attempts(failing, "1");
             }
             changes.push(Change { mark, token, at, ended: None });
         }
@@ -243,7 +243,7 @@
 
 /// Reckons from what clients and caches saw.
 fn audit(cluster: &Cluster, mut counts: Counts, changes: &[Change], stuck: u64, ready: Duration) -> Figures {
-    let ages = cluster.fleet.lock().unwrap().take_ages();
+    let ages = cluster.fleet.lock().unwrap().take_accepted_ages();
     let mut figures = std::mem::take(&mut counts.figures);
     cluster.fleet.lock().unwrap().audit(&mut figures);
     let mark_of_age: HashMap<u64, u64> = (0..=MARKS).map(|mark| (fresh_ms(mark), mark)).collect();
--- a/crates/testbed/src/signed/mod.rs
+++ b/crates/testbed/src/signed/mod.rs
@@ -100,7 +100,7 @@
             ..StartOptions::default()
         };
         let router = Router::start_with(&router_configuration(&fleet), &options);
-        fleet.log.wait_for_subscriptions(1);
+        fleet.change_stream.wait_for_subscriptions(1);
         let proxy = runtime.block_on(Proxy::start(front, call));
         Ok(Self { proxy, router, fleet, folder, key_set })
     }
@@ -131,7 +131,7 @@
 
 /// The configuration, with a request class that needs no signed URL.
 fn router_configuration(fleet: &Fleet) -> Value {
-    let mut configuration = configuration(fleet.log.address, fleet.members());
+    let mut configuration = configuration(fleet.change_stream.address, fleet.endpoint_list());
     let settings = &mut configuration["settings"];
     let mut free = settings["request_classes"][0].clone();
     free["name"] = json!("free");
