--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -12,44 +12,81 @@
 use crate::fleet::Fleet;
 use crate::stand_in::{Client, FRESH, Reply, Router, StartOptions, call, configuration};
 
+const ENDPOINTS: usize = 4;
+const ATTEMPT_LIMIT: u64 = 8;
+
+/// The object that is purged halfway.
+const PURGED_OBJECT: &str = "0000000000001001";
+
+/// Sends requests one after another, so many and for so long at most. Halfway an endpoint drains and an
+/// object is purged.
 pub fn run(seed: u64, requests: u64, seconds: u64) -> Result<Figures> {
-    let mut fleet = Fleet::start(4);
-    let start = StartOptions { log_level: Some("info"), ..StartOptions::default() };
-    let router =
-        Router::start_with(&configuration(fleet.change_stream.address, fleet.endpoint_list()), &start);
-    fleet.change_stream.wait_for_subscriptions(1);
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut fleet = Fleet::start(ENDPOINTS);
+    let router = start_router(&fleet);
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut client = Client::connect(&router);
-    let (mut figures, begun, before) =
-        (Figures::default(), Instant::now(), process_usage(router.pid())?.cpu_seconds);
-    for nth in 0..requests {
-        if begun.elapsed().as_secs() >= seconds {
+    let mut figures = Figures::default();
+    let started_at = Instant::now();
+    let cpu_before = process_usage(router.pid())?.cpu_seconds;
+    for index in 0..requests {
+        if started_at.elapsed().as_secs() >= seconds {
             break;
         }
-        if nth == requests / 2 {
+        if index == requests / 2 {
             fleet.drain(0);
-            fleet.purge("0000000000001001");
+            fleet.purge(PURGED_OBJECT);
         }
-        let object = format!("{:016x}", 0x1000 + (60.0 * chance.random::<f64>().powi(2)) as u64);
-        let fields = [("route", "pages"), ("trace", FRESH), ("patience", "3000"), ("entity", &object)];
-        let fields = [&fields[..], &[("chunk", "0"), ("tag", "17")]].concat();
-        client.send(&call(nth as i32 + 1, &fields, b""));
+        let sequence = index as i32 + 1;
+        client.send(&page_request(sequence, &random_object(&mut random)));
         figures.requests += 1;
-        match client.reply_or_end() {
-            Some((seq, Reply::Served { .. })) if seq == nth as i32 + 1 => figures.done += 1,
-            Some((seq, Reply::Rejected(_))) if seq == nth as i32 + 1 => figures.rejected += 1,
-            Some((seq, _)) if seq == nth as i32 + 1 => figures.failed += 1,
-            Some(_) => figures.answered_twice += 1,
-            None => {
-                figures.answered_none += 1;
-                break;
-            }
+        let reply = client.reply_or_end();
+        count_reply(&mut figures, sequence, reply.as_ref());
+        if reply.is_none() {
+            break;
         }
     }
-    figures.more.insert("seconds".into(), json!(begun.elapsed().as_secs_f64()));
-    let spent = 1e6 * (process_usage(router.pid())?.cpu_seconds - before) / figures.requests.max(1) as f64;
-    figures.more.insert("router_cpu_us_each".into(), json!(spent));
+    figures.more.insert("seconds".into(), json!(started_at.elapsed().as_secs_f64()));
+    let cpu_seconds = process_usage(router.pid())?.cpu_seconds - cpu_before;
+    let cpu_us_per_request = 1e6 * cpu_seconds / figures.requests.max(1) as f64;
+    figures.more.insert("router_cpu_us_each".into(), json!(cpu_us_per_request));
     fleet.audit(&mut figures);
-    figures.judge(8, 0);
+    figures.judge(ATTEMPT_LIMIT, 0);
     Ok(figures)
 }
+
+fn start_router(fleet: &Fleet) -> Router {
+    let options = StartOptions { log_level: Some("info"), ..StartOptions::default() };
+    let configuration = configuration(fleet.change_stream.address, fleet.endpoint_list());
+    let router = Router::start_with(&configuration, &options);
+    fleet.change_stream.wait_for_subscriptions(1);
+    router
+}
+
+/// An object of 60, some far more often than others.
+fn random_object(random: &mut Pcg64Mcg) -> String {
+    let rank = (60.0 * random.random::<f64>().powi(2)) as u64;
+    format!("{:016x}", 0x1000 + rank)
+}
+
+fn page_request(sequence: i32, object: &str) -> Vec<u8> {
+    let fields = [
+        ("route", "pages"),
+        ("trace", FRESH),
+        ("patience", "3000"),
+        ("entity", object),
+        ("chunk", "0"),
+        ("tag", "17"),
+    ];
+    call(sequence, &fields, b"")
+}
+
+/// Counts the reply to the request with this sequence number; none where the connection ended.
+fn count_reply(figures: &mut Figures, sequence: i32, reply: Option<&(i32, Reply)>) {
+    match reply {
+        Some((of, _)) if *of != sequence => figures.answered_twice += 1,
+        Some((_, Reply::Served { .. })) => figures.done += 1,
+        Some((_, Reply::Rejected(_))) => figures.rejected += 1,
+        Some(_) => figures.failed += 1,
+        None => figures.answered_none += 1,
+    }
+}
