--- a/crates/testbed/src/cluster/faults.rs
+++ b/crates/testbed/src/cluster/faults.rs
@@ -1,5 +1,5 @@
-//! Injects faults into a cluster: lossy and severed links, killed, stopped and restarted processes, torn storage, wrong
-//! clocks, draining endpoints, purges.
+//! Injects faults into a cluster: a lossy or partitioned network, killed, stopped and restarted processes,
+//! torn storage, wrong clocks, draining endpoints, purges.
 
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use super::{Cluster, Node};
-use crate::relay::LinkFaults;
+use crate::relay::NetworkFaults;
 
 /// Faults that are injected one at a time, at random moments.
 const RANDOM_FAULTS: [&str; 16] = [
@@ -38,9 +38,9 @@
     recovery: Recovery,
 }
 
-/// The draws of one moment: which router, and until when it is disturbed.
+/// What is chosen at random for each fault: the router that it is for, and until when it lasts.
 #[derive(Clone, Copy)]
-struct Draw {
+struct Target {
     now: Instant,
     node: usize,
     until: Instant,
@@ -51,11 +51,11 @@
     cluster: &'a Cluster,
     random: Pcg64Mcg,
     pending: Vec<Pending>,
-    /// Until when links stay severed.
-    links_repaired: Instant,
-    links_severed: bool,
+    /// Until when routers stay cut off from others.
+    partitioned_until: Instant,
+    is_partitioned: bool,
     /// When the next fault is injected.
-    next: Instant,
+    next_fault: Instant,
     drained: usize,
     clock_changed: bool,
 }
@@ -67,9 +67,9 @@
             cluster,
             random: Pcg64Mcg::seed_from_u64(cluster.plan.seed ^ 0xfa17),
             pending: Vec::new(),
-            links_repaired: Instant::now(),
-            links_severed: false,
-            next: Instant::now() + Duration::from_millis(500),
+            partitioned_until: Instant::now(),
+            is_partitioned: false,
+            next_fault: Instant::now() + Duration::from_millis(500),
             drained: 0,
             clock_changed: false,
         }
@@ -84,42 +84,42 @@
             thread::sleep(POLL_INTERVAL);
             let now = Instant::now();
             self.recover_due(now);
-            self.repair_links(now);
-            if now < self.next || faults.is_empty() {
+            self.repair_network(now);
+            if now < self.next_fault || faults.is_empty() {
                 continue;
             }
-            self.next = now + self.random_millis(500..3000);
+            self.next_fault = now + self.random_millis(500..3000);
             let node = self.random.random_range(0..self.cluster.nodes.len());
             let until = now + self.random_millis(200..4000);
             let fault = faults[self.random.random_range(0..faults.len())];
             self.cluster.injected.lock().unwrap().push((now, fault));
-            self.inject(fault, Draw { now, node, until });
+            self.inject(fault, Target { now, node, until });
         }
         for Pending { node, recovery, .. } in std::mem::take(&mut self.pending) {
             self.recover(node, recovery);
         }
-        self.cluster.relay.change_faults(|faults| *faults = LinkFaults::default());
+        self.cluster.relay.change_faults(|faults| *faults = NetworkFaults::default());
     }
 
-    fn inject(&mut self, fault: &str, draw: Draw) {
+    fn inject(&mut self, fault: &str, target: Target) {
         match fault {
-            "oneway" => self.sever_one_way(draw),
-            "split" => self.split_network(draw),
-            "voters" => self.sever_voters(draw),
-            "island" => self.isolate_one(draw),
-            "deaf" => self.sever_leader_from_high_demand(draw),
-            "heir" => self.kill_leader_unheard(draw),
-            "doze" if self.cluster.all_running() => self.pause_non_voters(draw),
-            "kill" | "restart" if self.cluster.is_running(draw.node) => self.kill_one(draw),
+            "oneway" => self.cut_off_one_way(target),
+            "split" => self.partition_network(target),
+            "voters" => self.separate_voters(target),
+            "island" => self.isolate_one(target),
+            "deaf" => self.cut_high_demand_off_from_leader(target),
+            "heir" => self.kill_leader_unheard(target),
+            "doze" if self.cluster.all_running() => self.pause_non_voters(target),
+            "kill" | "restart" if self.cluster.is_running(target.node) => self.kill_one(target),
             "torn" if self.cluster.all_running() && can_lose_a_replica(self.cluster) => {
-                self.tear_storage(draw)
+                self.tear_storage(target)
             }
-            "killmost" => self.kill_most(draw),
-            "pause" if self.cluster.is_running(draw.node) => self.pause_one(draw),
-            "leader" => self.kill_leader(draw),
+            "killmost" => self.kill_most(target),
+            "pause" if self.cluster.is_running(target.node) => self.pause_one(target),
+            "leader" => self.kill_leader(target),
             "drain" if self.drained < MAX_DRAINED => self.drain_endpoint(),
             "purge" => self.purge_object(),
-            "clock" if !self.clock_changed && self.cluster.all_running() => self.change_clock(draw),
+            "clock" if !self.clock_changed && self.cluster.all_running() => self.change_clock(target),
             _ => {}
         }
     }
@@ -163,20 +163,20 @@
         self.pending.push(Pending { due, node, recovery });
     }
 
-    /// Repairs links that this injector severed; those that an experiment severed are its own.
-    fn repair_links(&mut self, now: Instant) {
-        if self.links_severed && self.links_repaired <= now {
+    /// Ends a partition of this injector; one that an experiment made is its own to end.
+    fn repair_network(&mut self, now: Instant) {
+        if self.is_partitioned && self.partitioned_until <= now {
             self.cluster.relay.change_faults(|faults| faults.severed.clear());
         }
-        self.links_severed = self.links_repaired > now;
+        self.is_partitioned = self.partitioned_until > now;
     }
 
-    fn keep_links_severed(&mut self, until: Instant) {
-        self.links_repaired = self.links_repaired.max(until);
+    fn keep_partition(&mut self, until: Instant) {
+        self.partitioned_until = self.partitioned_until.max(until);
     }
 
-    /// Severs every link between two nodes for which `separated` holds.
-    fn sever_where(&self, separated: impl Fn(usize, usize) -> bool) {
+    /// Separates every two nodes for which `separated` holds.
+    fn separate_where(&self, separated: impl Fn(usize, usize) -> bool) {
         let nodes = &self.cluster.nodes;
         let count = nodes.len();
         self.cluster.relay.change_faults(|faults| {
@@ -188,70 +188,71 @@
         });
     }
 
-    fn sever_one_way(&mut self, draw: Draw) {
+    fn cut_off_one_way(&mut self, target: Target) {
         let other = self.random.random_range(0..self.cluster.nodes.len());
         let nodes = &self.cluster.nodes;
-        let link = (nodes[draw.node].name.clone(), nodes[other].name.clone());
-        self.cluster.relay.change_faults(|faults| faults.severed.extend([link]));
-        self.keep_links_severed(draw.until);
+        let route = (nodes[target.node].name.clone(), nodes[other].name.clone());
+        self.cluster.relay.change_faults(|faults| faults.severed.extend([route]));
+        self.keep_partition(target.until);
     }
 
-    fn split_network(&mut self, draw: Draw) {
+    fn partition_network(&mut self, target: Target) {
         let parts = self.random.random_range(2..4u32);
         let count = self.cluster.nodes.len();
         let sides: Vec<u32> = (0..count).map(|_| self.random.random_range(0..parts)).collect();
-        self.sever_where(|a, b| sides[a] != sides[b]);
-        self.keep_links_severed(draw.until);
+        self.separate_where(|a, b| sides[a] != sides[b]);
+        self.keep_partition(target.until);
     }
 
-    /// Severs the voters from all others, of which there is a majority that goes on without them.
-    fn sever_voters(&mut self, draw: Draw) {
+    /// Separates the voters from all others, which are a majority and go on without them.
+    fn separate_voters(&mut self, target: Target) {
         let voters = self.cluster.voters();
         let votes = |index: usize| voters.contains(&self.cluster.nodes[index].name);
-        self.sever_where(|a, b| votes(a) != votes(b));
-        self.keep_links_severed(draw.now + 3 * self.lease());
-        self.next = self.links_repaired + Duration::from_millis(500);
+        self.separate_where(|a, b| votes(a) != votes(b));
+        self.keep_partition(target.now + 3 * self.lease());
+        self.next_fault = self.partitioned_until + Duration::from_millis(500);
     }
 
     /// Isolates one router for longer than a policy change takes.
-    fn isolate_one(&mut self, draw: Draw) {
-        isolate(self.cluster, draw.node);
-        self.keep_links_severed(draw.now + 3 * self.lease());
-        self.next = self.links_repaired + Duration::from_millis(500);
+    fn isolate_one(&mut self, target: Target) {
+        isolate(self.cluster, target.node);
+        self.keep_partition(target.now + 3 * self.lease());
+        self.next_fault = self.partitioned_until + Duration::from_millis(500);
     }
 
-    /// Messages of the leader do not reach the routers whose clients want much now and will soon want little: they go on
-    /// with what they were granted, and the leader hears that they want less.
-    fn sever_leader_from_high_demand(&mut self, draw: Draw) {
+    /// Messages of the leader do not reach the routers whose clients want much now and will soon want little:
+    /// they go on with what they were granted, and the leader hears that they want less.
+    fn cut_high_demand_off_from_leader(&mut self, target: Target) {
         let late_in_period = self.cluster.rest_of_demand_period() < Duration::from_millis(500);
         if self.cluster.has_fault("shift") && !late_in_period {
-            self.next = draw.now;
+            self.next_fault = target.now;
             return;
         }
         let cluster = self.cluster;
         let count = cluster.nodes.len();
         let Some(leader) = (0..count).find(|index| cluster.is_leader(*index)) else { return };
-        // No more voters than the leader can do without.
+        // At most as many voters as the leader can do without.
         let mut spare_voters = (cluster.voters().len().max(1) - 1) / 2;
-        let mut severed: Vec<usize> =
+        let mut cut_off: Vec<usize> =
             (0..count).filter(|index| *index != leader && cluster.has_high_demand(*index)).collect();
-        severed.retain(|index| {
+        cut_off.retain(|index| {
             let votes = cluster.voters().contains(&cluster.nodes[*index].name);
             let allowed = !votes || spare_voters > 0;
             spare_voters -= usize::from(votes && allowed);
             allowed
         });
         cluster.relay.change_faults(|faults| {
-            let link = |index: usize| (cluster.nodes[leader].name.clone(), cluster.nodes[index].name.clone());
-            faults.severed.extend(severed.into_iter().map(link));
+            let route =
+                |index: usize| (cluster.nodes[leader].name.clone(), cluster.nodes[index].name.clone());
+            faults.severed.extend(cut_off.into_iter().map(route));
         });
         // Shorter than a lease, or another router would become leader.
-        self.keep_links_severed(draw.now + self.lease() * 4 / 5);
-        self.next = self.links_repaired + Duration::from_millis(100);
+        self.keep_partition(target.now + self.lease() * 4 / 5);
+        self.next_fault = self.partitioned_until + Duration::from_millis(100);
     }
 
     /// Kills the leader, and isolates a router with high demand, so that it does not hear of the next leader.
-    fn kill_leader_unheard(&mut self, draw: Draw) {
+    fn kill_leader_unheard(&mut self, target: Target) {
         let cluster = self.cluster;
         let count = cluster.nodes.len();
         let Some(leader) = (0..count).find(|index| cluster.is_leader(*index)) else { return };
@@ -262,49 +263,49 @@
                 && !voters.contains(&cluster.nodes[*index].name)
         };
         let Some(other) = (0..count).find(is_candidate) else {
-            self.next = draw.now + Duration::from_millis(50);
+            self.next_fault = target.now + Duration::from_millis(50);
             return;
         };
         if cluster.kill(leader) {
-            self.recover_at(draw.until, leader, Recovery::Start);
+            self.recover_at(target.until, leader, Recovery::Start);
             isolate(cluster, other);
-            self.keep_links_severed(draw.now + self.lease());
-            self.next = self.links_repaired + Duration::from_millis(500);
+            self.keep_partition(target.now + self.lease());
+            self.next_fault = self.partitioned_until + Duration::from_millis(500);
         }
     }
 
     /// Stops all routers that don't vote until their grants have expired.
-    fn pause_non_voters(&mut self, draw: Draw) {
+    fn pause_non_voters(&mut self, target: Target) {
         let voters = self.cluster.voters();
-        let until = draw.now + self.lease() + Duration::from_millis(4500);
+        let until = target.now + self.lease() + Duration::from_millis(4500);
         let count = self.cluster.nodes.len();
         for index in (0..count).filter(|index| !voters.contains(&self.cluster.nodes[*index].name)) {
             self.cluster.pause(index, true);
             self.recover_at(until, index, Recovery::Resume);
         }
-        self.next = until + Duration::from_millis(1500);
+        self.next_fault = until + Duration::from_millis(1500);
     }
 
-    fn kill_one(&mut self, draw: Draw) {
-        if self.cluster.kill(draw.node) {
-            self.recover_at(draw.until, draw.node, Recovery::Start);
+    fn kill_one(&mut self, target: Target) {
+        if self.cluster.kill(target.node) {
+            self.recover_at(target.until, target.node, Recovery::Start);
         }
     }
 
     /// Kills one router and truncates its replica's storage at a random byte.
-    fn tear_storage(&mut self, draw: Draw) {
-        if !self.cluster.kill(draw.node) {
+    fn tear_storage(&mut self, target: Target) {
+        if !self.cluster.kill(target.node) {
             return;
         }
-        let file = self.cluster.nodes[draw.node].storage.join("seat.redb");
+        let file = self.cluster.nodes[target.node].storage.join("seat.redb");
         if let Ok(bytes) = std::fs::read(&file) {
             let length = self.random.random_range(0..bytes.len().max(1));
             let _ = std::fs::write(&file, &bytes[..length]);
         }
-        self.recover_at(draw.until, draw.node, Recovery::Start);
+        self.recover_at(target.until, target.node, Recovery::Start);
     }
 
-    fn kill_most(&mut self, draw: Draw) {
+    fn kill_most(&mut self, target: Target) {
         if !self.random.random_bool(0.3) {
             return;
         }
@@ -312,20 +313,20 @@
             let chosen = self.random.random_bool(0.7);
             if chosen && self.cluster.is_running(index) && self.cluster.kill(index) {
                 let later = self.random_millis(0..1500);
-                self.recover_at(draw.until + later, index, Recovery::Start);
+                self.recover_at(target.until + later, index, Recovery::Start);
             }
         }
     }
 
-    fn pause_one(&mut self, draw: Draw) {
-        self.cluster.pause(draw.node, true);
-        self.recover_at(draw.until + self.lease(), draw.node, Recovery::Resume);
+    fn pause_one(&mut self, target: Target) {
+        self.cluster.pause(target.node, true);
+        self.recover_at(target.until + self.lease(), target.node, Recovery::Resume);
     }
 
-    fn kill_leader(&mut self, draw: Draw) {
+    fn kill_leader(&mut self, target: Target) {
         let leader = (0..self.cluster.nodes.len()).find(|index| self.cluster.is_leader(*index));
         if let Some(leader) = leader.filter(|index| self.cluster.kill(*index)) {
-            self.recover_at(draw.until, leader, Recovery::Start);
+            self.recover_at(target.until, leader, Recovery::Start);
         }
     }
 
@@ -340,19 +341,19 @@
     }
 
     /// Restarts one router, once in a run, with a clock that runs at a wrong rate and jumps.
-    fn change_clock(&mut self, draw: Draw) {
-        if !self.cluster.kill(draw.node) {
+    fn change_clock(&mut self, target: Target) {
+        if !self.cluster.kill(target.node) {
             return;
         }
         self.clock_changed = true;
         let jump = self.random.random_range(-1500..1500);
         let rate = if self.random.random_bool(0.5) { 1.0 } else { self.random.random_range(0.9..1.1) };
         let clock = format!("{rate}:{}:{jump}", self.random.random_range(500..5000));
-        self.cluster.start_node(draw.node, Some(clock));
+        self.cluster.start_node(target.node, Some(clock));
     }
 }
 
-/// Severs one router from all others, both ways.
+/// Separates one router from all others, both ways.
 pub fn isolate(cluster: &Cluster, index: usize) {
     let own = &cluster.nodes[index].name;
     cluster.relay.change_faults(|faults| {
@@ -368,8 +369,8 @@
     let is_well = |status: Value| {
         let voters = status["voters"].as_array().cloned().unwrap_or_default();
         // A replica without a router shows as a number, and is being replaced.
-        let is_held = |voter: &Value| voter.as_str().is_some_and(|name| name.starts_with('n'));
-        status["out"].is_null() && voters.len() >= 3 && voters.iter().all(is_held)
+        let has_router = |voter: &Value| voter.as_str().is_some_and(|name| name.starts_with('n'));
+        status["out"].is_null() && voters.len() >= 3 && voters.iter().all(has_router)
     };
     (0..cluster.nodes.len()).all(|index| cluster.control(index, &json!("status")).is_some_and(is_well))
 }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,5 +1,6 @@
-//! The relay that carries all messages between routers under test: it loses, delays, duplicates and reorders them, and
-//! severs links. It reads only a message's length and its sender; messages can be recorded for an audit.
+//! The relay that carries all messages between routers under test: it loses, delays, duplicates and reorders
+//! them, and cuts routers off from others. It reads only a message's length and its sender; messages can be
+//! recorded for an audit.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -12,9 +13,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The faults of the links between routers.
+/// The faults of the network between routers.
 #[derive(Clone, Debug, Default)]
-pub struct LinkFaults {
+pub struct NetworkFaults {
     /// The share of messages that are lost.
     pub loss: f64,
     /// The share of messages that are delayed.
@@ -23,27 +24,29 @@
     pub duplicated: f64,
     /// The longest delay.
     pub max_delay: Duration,
-    /// Links that carry nothing, by the names of sender and receiver.
+    /// Routes that carry nothing, by the names of sender and receiver.
     pub severed: BTreeSet<(String, String)>,
 }
 
 struct State {
-    faults: LinkFaults,
+    faults: NetworkFaults,
     random: Pcg64Mcg,
+    /// Number of messages that arrived.
     messages: u64,
+    /// Their size, lengths included.
     bytes: u64,
     /// None where messages are not recorded.
     recorded: Option<Vec<RecordedMessage>>,
 }
 
 impl State {
-    fn record(&mut self, forwarded: bool, link: &Link, frame: &[u8]) {
+    fn record(&mut self, forwarded: bool, route: &Route, frame: &[u8]) {
         let Some(recorded) = &mut self.recorded else { return };
         recorded.push(RecordedMessage {
             at: Instant::now(),
             forwarded,
-            from: link.from.clone(),
-            to: link.to.clone(),
+            from: route.from.clone(),
+            to: route.to.clone(),
             message: frame[FRAME_HEADER_BYTES..].to_vec(),
         });
     }
@@ -79,7 +82,7 @@
     /// Starts a relay for routers that listen at these addresses, by their names.
     pub fn start(seed: u64, routers: &BTreeMap<String, SocketAddr>) -> Self {
         let state = Arc::new(Mutex::new(State {
-            faults: LinkFaults::default(),
+            faults: NetworkFaults::default(),
             random: Pcg64Mcg::seed_from_u64(seed),
             messages: 0,
             bytes: 0,
@@ -100,8 +103,8 @@
         Self { state, addresses }
     }
 
-    /// Changes the faults of the links.
-    pub fn change_faults(&self, change: impl FnOnce(&mut LinkFaults)) {
+    /// Changes the faults of the network.
+    pub fn change_faults(&self, change: impl FnOnce(&mut NetworkFaults)) {
         change(&mut self.state.lock().unwrap().faults);
     }
 
@@ -115,7 +118,7 @@
         self.state.lock().unwrap().recorded.clone().unwrap_or_default()
     }
 
-    /// How many messages, and bytes, arrived so far.
+    /// Number and size in bytes of the messages that arrived so far.
     pub fn carried(&self) -> (u64, u64) {
         let state = self.state.lock().unwrap();
         (state.messages, state.bytes)
@@ -123,17 +126,24 @@
 }
 
 /// The names of a connection's sender and receiver.
-struct Link {
+struct Route {
     from: String,
     to: String,
 }
 
 /// A frame that waits until it is due. Frames that are due at the same time keep their order.
-type DueFrame = Reverse<(Instant, u64, Vec<u8>)>;
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct DueFrame {
+    due: Instant,
+    /// Number of the frame on its connection.
+    order: u64,
+    bytes: Vec<u8>,
+}
 
 #[derive(Default)]
 struct DelayQueueState {
-    frames: BinaryHeap<DueFrame>,
+    /// The one that is due first is the greatest.
+    frames: BinaryHeap<Reverse<DueFrame>>,
     count: u64,
     closed: bool,
 }
@@ -146,11 +156,11 @@
 }
 
 impl DelayQueue {
-    fn push(&self, due: Instant, frame: Vec<u8>) {
+    fn push(&self, due: Instant, bytes: Vec<u8>) {
         let mut state = self.state.lock().unwrap();
         state.count += 1;
         let order = state.count;
-        state.frames.push(Reverse((due, order, frame)));
+        state.frames.push(Reverse(DueFrame { due, order, bytes }));
         drop(state);
         self.changed.notify_one();
     }
@@ -165,9 +175,9 @@
         let mut state = self.state.lock().unwrap();
         loop {
             let now = Instant::now();
-            let due = state.frames.peek().map(|Reverse((due, ..))| *due);
+            let due = state.frames.peek().map(|Reverse(frame)| frame.due);
             match due {
-                Some(due) if due <= now => return state.frames.pop().map(|Reverse((_, _, frame))| frame),
+                Some(due) if due <= now => return state.frames.pop().map(|Reverse(frame)| frame.bytes),
                 Some(due) => state = self.changed.wait_timeout(state, due - now).unwrap().0,
                 None if state.closed => return None,
                 None => state = self.changed.wait(state).unwrap(),
@@ -188,21 +198,21 @@
     let mut hello = String::new();
     reader.read_line(&mut hello)?;
     let from = hello.trim().rsplit(' ').next().unwrap_or_default().to_string();
-    let link = Arc::new(Link { from, to });
+    let route = Arc::new(Route { from, to });
     let mut upstream = TcpStream::connect_timeout(&address, Duration::from_millis(500))?;
     upstream.set_nodelay(true)?;
     upstream.set_write_timeout(Some(Duration::from_secs(30)))?;
     upstream.write_all(hello.as_bytes())?;
     let queue = Arc::new(DelayQueue::default());
     let writer = {
-        let (queue, state, link) = (Arc::clone(&queue), Arc::clone(state), Arc::clone(&link));
-        thread::spawn(move || forward(&queue, upstream, &state, &link))
+        let (queue, state, route) = (Arc::clone(&queue), Arc::clone(state), Arc::clone(&route));
+        thread::spawn(move || forward(&queue, upstream, &state, &route))
     };
     while let Ok(frame) = read_frame(&mut reader) {
         if writer.is_finished() {
             break;
         }
-        deliver(&mut state.lock().unwrap(), &queue, &link, frame);
+        deliver(&mut state.lock().unwrap(), &queue, &route, frame);
     }
     queue.close();
     Ok(())
@@ -217,14 +227,14 @@
     Ok(frame)
 }
 
-/// Queues a frame, as often and as late as the link's faults have it.
-fn deliver(state: &mut State, queue: &DelayQueue, link: &Link, frame: Vec<u8>) {
+/// Queues a frame, as often and as late as the network's faults have it.
+fn deliver(state: &mut State, queue: &DelayQueue, route: &Route, frame: Vec<u8>) {
     let now = Instant::now();
     state.messages += 1;
     state.bytes += frame.len() as u64;
-    state.record(false, link, &frame);
+    state.record(false, route, &frame);
     let State { faults, random, .. } = state;
-    let is_severed = faults.severed.contains(&(link.from.clone(), link.to.clone()));
+    let is_severed = faults.severed.contains(&(route.from.clone(), route.to.clone()));
     if is_severed || random.random_bool(faults.loss) {
         return;
     }
@@ -239,10 +249,10 @@
 }
 
 /// Forwards frames as they become due.
-fn forward(queue: &DelayQueue, mut upstream: TcpStream, state: &Mutex<State>, link: &Link) {
+fn forward(queue: &DelayQueue, mut upstream: TcpStream, state: &Mutex<State>, route: &Route) {
     while let Some(frame) = queue.next() {
         // Recorded before it is sent, so that whatever the receiver does with it comes later.
-        state.lock().unwrap().record(true, link, &frame);
+        state.lock().unwrap().record(true, route, &frame);
         if upstream.write_all(&frame).is_err() {
             return;
         }
