--- a/crates/testbed/src/fleet/endpoint.rs
+++ b/crates/testbed/src/fleet/endpoint.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
 use super::attempt::Attempt;
-use super::record::{Copy, Record};
+use super::record::{CachedCopy, Record};
 use super::unix_ms;
 use crate::stand_in::{Behavior, ReceivedRequest, http_response};
 
@@ -84,7 +84,7 @@
     http_response(200, "X-Remark: deep_fill\r\nX-Version: 4be0c1927d55a6f3\r\n", b"saved")
 }
 
-fn copy_headers(copy: Copy, at: Instant) -> String {
+fn copy_headers(copy: CachedCopy, at: Instant) -> String {
     let remark = if copy.is_new { "fill" } else { "warm" };
     let date = unix_ms() - (at - copy.fetched).as_millis() as u64;
     format!("X-Remark: {remark}\r\nX-Version: 4be0c1927d55a6f3\r\nX-Origin-Date: {date}\r\n")
--- a/crates/testbed/src/fleet/record.rs
+++ b/crates/testbed/src/fleet/record.rs
@@ -32,9 +32,9 @@
     pub(super) id_prefix: String,
 }
 
-/// Where the response of a copy comes from.
+/// A copy at an endpoint.
 #[derive(Clone, Copy)]
-pub(super) struct Copy {
+pub(super) struct CachedCopy {
     pub(super) fetched: Instant,
     /// Whether this attempt fetched it.
     pub(super) is_new: bool,
@@ -113,13 +113,13 @@
     }
 
     /// The endpoint's copy if the attempt accepts its age; else a new one, if the endpoint may fetch it.
-    pub(super) fn copy(&mut self, endpoint: usize, attempt: &Attempt, may_fetch: bool) -> Option<Copy> {
+    pub(super) fn copy(&mut self, endpoint: usize, attempt: &Attempt, may_fetch: bool) -> Option<CachedCopy> {
         let greatest_age = attempt.accepted_age().map_or(FRESH_FOR, |age| age.min(FRESH_FOR));
         let key = (endpoint, attempt.path.clone());
         let kept = self.copies.get(&key).filter(|fetched| attempt.at - **fetched <= greatest_age);
         let copy = match kept {
-            Some(fetched) => Copy { fetched: *fetched, is_new: false },
-            None if may_fetch => Copy { fetched: attempt.at, is_new: true },
+            Some(fetched) => CachedCopy { fetched: *fetched, is_new: false },
+            None if may_fetch => CachedCopy { fetched: attempt.at, is_new: true },
             None => return None,
         };
         if copy.is_new {
@@ -130,7 +130,7 @@
     }
 
     /// Counts a response from a copy that a purge had made void.
-    pub(super) fn audit_purge(&mut self, copy: Copy, attempt: &Attempt) {
+    pub(super) fn audit_purge(&mut self, copy: CachedCopy, attempt: &Attempt) {
         let is_void = |purged: &Instant| copy.fetched < *purged && attempt.at > *purged + GRACE;
         if self.purges.get(&attempt.object).is_some_and(is_void) {
             self.served_after_purge += 1;
