--- a/crates/testbed/src/budgets/audit.rs
+++ b/crates/testbed/src/budgets/audit.rs
@@ -14,7 +14,7 @@
 use super::traffic::{DemandedFill, Traffic};
 use crate::cluster::Cluster;
 use crate::figures::Figures;
-use crate::fleet::Shared;
+use crate::fleet::SharedUse;
 
 /// Attempts of one request, at most.
 const ATTEMPT_LIMIT: u64 = 8;
@@ -69,7 +69,7 @@
 
 /// Audits a run.
 pub fn audit(cluster: &Cluster, mut evidence: Evidence) -> Figures {
-    let shared = cluster.fleet.lock().unwrap().shared();
+    let shared = cluster.fleet.lock().unwrap().shared_use();
     let mut figures = std::mem::take(&mut evidence.traffic.figures);
     cluster.fleet.lock().unwrap().audit(&mut figures);
     let findings = Findings::of(cluster, &shared, &evidence);
@@ -82,7 +82,7 @@
 }
 
 impl Findings {
-    fn of(cluster: &Cluster, shared: &Shared, evidence: &Evidence) -> Self {
+    fn of(cluster: &Cluster, shared: &SharedUse, evidence: &Evidence) -> Self {
         let limits = Limits::of(&cluster.plan);
         let Evidence { rates, tolerance_s, started_at, .. } = evidence;
         let tolerance_s = *tolerance_s;
@@ -101,7 +101,7 @@
         let grants = GrantAudit::of(&messages, &limits, rates);
         Self {
             fills: RateAudit::of_changing_rate(&fill_starts, limits.fills.burst, tolerance_s, rate_at),
-            retries: RateAudit::of(&since_start(&shared.further), limits.retries, tolerance_s),
+            retries: RateAudit::of(&since_start(&shared.retries), limits.retries, tolerance_s),
             requests: RateAudit::of(&since_start(&shared.requests), limits.requests, tolerance_s),
             connections,
             peak_fills_in_flight,
@@ -153,7 +153,7 @@
 }
 
 /// Figures of how well the budgets were used, by their keys.
-fn report_use(cluster: &Cluster, shared: &Shared, evidence: &Evidence) -> Vec<(&'static str, Value)> {
+fn report_use(cluster: &Cluster, shared: &SharedUse, evidence: &Evidence) -> Vec<(&'static str, Value)> {
     let fill_starts = fill_starts(shared);
     let starved = starved_periods(&evidence.traffic.demanded_fills, evidence.quiet_period);
     let recoveries = recoveries_ms(cluster, &fill_starts, evidence);
@@ -164,17 +164,17 @@
         ("regrant_ms_p50", json!(percentile(0.5))),
         ("regrant_ms_p99", json!(percentile(0.99))),
         ("filled", json!(fill_starts.len())),
-        ("further", json!(shared.further.len())),
+        ("further", json!(shared.retries.len())),
     ]
 }
 
-fn fill_starts(shared: &Shared) -> Vec<Instant> {
-    shared.fills.iter().map(|(start, ..)| *start).collect()
+fn fill_starts(shared: &SharedUse) -> Vec<Instant> {
+    shared.fills.iter().map(|fill| fill.began).collect()
 }
 
 /// The most fills that had begun and had not ended.
-fn peak_fills_in_flight(shared: &Shared) -> i64 {
-    let edges_of_fills = shared.fills.iter().flat_map(|(start, end, _)| [(*start, 1), (*end, -1)]);
+fn peak_fills_in_flight(shared: &SharedUse) -> i64 {
+    let edges_of_fills = shared.fills.iter().flat_map(|fill| [(fill.began, 1), (fill.ended, -1)]);
     let mut edges: Vec<(Instant, i64)> = edges_of_fills.collect();
     edges.sort_unstable();
     let (mut in_flight, mut peak) = (0, 0);
--- a/crates/testbed/src/budgets/mod.rs
+++ b/crates/testbed/src/budgets/mod.rs
@@ -65,7 +65,7 @@
 /// Runs the experiment.
 pub fn run(plan: &Plan) -> Result<Figures> {
     let mut fleet = Fleet::start(ENDPOINTS);
-    fleet.keep_shared();
+    fleet.record_shared_use();
     let (cluster, time_to_healthy) = Cluster::start(plan, FAULTS, CHECKS, fleet, configure)?;
     put_budgets_in_force(&cluster)?;
     if cluster.has_fault("join") {
--- a/crates/testbed/src/policy/audit.rs
+++ b/crates/testbed/src/policy/audit.rs
@@ -56,7 +56,7 @@
 
 /// Audits a run.
 pub fn audit(cluster: &Cluster, mut evidence: Evidence) -> Figures {
-    let ages = cluster.fleet.lock().unwrap().take_ages();
+    let ages = cluster.fleet.lock().unwrap().take_accepted_ages();
     let mut figures = std::mem::take(&mut evidence.traffic.figures);
     cluster.fleet.lock().unwrap().audit(&mut figures);
     let sightings = Sightings::of(&evidence.traffic.observed, &ages);
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -37,7 +37,7 @@
 /// Runs the experiment.
 pub fn run(plan: &Plan) -> Result<Figures> {
     let mut fleet = Fleet::start(ENDPOINTS);
-    fleet.keep_ages();
+    fleet.record_accepted_ages();
     let (cluster, time_to_healthy) = Cluster::start(plan, FAULTS, CHECKS, fleet, |_| ())?;
     let traffic = Arc::new(Mutex::new(Traffic::default()));
     let clients: Vec<_> = (0..plan.routers * CLIENTS_PER_ROUTER)
--- a/crates/testbed/src/policy/proposals.rs
+++ b/crates/testbed/src/policy/proposals.rs
@@ -134,7 +134,7 @@
         let answer = self.cluster.control(router, &proposal);
         let Some(token) = answer.and_then(|answer| answer["token"].as_u64()) else { return };
         if effect == Effect::FailsRequests {
-            self.cluster.fleet.lock().unwrap().fail(version.fresh_ms(), "1");
+            self.cluster.fleet.lock().unwrap().fail_attempts(version.fresh_ms(), "1");
         }
         self.proposals.push(Proposal { version, proposed_at, token, has_ended: false });
     }
