--- a/crates/policy/src/agreed.rs
+++ b/crates/policy/src/agreed.rs
@@ -1,5 +1,5 @@
-//! What a fleet has agreed on up to some index of its log: a function of the log entries alone, the same at
-//! every router.
+//! The replicated state of a fleet. It is computed from the entries of the agreed log alone, so that all
+//! routers that have applied the log up to the same index have the same state.
 
 mod log_entry;
 mod proposal;
--- a/crates/policy/src/agreed/log_entry.rs
+++ b/crates/policy/src/agreed/log_entry.rs
@@ -1,5 +1,5 @@
-//! Entries of the agreed log. They are stored and sent in postcard's form: the order of variants and fields
-//! is fixed.
+//! Entries of the agreed log. They are stored and sent in postcard encoding, so the order of variants and
+//! fields must not change.
 
 use serde::{Deserialize, Serialize};
 use tindoor_membership::{FleetTime, Incarnation, Member};
@@ -21,67 +21,69 @@
     },
     /// A router joins the member list.
     Join {
-        /// Its incarnation.
+        /// The incarnation of the router.
         incarnation: Incarnation,
-        /// The member.
+        /// The router's entry in the member list.
         member: Member,
-        /// The incarnation before it, where that is known to have ended.
+        /// The previous incarnation of the router, if its process is known to have ended.
         predecessor: Option<Incarnation>,
     },
     /// A router leaves the member list.
     Leave {
-        /// Its incarnation.
+        /// The incarnation of the router.
         incarnation: Incarnation,
-        /// Whether its process is known to have ended.
+        /// Whether the router's process is known to have ended.
         ended: bool,
     },
-    /// No router holds a member list any more that was superseded at or before an index.
+    /// No router uses a member list any more that was superseded at or before a given index.
     RetireLists {
-        /// That index.
+        /// The index.
         before: u64,
     },
-    /// An entry of the `raft` library itself, such as the first one of a leader.
+    /// An entry of the `raft` library itself, such as the first entry of a new leader.
     NoOp,
-    /// The voters change.
+    /// The set of voters changes.
     Voters {
-        /// The voters from now on.
+        /// The replica ids of the voters after the change.
         replica_ids: Vec<u64>,
-        /// The voters before; until the next entry of this kind, their majority must agree as well.
+        /// The replica ids of the voters before the change. Until the next entry of this kind, a majority of
+        /// them must agree as well (joint consensus).
         outgoing: Vec<u64>,
     },
-    /// The offset of a router's clock to the fleet's time changes.
+    /// The offset of a router's clock from the fleet's time changes.
     Clock {
-        /// The router.
+        /// The incarnation of the router.
         incarnation: Incarnation,
-        /// How far the clock is ahead, in microseconds; none where it no longer is one of the fleet's clocks.
+        /// How far the clock is ahead of the fleet's time, in microseconds; `None` if the fleet's time is no
+        /// longer derived from this clock.
         offset_us: Option<i64>,
     },
     /// A policy is proposed.
     Propose(Proposal),
-    /// The proposed policy will take effect.
+    /// The activation time of the proposed policy is decided.
     Decide {
-        /// Its generation.
+        /// The generation of the policy.
         generation: u64,
-        /// When it takes effect.
+        /// When the policy takes effect.
         activation_time: FleetTime,
     },
     /// The proposed policy is cancelled.
     Cancel {
-        /// Its generation.
+        /// The generation of the policy.
         generation: u64,
         /// The reason, for operators.
         reason: String,
     },
-    /// The moment at which the policy takes effect has passed at every router.
+    /// The activation time of the policy has passed at every router.
     Activated {
-        /// Its generation.
+        /// The generation of the policy.
         generation: u64,
     },
     /// The probation of the policy is over.
     ProbationEnded {
-        /// Its generation.
+        /// The generation of the policy.
         generation: u64,
-        /// What was found, for operators.
+        /// The finding of the probation, for operators.
         finding: String,
     },
 }
--- a/crates/policy/src/agreed/proposal.rs
+++ b/crates/policy/src/agreed/proposal.rs
@@ -1,6 +1,6 @@
-//! Policies in the course of a change: proposed, staged, on probation, and past. These types are stored and
-//! sent in postcard's form, where the order of fields and variants is fixed. Past proposals are also printed
-//! as JSON for operators; the renamed fields and variants keep the names that these read.
+//! The stages of a policy change: proposed, staged, on probation, and past. These types are stored and sent
+//! in postcard encoding, so the order of fields and variants must not change. Past proposals are also printed
+//! as JSON for operators; the `#[serde(rename)]` names are those in the JSON.
 
 use std::sync::Arc;
 
@@ -9,112 +9,112 @@
 
 use crate::Policy;
 
-/// A policy with its place in the sequence of policies.
+/// A policy with its generation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyVersion {
-    /// Its number: 1, 2, and so on.
+    /// The generation of the policy, counted from 1.
     pub generation: u64,
-    /// The generation that it was derived from.
+    /// The generation that the policy was derived from.
     pub base_generation: u64,
-    /// The hash of its content.
+    /// The hash of the policy, as [`Policy::hash`] returns it.
     pub hash: String,
     /// The policy.
     pub policy: Arc<Policy>,
 }
 
-/// A policy that is proposed to replace the one in force.
+/// A proposal to replace the policy in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// A random number by which the proposal is found again, and accepted only once.
+    /// A random number that identifies the proposal, so that it is accepted only once even if it is repeated.
     pub token: u64,
-    /// The generation that it was derived from.
+    /// The generation that the policy was derived from.
     pub base_generation: u64,
-    /// The policy.
+    /// The proposed policy.
     pub policy: Policy,
-    /// The generation that it reverts, if any.
+    /// The generation that the proposal reverts; `None` if it is no revert.
     pub reverts: Option<u64>,
-    /// Who proposes it.
+    /// The author of the proposal.
     pub author: String,
-    /// A note of the author.
+    /// The author's note.
     pub note: String,
 }
 
-/// A proposal that was accepted and has not ended yet.
+/// An accepted proposal that has been neither activated nor cancelled yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StagedChange {
-    /// The new version.
+    /// The proposed policy and the generation that it was given.
     pub version: PolicyVersion,
-    /// The proposal's token.
+    /// The token of the proposal.
     pub token: u64,
-    /// The generation that it reverts, if any.
+    /// The generation that the change reverts; `None` if it is no revert.
     pub reverts: Option<u64>,
-    /// Who proposed it.
+    /// The author of the proposal.
     pub author: String,
-    /// A note of the author.
+    /// The author's note.
     pub note: String,
-    /// The index of the log at which it was proposed.
+    /// The log index of the proposal.
     pub index: u64,
-    /// When it takes effect, once that is decided.
+    /// When the change takes effect; `None` until that is decided.
     pub activation_time: Option<FleetTime>,
 }
 
 impl StagedChange {
-    /// Whether it is decided that the change takes effect.
+    /// Returns whether the activation time of the change is decided.
     pub fn is_decided(&self) -> bool {
         self.activation_time.is_some()
     }
 }
 
-/// A change in force whose effect is observed.
+/// A change in force whose effect on requests is being observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OnProbation {
     /// The generation of the change.
     pub generation: u64,
-    /// The version that it replaced.
+    /// The policy version that the change replaced.
     pub previous: PolicyVersion,
 }
 
 /// How a proposal ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It was never accepted, for this reason.
+    /// The proposal was not accepted, for this reason.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// It was accepted, and cancelled for this reason.
+    /// The proposal was accepted and then cancelled, for this reason.
     #[serde(rename = "CalledOff")]
     Cancelled(String),
-    /// It took effect.
+    /// The proposed policy took effect.
     #[serde(rename = "TookHold")]
     Activated,
 }
 
-/// A proposal that has ended.
+/// The record of a proposal that was rejected, cancelled or activated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PastProposal {
-    /// The proposal's token.
+    /// The token of the proposal.
     pub token: u64,
-    /// Its generation; none where it was rejected.
+    /// The generation that the proposal was given; `None` if it was rejected.
     pub generation: Option<u64>,
-    /// The generation that it was derived from.
+    /// The generation that the policy was derived from.
     #[serde(rename = "made_from")]
     pub base_generation: u64,
-    /// The hash of its content.
+    /// The hash of the proposed policy.
     pub hash: String,
-    /// Who proposed it.
+    /// The author of the proposal.
     #[serde(rename = "by")]
     pub author: String,
-    /// A note of the author.
+    /// The author's note.
     pub note: String,
-    /// The generation that it reverts, if any.
+    /// The generation that the proposal reverts; `None` if it is no revert.
     #[serde(rename = "undoes")]
     pub reverts: Option<u64>,
-    /// How it ended.
+    /// How the proposal ended.
     #[serde(rename = "end")]
     pub outcome: ProposalOutcome,
 }
 
 impl PastProposal {
-    /// The record of a proposal that was rejected.
+    /// Creates the record of a rejected proposal.
     pub(super) fn rejected(proposal: Proposal, reason: String) -> Self {
         Self {
             token: proposal.token,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The record of an accepted proposal.
+    /// Creates the record of an accepted proposal that has ended.
     pub(super) fn ended(staged: StagedChange, outcome: ProposalOutcome) -> Self {
         Self {
             token: staged.token,
--- a/crates/policy/src/agreed/state.rs
+++ b/crates/policy/src/agreed/state.rs
@@ -1,4 +1,4 @@
-//! The agreed state, and how each log entry changes it.
+//! The agreed state of a fleet and how each log entry changes it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,44 +11,48 @@
 };
 use crate::Policy;
 
-/// The clocks that a change needs to be decided by; fewer where there are fewer routers.
+/// The minimum number of clocks for a change to be decided; a fleet with fewer routers needs one clock for
+/// each router. Nothing would reveal a jump of a single clock.
 const MIN_CLOCKS: usize = 2;
 
-/// How many past proposals are kept.
+/// The maximum number of past proposals that are kept.
 const MAX_PAST_PROPOSALS: usize = 64;
 
 /// The generation of the policy with which a fleet starts.
 const FIRST_GENERATION: u64 = 1;
 
-/// All that a fleet has agreed on.
+/// The state that a fleet has agreed on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AgreedState {
     /// The fleet's number; 0 before its first entry.
     pub fleet: u64,
-    /// The index of the last entry.
+    /// The index of the last applied log entry.
     pub index: u64,
     /// The routers of the fleet.
     pub members: MemberList,
     /// The replica ids of the voters.
     pub voters: Vec<u64>,
-    /// During a change of voters, those before it; their majority must agree as well.
+    /// During a change of voters (joint consensus), the replica ids of the voters before the change; a
+    /// majority of them must agree as well. Empty at other times.
     pub outgoing_voters: Vec<u64>,
-    /// The last incarnation of each voter and its address. A voter that is no longer a member stays, as its
-    /// vote may be needed to list it again.
+    /// The last incarnation and address of each voter. A voter that is no longer a member keeps its entry, as
+    /// its vote may be needed to elect the leader that lists it again.
     pub replica_addresses: BTreeMap<u64, (Incarnation, String)>,
-    /// How far the clocks that tell the fleet's time are ahead of it, in microseconds.
+    /// The clocks that the fleet's time is derived from: how far each is ahead of the fleet's time, in
+    /// microseconds.
     pub clocks: BTreeMap<Incarnation, i64>,
-    /// The policy in force.
+    /// The policy in force; `None` before the first entry.
     pub in_force: Option<PolicyVersion>,
-    /// The change that is proposed or decided.
+    /// The change that is proposed or decided but not in force yet, if any.
     pub staged: Option<StagedChange>,
-    /// The change whose effect is observed.
+    /// The change on probation, if any.
     pub probation: Option<OnProbation>,
-    /// The last proposals that have ended, oldest first.
+    /// The most recent proposals that have ended, oldest first.
     pub past: VecDeque<PastProposal>,
+    /// The last generation that was given to a proposal.
     last_generation: u64,
-    /// Whether a proposal must be derived from the policy in force. Only a test that shows the need of this
-    /// check disables it.
+    /// Whether a proposal must be derived from the policy in force. Disabled only in tests that show why the
+    /// check is needed.
     #[serde(skip, default = "enabled")]
     pub checks_base_generation: bool,
 }
@@ -58,43 +62,45 @@
 }
 
 impl AgreedState {
-    /// The state before the first entry.
+    /// Returns the state before the first entry.
     pub fn new() -> Self {
         Self { checks_base_generation: true, ..Self::default() }
     }
 
-    /// Whether a replica is a voter, in the old or the new configuration.
+    /// Returns whether a replica is a voter, in the old or the new configuration.
     fn is_voter(&self, replica_id: u64) -> bool {
         self.voters.contains(&replica_id) || self.outgoing_voters.contains(&replica_id)
     }
 
-    /// Whether there are enough clocks for a change to be decided.
+    /// Returns whether there are enough clocks for a change to be decided.
     pub fn has_clocks(&self) -> bool {
         self.clocks.len() >= self.members.members().len().min(MIN_CLOCKS)
     }
 
-    /// Whether a proposed change waits for its decision. Until then routers don't confirm each other's
-    /// leases.
+    /// Returns whether a proposed change is not decided yet. Routers don't confirm each other's leases until
+    /// it is decided or cancelled.
     pub fn has_undecided_change(&self) -> bool {
         self.staged.as_ref().is_some_and(|staged| !staged.is_decided())
     }
 
-    /// Whether a decided change waits for its activation.
+    /// Returns whether a change is decided but not activated yet.
     pub fn has_decided_change(&self) -> bool {
         self.staged.as_ref().is_some_and(StagedChange::is_decided)
     }
 
-    /// The generation in force; 0 before the first entry.
+    /// Returns the generation in force; 0 before the first entry.
     pub fn generation(&self) -> u64 {
         self.in_force.as_ref().map_or(0, |version| version.generation)
     }
 
-    /// The record of a proposal that has ended; none while it is under way, or once it is forgotten.
+    /// Returns the record of a proposal that has ended; `None` if the proposal is unknown or under way, or if
+    /// its record was dropped to keep the most recent ones.
     pub fn past_proposal(&self, token: u64) -> Option<&PastProposal> {
         self.past.iter().rev().find(|past| past.token == token)
     }
 
-    /// Applies the next entry. An entry that no longer fits the state changes nothing but the index.
+    /// Applies the next entry and returns what changed. An entry that is not valid in the current state
+    /// changes only the index.
     pub fn apply(&mut self, index: u64, entry: LogEntry) -> Vec<Transition> {
         self.index = index;
         match entry {
@@ -172,8 +178,8 @@
         Vec::new()
     }
 
-    /// Sets a clock's offset, except while a change is decided: its activation time is given in the
-    /// fleet's time, which this would move.
+    /// Sets or removes a clock's offset, except while a decided change waits for its activation: the
+    /// activation time is given in the fleet's time, which a new offset would shift.
     fn set_clock(&mut self, incarnation: Incarnation, offset_us: Option<i64>) -> Vec<Transition> {
         if self.has_decided_change() {
             return Vec::new();
@@ -185,8 +191,9 @@
         Vec::new()
     }
 
-    /// Removes the clocks of routers that are no longer members, except while a change is decided: what was
-    /// read of them still defines its activation time, and with a single clock left nobody would notice that it jumps.
+    /// Removes the clocks of routers that are no longer members, except while a decided change waits for its
+    /// activation: the readings of these clocks still define the activation time, and with a single clock
+    /// left, nothing would reveal a jump of it.
     fn remove_clocks_of_non_members(&mut self) {
         if !self.has_decided_change() {
             let members = &self.members;
@@ -201,7 +208,7 @@
             return Vec::new();
         }
         if let Some(reason) = self.objection_to(&proposal) {
-            self.remember(PastProposal::rejected(proposal, reason.clone()));
+            self.record_past(PastProposal::rejected(proposal, reason.clone()));
             return vec![Transition::Rejected(token, reason)];
         }
         self.last_generation += 1;
@@ -214,7 +221,7 @@
         vec![Transition::Proposed(generation)]
     }
 
-    /// Why a proposal can't be accepted now, for its author.
+    /// Returns the reason why a proposal can't be accepted now, for its author; `None` if it can.
     fn objection_to(&self, proposal: &Proposal) -> Option<String> {
         let Proposal { base_generation, reverts, .. } = proposal;
         if let Some(staged) = &self.staged {
@@ -228,8 +235,8 @@
         (*reverts != Some(*generation)).then(|| format!("generation {generation} is on probation"))
     }
 
-    /// Decides a change. A clock may have been removed while the entry was on its way: with too few clocks it
-    /// decides nothing, as nobody would notice that the last one jumps.
+    /// Decides the activation time of a change, unless too few clocks are left: a clock may have been removed
+    /// since the leader checked their number, and nothing would reveal a jump of the last clock.
     fn decide(&mut self, generation: u64, activation_time: FleetTime) -> Vec<Transition> {
         let has_clocks = self.has_clocks();
         match &mut self.staged {
@@ -245,7 +252,7 @@
         let staged =
             self.staged.take_if(|staged| staged.version.generation == generation && !staged.is_decided());
         let Some(staged) = staged else { return Vec::new() };
-        self.remember(PastProposal::ended(staged, ProposalOutcome::Cancelled(reason.clone())));
+        self.record_past(PastProposal::ended(staged, ProposalOutcome::Cancelled(reason.clone())));
         vec![Transition::Cancelled(generation, reason)]
     }
 
@@ -254,11 +261,11 @@
             self.staged.take_if(|staged| staged.version.generation == generation && staged.is_decided());
         let Some(staged) = staged else { return Vec::new() };
         let previous = self.in_force.replace(staged.version.clone());
-        // A revert ends the probation of what it reverts, and is on none itself.
+        // A revert ends the probation of the change that it reverts and is not put on probation itself.
         self.probation = previous
             .filter(|_| staged.reverts.is_none())
             .map(|previous| OnProbation { generation, previous });
-        self.remember(PastProposal::ended(staged, ProposalOutcome::Activated));
+        self.record_past(PastProposal::ended(staged, ProposalOutcome::Activated));
         self.remove_clocks_of_non_members();
         vec![Transition::Activated(generation)]
     }
@@ -270,7 +277,7 @@
         }
     }
 
-    fn remember(&mut self, past: PastProposal) {
+    fn record_past(&mut self, past: PastProposal) {
         if self.past.len() == MAX_PAST_PROPOSALS {
             self.past.pop_front();
         }
