--- a/crates/policy/src/budgets/charges.rs
+++ b/crates/policy/src/budgets/charges.rs
@@ -7,19 +7,19 @@
 
 use super::{Budget, FLEET_SCOPE, scope_of_name};
 
-/// The most keys that one attempt is charged to.
+/// The maximum number of keys that one attempt is charged to.
 const MAX_CHARGED_KEYS: usize = 6;
 
-/// The scopes that one router's attempts belong to.
+/// The scopes that the attempts of one router are charged to: its location and its request classes.
 #[derive(Clone, Debug)]
 pub struct BudgetScope {
     location: u64,
     class_scopes: Vec<u64>,
-    /// Whether caches report if a fill came from the origin.
+    /// Whether caches report if a fill came from the origin or from another source.
     origin_fills_reported: bool,
 }
 
-/// The keys that an attempt is charged to, stored inline as they are needed on the path of each request.
+/// The keys that an attempt is charged to. Stored inline to avoid an allocation on the path of each request.
 #[derive(Clone, Copy, Debug)]
 pub struct ChargedKeys {
     keys: [BudgetKey; MAX_CHARGED_KEYS],
@@ -35,14 +35,14 @@
 }
 
 impl BudgetScope {
-    /// The scopes of a router in a location, with the names of its request classes.
+    /// Creates the scopes of a router in a location, with the names of its request classes.
     pub fn new(location: u64, classes: &[String], origin_fills_reported: bool) -> Self {
         let class_scopes = classes.iter().map(|name| scope_of_name(name)).collect();
         Self { location, class_scopes, origin_fills_reported }
     }
 
-    /// The keys that a fill from the origin is charged to; the last one limits concurrency, the others are
-    /// rates.
+    /// Returns the keys that a fill from the origin is charged to: three keys of rates, then the key of the
+    /// concurrency limit.
     pub fn fill_keys(&self, class: u16) -> [BudgetKey; 4] {
         let class_scope = self.class_scopes.get(usize::from(class)).copied().unwrap_or_default();
         [
@@ -53,7 +53,7 @@
         ]
     }
 
-    /// The keys that an attempt is charged to.
+    /// Returns the keys that an attempt is charged to.
     pub fn charged_keys(&self, charge: &QuotaCharge) -> ChargedKeys {
         let fills = self.fill_keys(charge.class).map(|key| charge.may_fill_from_origin.then_some(key));
         let cache_only_read = charge.cache_only.then(|| Budget::CacheOnlyReads.key(charge.endpoint));
@@ -66,8 +66,8 @@
         ChargedKeys { keys, count }
     }
 
-    /// Whether the origin may have been asked for a fill by an attempt with this outcome. What is unknown
-    /// counts.
+    /// Returns whether an attempt with this outcome may have caused a fill from the origin. The answer is yes
+    /// unless the outcome rules it out.
     pub fn may_have_filled(&self, outcome: Outcome) -> bool {
         use AttemptStatus::{Miss, Overloaded, Served, Superseded, Unreachable};
         use OutcomeDetail::{FilledFromSource, Hit, JoinedFill, OriginFailed, StaleHit};
--- a/crates/policy/src/budgets/limits.rs
+++ b/crates/policy/src/budgets/limits.rs
@@ -6,24 +6,25 @@
 use super::{Budget, scope_of_name};
 use crate::{Policy, PolicyError};
 
-/// The fraction of each total that is set aside for guaranteed minima where the policy does not say.
+/// The fraction of each total that is set aside for guaranteed minima if the policy does not set it.
 const DEFAULT_GUARANTEED_FRACTION: f64 = 0.1;
 
-/// The sliding window of slow start where the policy does not say.
+/// The sliding window of slow start if the policy does not set it.
 const DEFAULT_SLOW_START_WINDOW: Span = Span::millis(1000);
 
-/// The total of a budget of fractions, in units: amounts of it are thousandths of the whole.
+/// The total of a fraction budget, in units: one unit is a thousandth of the whole.
 const FRACTION_TOTAL: f64 = 1000.0;
 
 const MICROS_PER_MILLI: f64 = 1000.0;
 
-/// Half of a burst is set aside as guaranteed minima of one unit, so that at least as much can be granted.
+/// The minimum burst of a rate for each possible router, in units. One unit per router is set aside as its
+/// guaranteed minimum; a burst of twice as much leaves at least the same amount to be granted.
 const MIN_BURST_PER_ROUTER: f64 = 2.0;
 
 const MAX_ROUTERS_KEY: &str = "budget.routers_most";
 const GUARANTEED_FRACTION_KEY: &str = "budget.floor_part";
 
-/// Rate budgets, with the beginning of their keys.
+/// The rate budgets that don't depend on a request class, with the prefixes of their keys.
 const RATE_BUDGETS: [(Budget, &str); 6] = [
     (Budget::OriginFills, "budget.origin_fills."),
     (Budget::LocationFills, "budget.location_fills."),
@@ -33,14 +34,16 @@
     (Budget::Tenants, "budget.accounts."),
 ];
 
-/// The most routers that may belong to the fleet, where the policy declares budgets.
+/// Returns the maximum number of routers in the fleet; `None` if the policy does not set it. A policy that
+/// declares budgets must set it.
 pub fn max_routers(policy: &Policy) -> Option<u64> {
     policy.get(MAX_ROUTERS_KEY).map(|most| most as u64)
 }
 
-/// The objection to replacing `from` by `to` while `possible` processes may act: each of them needs its
-/// guaranteed minimum. A policy that does not lower the bound is accepted in any case, also while two
-/// incarnations of one router both count.
+/// Returns an error if `to` introduces or lowers the bound on the number of routers to less than `possible`,
+/// the number of processes that may act: each of them needs its guaranteed minimum. A policy that keeps or
+/// raises the bound of `from` is always accepted, even while `possible` includes two incarnations of one
+/// router.
 pub fn router_bound_objection(from: Option<&Policy>, to: &Policy, possible: u64) -> Option<PolicyError> {
     let before = from.and_then(max_routers);
     let is_too_low = |most: &u64| before.is_none_or(|before| *most < before) && *most < possible;
@@ -48,12 +51,14 @@
     Some(PolicyError::TooFewRouters { most, possible })
 }
 
-/// How many retries each success allows at the router that served it.
+/// Returns how many retries each successful request allows at the router that served it; `None` if the policy
+/// does not set it.
 pub fn retries_per_success(policy: &Policy) -> Option<f64> {
     policy.get("budget.further.per_success")
 }
 
-/// The limits under a policy; none where it does not bound the number of routers.
+/// Returns the limits of all budgets under a policy; no limits if the policy does not bound the number of
+/// routers.
 pub fn plan(policy: &Policy) -> BudgetPlan {
     let mut plan = BudgetPlan::default();
     let Some(max_routers) = max_routers(policy).filter(|most| *most > 0) else { return plan };
@@ -71,14 +76,14 @@
     if let Some(limit) = declared.concurrent_origin_fills() {
         plan.by_budget.insert(Budget::ConcurrentOriginFills as u16, limit);
     }
-    if let Some(limit) = declared.warming() {
+    if let Some(limit) = declared.slow_start() {
         let budgets = [Budget::WarmingCaches, Budget::WarmingParents];
         plan.by_budget.extend(budgets.map(|budget| (budget as u16, limit)));
     }
     plan
 }
 
-/// A policy with what all of its limits share.
+/// A policy, with the values that all of its limits share.
 struct DeclaredBudgets<'a> {
     policy: &'a Policy,
     max_routers: u64,
@@ -86,7 +91,7 @@
 }
 
 impl DeclaredBudgets<'_> {
-    /// A rate with its burst, whose keys begin with `prefix`.
+    /// Returns the limit of the rate budget whose keys begin with `prefix`; `None` if it is not declared.
     fn rate(&self, prefix: &str) -> Option<BudgetLimit> {
         let per_second = self.policy.get(&format!("{prefix}per_s"))?;
         let total = Quota::rate(per_second, self.policy.get(&format!("{prefix}burst"))?);
@@ -103,23 +108,25 @@
         Some(self.limit(BudgetKind::Concurrency, total, guaranteed, self.longest_deadline()))
     }
 
-    /// The longest that a request, and a fill for it, is in flight.
+    /// Returns the longest deadline of the request classes: the maximum time that a request, and a fill for
+    /// it, is in flight.
     fn longest_deadline(&self) -> Span {
         let deadlines = self.policy.0.iter().filter(|(name, _)| name.ends_with(".cut_off_ms"));
-        span(deadlines.map(|(_, ms)| *ms).fold(0.0, f64::max))
+        span_of_millis(deadlines.map(|(_, ms)| *ms).fold(0.0, f64::max))
     }
 
-    /// The slow-start allowances, where they are divided.
-    fn warming(&self) -> Option<BudgetLimit> {
+    /// Returns the limit of slow-start allowances; `None` if they are not divided by demand.
+    fn slow_start(&self) -> Option<BudgetLimit> {
         if self.policy.get("budget.cold_parts") != Some(1.0) {
             return None;
         }
         let total = Quota::concurrency(FRACTION_TOTAL);
         let guaranteed = Quota { rate: 0, burst: self.guaranteed_thousandths(total.burst) };
-        let window = self.policy.get("cold_window_ms").map_or(DEFAULT_SLOW_START_WINDOW, span);
+        let window = self.policy.get("cold_window_ms").map_or(DEFAULT_SLOW_START_WINDOW, span_of_millis);
         Some(self.limit(BudgetKind::Fraction, total, guaranteed, window))
     }
 
+    /// Returns the guaranteed minimum of each router; it and `total` are in thousandths of a unit.
     fn guaranteed_thousandths(&self, total: u64) -> u64 {
         (total as f64 * self.guaranteed_fraction / self.max_routers as f64) as u64
     }
@@ -129,11 +136,11 @@
     }
 }
 
-fn span(ms: f64) -> Span {
+fn span_of_millis(ms: f64) -> Span {
     Span::micros((ms * MICROS_PER_MILLI) as u64)
 }
 
-/// Checks that the keys of budgets fit each other.
+/// Checks that all keys that a budget depends on are set, and that each burst is large enough to be divided.
 pub(crate) fn check(policy: &Policy) -> Result<(), PolicyError> {
     let max_routers = policy.get(MAX_ROUTERS_KEY);
     for name in policy.0.keys() {
