--- a/crates/policy/src/outcomes.rs
+++ b/crates/policy/src/outcomes.rs
@@ -1,19 +1,20 @@
-//! Counts of requests and of those served in time, over a recent window.
+//! Counts of ended requests, and of requests served in time, over a recent window.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 use tindoor::time::{Moment, Span};
 
-/// The length of a slice of the window.
+/// The duration of one slice of the window.
 const SLICE_LENGTH: Span = Span::millis(1000);
 
-/// Requests that ended, and how many of them were served in time. It is sent in postcard's form.
+/// The number of requests that ended, and how many of them were served in time. Sent in postcard encoding, so
+/// the order of fields must not change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeCount {
-    /// All requests that ended.
+    /// The number of requests that ended.
     pub requests: u64,
-    /// Those that were served within their latency objective.
+    /// The number of these requests that were served within their latency objective.
     pub in_time: u64,
 }
 
@@ -24,7 +25,7 @@
         self.in_time += other.in_time;
     }
 
-    /// The fraction in time, estimated so that few requests give neither zero nor one.
+    /// Returns an estimate of the fraction in time that is never zero or one, however few requests there are.
     pub(crate) fn fraction_in_time(self) -> f64 {
         (self.in_time as f64 + 0.5) / (self.requests as f64 + 1.0)
     }
@@ -39,17 +40,18 @@
     pub class: u16,
 }
 
-/// Counts by generation and cell.
+/// The counts of one slice by generation and cell.
 type Slice = BTreeMap<(u64, TrafficCell), OutcomeCount>;
 
-/// Counts of a recent window by the generation that decided the requests, in slices of a second.
+/// The counts of a recent window, in slices of one second. Each request is counted under the generation of
+/// the policy that decided it.
 #[derive(Debug, Default)]
 pub struct OutcomeWindow {
     slices: VecDeque<(Moment, Slice)>,
 }
 
 impl OutcomeWindow {
-    /// Adds a count that was reported at `now`, and drops slices older than `retention`.
+    /// Adds a count that was reported at `now`, and drops slices that began more than `retention` ago.
     pub fn add(
         &mut self,
         now: Moment,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The sums of one generation by cell, over the slices that began at `since` or later.
+    /// Returns the totals of one generation by cell, over the slices that began at `since` or later.
     pub fn totals(&self, generation: u64, since: Moment) -> BTreeMap<TrafficCell, OutcomeCount> {
         let mut totals = BTreeMap::<TrafficCell, OutcomeCount>::new();
         let slices = self.slices.iter().filter(|(began, _)| *began >= since);
--- a/crates/policy/src/probation.rs
+++ b/crates/policy/src/probation.rs
@@ -1,5 +1,6 @@
-//! Whether a change caused failures: the fraction of requests served in time after it compared with before
-//! it, by location and request class, by a sequential probability ratio test with stated error rates.
+//! Detection of changes that cause failures. For each location and request class, a sequential probability
+//! ratio test with stated error rates compares the fraction of requests served in time after the change with
+//! the fraction before it.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +8,25 @@
 
 use crate::{OutcomeCount, OutcomeWindow, TrafficCell};
 
-/// The fractions in time that the test compares are kept within these bounds, so that their logarithms are
-/// finite.
+/// The bounds to which the test limits fractions in time, so that their logarithms are finite.
 const FRACTION_BOUNDS: [f64; 2] = [0.001, 0.999];
 
-/// Error rates and sensitivity of the test.
+/// The error rates and the sensitivity of the test.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbationLimits {
     /// The probability that a harmless change is reverted, over all cells together.
     pub false_alarm_rate: f64,
     /// The probability that a harmful change is found harmless, in each cell.
     pub miss_rate: f64,
-    /// The loss of the fraction in time that counts as harm.
+    /// The absolute decrease of the fraction in time that makes a change harmful: 0.25 is from 0.9 to 0.65.
     pub harmful_loss: f64,
-    /// The requests that a cell needs before the change to be compared.
+    /// The minimum number of requests in the baseline window for a cell to be tested.
     pub min_requests: u64,
-    /// The longest that a change is on probation.
+    /// The maximum time that a change is on probation.
     pub max_duration: Span,
-    /// How far before the change the comparison reaches.
+    /// How far before the change the baseline window begins.
     pub baseline_window: Span,
-    /// How far before the change a fault counts as just begun.
+    /// How far before the change the recent window begins, which shows faults that began just before it.
     pub recent_window: Span,
 }
 
@@ -44,21 +44,22 @@
     }
 }
 
-/// The generation before a change and the one after it.
+/// The generations before and after a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GenerationChange {
-    /// The generation before.
+    /// The generation before the change.
     pub from: u64,
-    /// The generation after.
+    /// The generation after the change.
     pub to: u64,
 }
 
-/// What is known of a change so far.
+/// The result of a probation so far.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Assessment {
-    /// Nothing is certain yet.
+    /// There is no certain result yet.
     Undecided,
-    /// A cell lost what the others kept: the change has to be reverted.
+    /// The fraction in time decreased in a cell more than at the other locations, so that the change must be
+    /// reverted.
     Harm {
         /// The location of the cell.
         location: u16,
@@ -66,26 +67,27 @@
         class: u16,
         /// The fraction in time before the change.
         before: f64,
-        /// The fraction in time after it.
+        /// The fraction in time after the change.
         after: f64,
     },
-    /// Requests fail, but at all locations alike or since before the change: it is not known to be the cause.
+    /// Requests fail, but at all locations alike or since before the change, so that the change is not known
+    /// to be the cause.
     UnrelatedFault {
         /// Whether the fault began before the change.
         began_before: bool,
     },
     /// The change did no harm.
     NoHarm,
-    /// There was too little traffic to tell.
+    /// There was too little traffic for a result.
     TooLittleTraffic,
 }
 
 /// The counts of a cell before a change.
 #[derive(Clone, Copy, Debug)]
 struct Baseline {
-    /// Over the full window.
+    /// The counts of the baseline window.
     full: OutcomeCount,
-    /// Just before the change.
+    /// The counts of the recent window, just before the change.
     recent: OutcomeCount,
 }
 
@@ -97,12 +99,14 @@
     after: OutcomeCount,
 }
 
-/// What the test says of a cell.
+/// The result of the test for one cell.
 #[derive(Clone, Copy, Debug)]
 enum CellFinding {
     Undecided,
     Harm(CellLoss),
+    /// The cell fails, but so do the other locations.
     FaultElsewhereAsWell,
+    /// The cell fails, but it began to fail before the change.
     FaultBegunBefore,
     NoHarm,
 }
@@ -116,22 +120,24 @@
 }
 
 impl CellLoss {
-    fn lost(&self) -> f64 {
+    fn amount(&self) -> f64 {
         self.before - self.after
     }
 }
 
-/// The findings of all cells with traffic.
+/// The combined findings of all cells with traffic after the change.
 #[derive(Debug, Default)]
 struct Findings {
     tested: usize,
+    /// The harmed cell with the largest loss.
     worst: Option<CellLoss>,
-    elsewhere_as_well: bool,
-    begun_before: bool,
-    cleared: usize,
+    fault_elsewhere: bool,
+    fault_began_before: bool,
+    /// The number of cells without harm.
+    unharmed: usize,
 }
 
-/// The logarithms of the likelihood ratio at which the test decides.
+/// The log-likelihood ratios at which the test of a cell ends.
 #[derive(Clone, Copy, Debug)]
 struct Thresholds {
     harm: f64,
@@ -148,7 +154,7 @@
 }
 
 impl Probation {
-    /// Begins to observe a change that took effect at `began`, with what was counted before.
+    /// Begins the probation of a change that took effect at `began`; `outcomes` has the counts before it.
     pub fn begin(
         limits: ProbationLimits,
         outcomes: &OutcomeWindow,
@@ -163,12 +169,12 @@
         Self { limits, change, began, baselines: full.into_iter().map(baseline).collect() }
     }
 
-    /// The generations that are compared.
+    /// Returns the generations that are compared.
     pub fn change(&self) -> GenerationChange {
         self.change
     }
 
-    /// What is known at `now`.
+    /// Returns the result of the probation at `now`.
     pub fn assess(&self, outcomes: &OutcomeWindow, now: Moment) -> Assessment {
         let comparisons = self.comparisons(outcomes);
         let thresholds = self.thresholds(comparisons.len());
@@ -185,12 +191,12 @@
         findings.conclusion()
     }
 
-    /// The cells with enough requests before the change.
+    /// Returns the counts of all cells that had enough requests before the change.
     fn comparisons(&self, outcomes: &OutcomeWindow) -> Vec<Comparison> {
         let after = outcomes.totals(self.change.to, self.began);
-        let known =
+        let testable =
             self.baselines.iter().filter(|(_, baseline)| baseline.full.requests >= self.limits.min_requests);
-        known
+        testable
             .map(|(cell, baseline)| Comparison {
                 cell: *cell,
                 baseline: *baseline,
@@ -199,7 +205,8 @@
             .collect()
     }
 
-    /// Wald's thresholds. The rate of false alarms is divided among all cells (Bonferroni).
+    /// Returns Wald's thresholds, with the false alarm rate divided by the number of cells (Bonferroni
+    /// correction).
     fn thresholds(&self, cells: usize) -> Thresholds {
         let ProbationLimits { false_alarm_rate, miss_rate, .. } = self.limits;
         Thresholds {
@@ -210,31 +217,31 @@
 
     fn test_cell(&self, comparison: &Comparison, all: &[Comparison], thresholds: Thresholds) -> CellFinding {
         let Comparison { cell, baseline, after } = *comparison;
-        // A cell that began to fail before the change is compared with what was left of it then.
+        // If a cell began to fail before the change, its count is compared with the fraction just before it.
         let full = baseline.full.fraction_in_time();
         let has_recent = baseline.recent.requests >= self.limits.min_requests / 3;
         let recent = if has_recent { baseline.recent.fraction_in_time().min(full) } else { full };
         let retained = retained_elsewhere(all, cell);
         let test = |expected: f64| self.log_likelihood_ratio(after, expected);
-        let [alone, with_others] = [recent, recent * retained].map(test);
+        let [against_itself, against_others] = [recent, recent * retained].map(test);
         if recent <= self.limits.harmful_loss {
-            // So little was in time before the change that it can't have caused a harmful loss.
+            // The fraction was too low before the change for the change to cause a harmful loss.
             CellFinding::FaultBegunBefore
-        } else if with_others >= thresholds.harm {
+        } else if against_others >= thresholds.harm {
             CellFinding::Harm(CellLoss { cell, before: recent, after: after.fraction_in_time() })
-        } else if alone >= thresholds.harm {
+        } else if against_itself >= thresholds.harm {
             CellFinding::FaultElsewhereAsWell
         } else if test(full) >= thresholds.harm {
             CellFinding::FaultBegunBefore
-        } else if alone <= thresholds.no_harm {
+        } else if against_itself <= thresholds.no_harm {
             CellFinding::NoHarm
         } else {
             CellFinding::Undecided
         }
     }
 
-    /// The logarithm of how much more likely a count is after a harmful loss than with the expected fraction
-    /// in time.
+    /// Returns the log-likelihood ratio of a count: how much more likely it is after a harmful loss than with
+    /// the expected fraction in time.
     fn log_likelihood_ratio(&self, count: OutcomeCount, expected: f64) -> f64 {
         let [min, max] = FRACTION_BOUNDS;
         let [high, low] =
@@ -250,23 +257,23 @@
         match finding {
             CellFinding::Undecided => {}
             CellFinding::Harm(loss) => {
-                if self.worst.is_none_or(|worst| loss.lost() > worst.lost()) {
+                if self.worst.is_none_or(|worst| loss.amount() > worst.amount()) {
                     self.worst = Some(loss);
                 }
             }
-            CellFinding::FaultElsewhereAsWell => self.elsewhere_as_well = true,
-            CellFinding::FaultBegunBefore => self.begun_before = true,
-            CellFinding::NoHarm => self.cleared += 1,
+            CellFinding::FaultElsewhereAsWell => self.fault_elsewhere = true,
+            CellFinding::FaultBegunBefore => self.fault_began_before = true,
+            CellFinding::NoHarm => self.unharmed += 1,
         }
     }
 
-    /// The conclusion at the end of a probation in which no cell was found harmed.
+    /// Returns the result at the end of a probation in which no harmed cell was found.
     fn conclusion(&self) -> Assessment {
         if self.tested == 0 {
             Assessment::TooLittleTraffic
-        } else if self.elsewhere_as_well || self.begun_before {
-            Assessment::UnrelatedFault { began_before: self.begun_before && !self.elsewhere_as_well }
-        } else if 2 * self.cleared >= self.tested {
+        } else if self.fault_elsewhere || self.fault_began_before {
+            Assessment::UnrelatedFault { began_before: self.fault_began_before && !self.fault_elsewhere }
+        } else if 2 * self.unharmed >= self.tested {
             Assessment::NoHarm
         } else {
             Assessment::TooLittleTraffic
@@ -274,8 +281,9 @@
     }
 }
 
-/// The part of their fraction in time that the other locations retained, at most one: the median of the
-/// locations, each counted alike, so that a single one that fails as well does not excuse the next.
+/// Returns the fraction in time of the other locations after the change, relative to that before it and at
+/// most 1. This is the median of the locations, all with the same weight, so that one other failing location
+/// does not hide the loss of this one. Returns 1 if no other location has traffic.
 fn retained_elsewhere(comparisons: &[Comparison], cell: TrafficCell) -> f64 {
     let others =
         comparisons.iter().filter(|other| other.cell.location != cell.location && other.after.requests > 0);
