--- a/crates/policy/src/keys.rs
+++ b/crates/policy/src/keys.rs
@@ -1,5 +1,5 @@
-//! What a policy may set: one declaration of each key, by which policies are checked, explained to operators,
-//! and applied to the settings of the decision library.
+//! The keys that a policy may set. Each key has one declaration, which is used to check policies, to explain
+//! keys to operators, and to apply policies to the settings of the decision library.
 
 mod error;
 mod setting;
@@ -16,9 +16,10 @@
 /// When a change of a key takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applies {
-    /// While the router runs.
+    /// The change takes effect while the router runs.
     InService,
-    /// Only at a restart with a changed file: something beside the decision library is built from the number.
+    /// The change takes effect only at a restart with a changed configuration file, because components
+    /// outside the decision library are built from the number.
     AtStart,
 }
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// What a number stands for.
+/// The unit of a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     /// A time in milliseconds.
@@ -61,41 +62,41 @@
     }
 }
 
-/// The declaration of a key. A name that begins with `offering.*.` stands for one key of each request class,
-/// with the class's name in place of the asterisk.
+/// The declaration of a key. A name that begins with `offering.*.` declares one key for each request class,
+/// with the name of the class in place of the asterisk.
 #[derive(Debug)]
 pub struct Key {
-    /// The name.
+    /// The name of the key.
     pub name: &'static str,
-    /// The setting of the decision library that it stands for; none for what the router itself applies.
+    /// The setting of the decision library that the key sets; `None` if the router itself applies the key.
     pub setting: Option<Setting>,
-    /// What its number stands for.
+    /// The unit of the key's number.
     pub unit: Unit,
-    /// The least number.
+    /// The minimum number, inclusive.
     pub min: f64,
-    /// The largest number.
+    /// The maximum number, inclusive.
     pub max: f64,
-    /// When a change takes effect.
+    /// When a change of the key takes effect.
     pub applies: Applies,
     /// An explanation for operators.
     pub description: &'static str,
 }
 
-/// What keys of request classes begin with.
+/// The prefix of the keys of request classes.
 const CLASS_PREFIX: &str = "offering.";
 
-/// What their declarations begin with.
+/// The prefix of the declarations of such keys.
 const ANY_CLASS_PREFIX: &str = "offering.*.";
 
 /// The names of the request classes, in the order of the settings.
 pub type RequestClasses<'a> = &'a [String];
 
-/// A declaration, and the index of the request class where the key is one of a class.
+/// The declaration of a key, with the request class for a key of a request class.
 #[derive(Clone, Copy, Debug)]
 pub struct DeclaredKey {
     /// The declaration.
     pub declaration: &'static Key,
-    /// The index of the request class.
+    /// The index of the request class; `None` if the key is not one of a request class.
     pub class: Option<usize>,
 }
 
@@ -114,7 +115,7 @@
     Ok(DeclaredKey { declaration: declaration.ok_or_else(unknown_key)?, class: Some(index) })
 }
 
-/// Checks each number against its declaration, and numbers that belong together against each other.
+/// Checks each number against its declaration, and related numbers against each other.
 pub fn check(policy: &Policy, classes: RequestClasses) -> Result<(), PolicyError> {
     for (name, number) in &policy.0 {
         check_number(name, *number, find(name, classes)?.declaration)?;
@@ -145,7 +146,7 @@
     {
         return Err(PolicyError::ObjectiveOverDeadline { class: class.to_string(), objective, deadline });
     }
-    // A copy that is served for longer than purges are remembered could be from before one.
+    // A copy that may be served for longer than purges are remembered could predate a forgotten purge.
     if let (Some(max_age), Some(remembered)) = (get("fresh_ms"), policy.get("copies_gone_after_ms"))
         && max_age + get("older_by_ms").unwrap_or_default() > remembered
     {
@@ -154,7 +155,7 @@
     Ok(())
 }
 
-/// Checks a policy, and that it can replace another one in service.
+/// Checks the policy `to`, and that it can replace `from` while routers run.
 pub fn check_change(from: &Policy, to: &Policy, classes: RequestClasses) -> Result<(), PolicyError> {
     check(to, classes)?;
     for difference in from.differences(to) {
@@ -163,8 +164,8 @@
         if declaration.applies == Applies::AtStart {
             return Err(PolicyError::FixedInService { key: key() });
         }
-        // A setting of the decision library can't be unset; a key that the router applies can: it then limits
-        // nothing.
+        // A setting of the decision library can't be unset. A key that the router applies can be removed; it
+        // then sets no limit.
         if difference.new.is_none() && difference.old.is_some() && declaration.setting.is_some() {
             return Err(PolicyError::SettingRemoved { key: key() });
         }
--- a/crates/policy/src/keys/error.rs
+++ b/crates/policy/src/keys/error.rs
@@ -1,12 +1,12 @@
-//! Why a policy is rejected, in the words that operators read. The words are also sent as a router's
-//! objection.
+//! The reasons for rejecting a policy. Operators read the error texts, and a router sends them to the leader
+//! as its objection to a proposed policy.
 
 use thiserror::Error;
 
-/// Why a policy is rejected.
+/// The reason for rejecting a policy.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PolicyError {
-    /// There is no such key.
+    /// The key is not declared.
     #[error("{key}: no such key")]
     UnknownKey {
         /// The key.
@@ -20,19 +20,19 @@
         /// The request class.
         class: String,
     },
-    /// The number is out of the key's range.
+    /// The number is outside the key's bounds.
     #[error("{key}: {number} is not from {min} to {max}")]
     OutOfRange {
         /// The key.
         key: String,
         /// Its number.
         number: f64,
-        /// The least number allowed.
+        /// The minimum number allowed.
         min: f64,
-        /// The largest number allowed.
+        /// The maximum number allowed.
         max: f64,
     },
-    /// The number must be whole.
+    /// The number of the key must be whole.
     #[error("{key}: {number} is not a whole number")]
     NotWhole {
         /// The key.
@@ -50,7 +50,7 @@
         /// Its deadline in milliseconds.
         deadline: f64,
     },
-    /// Copies of a request class may be served after their purge is forgotten.
+    /// Copies of a request class could be served after their purge is forgotten.
     #[error(
         "offering.{class}.fresh_ms: with older_by_ms over copies_gone_after_ms of {remembered}: \
          a copy could outlive the memory of its purge"
@@ -61,25 +61,25 @@
         /// How long purges are remembered, in milliseconds.
         remembered: f64,
     },
-    /// The key can't change while routers run.
+    /// The key can be changed only at a restart, not while routers run.
     #[error("{key}: changes at a start only")]
     FixedInService {
         /// The key.
         key: String,
     },
-    /// A setting of the decision library would be unset.
+    /// A key that sets a setting of the decision library would be removed.
     #[error("{key}: missing, and it was set")]
     SettingRemoved {
         /// The key.
         key: String,
     },
-    /// A budget needs the bound on the number of routers.
+    /// A key of a budget is set without the bound on the number of routers.
     #[error("{key}: without budget.routers_most, by which floors are kept")]
     WithoutMaxRouters {
         /// The key of the budget.
         key: String,
     },
-    /// A rate needs a burst.
+    /// A rate is set without its burst.
     #[error("{key}: without {burst_key}")]
     WithoutBurst {
         /// The key of the rate.
@@ -87,22 +87,22 @@
         /// The key of the burst.
         burst_key: String,
     },
-    /// A burst is too small to be divided.
+    /// A burst is too small to be divided among the routers.
     #[error("{burst_key}: {burst} is under two for each of the {routers} routers that may belong")]
     BurstTooSmall {
         /// The key of the burst.
         burst_key: String,
         /// The burst in units.
         burst: f64,
-        /// The most routers that may belong to the fleet.
+        /// The maximum number of routers in the fleet.
         routers: f64,
     },
-    /// More routers may act than the policy allows.
+    /// The bound on the number of routers is lower than the number of routers that may act.
     #[error("budget.routers_most: {most} is below the {possible} that may belong")]
     TooFewRouters {
-        /// The most routers that the policy allows.
+        /// The maximum number of routers that the policy allows.
         most: u64,
-        /// The routers that may act.
+        /// The number of routers that may act.
         possible: u64,
     },
 }
--- a/crates/policy/src/keys/setting.rs
+++ b/crates/policy/src/keys/setting.rs
@@ -11,57 +11,57 @@
 /// A setting of the decision library that a policy may set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Setting {
-    /// The time within which a response counts as in time.
+    /// The latency objective: a response within it is in time.
     LatencyObjective,
-    /// How much the objective grows with the time that a response takes to send.
+    /// How many seconds longer the objective is for each second that sending the response takes.
     ObjectiveStretch,
-    /// The weight of a response in time.
+    /// The priority weight of a response in time.
     PriorityWeight,
     /// The fraction of the weight that a late response has.
     LateShare,
     /// The fraction of the weight that a stale response has.
     StaleShare,
-    /// How old a copy may be.
+    /// The maximum age of a copy that is served.
     MaxAge,
-    /// How much older while attempts fail or fills are short.
+    /// How much older a copy may be while attempts fail or fills are limited.
     StaleWhileFailing,
-    /// The longest that a client waits.
+    /// The deadline of a request: the maximum time that a client waits.
     Deadline,
-    /// How long the result of an idempotent write is kept.
+    /// How long the result of a write is kept for retries with its idempotency key.
     RetryWindow,
-    /// Whether rejected requests are told when to retry.
+    /// Whether rejected requests are answered with Retry-After.
     RetryAfterSent,
-    /// The longest such time.
+    /// The maximum Retry-After.
     MaxRetryAfter,
-    /// The most attempts of a request.
+    /// The maximum number of attempts of a request.
     MaxAttempts,
     /// Whether attempts may be cancelled.
     Cancellation,
     /// Whether a parent or the origin may respond without a cache.
     BypassAllowed,
-    /// The fraction of its capacity with which a cache starts.
+    /// The fraction of its capacity that a cache has at its start.
     CacheInitialShare,
     /// How many times its current capacity a warming cache can absorb.
     CacheOverloadMultiple,
     /// How long a cache takes to warm up.
     CacheRampDuration,
-    /// The fraction of its capacity with which a parent starts.
+    /// The fraction of its capacity that a parent has at its start.
     ParentInitialShare,
     /// How many times its current capacity a warming parent can absorb.
     ParentOverloadMultiple,
     /// How long a parent takes to warm up.
     ParentRampDuration,
-    /// The window over which a warming endpoint's load is counted.
+    /// The sliding window over which the load of a warming endpoint is counted.
     SlowStartWindow,
-    /// When no copy from before a purge is left.
+    /// The time after a purge at which no copy from before the purge is left.
     CopiesGoneAfter,
-    /// How long attempts at a draining cache may last.
+    /// How long attempts at a draining cache may take to end.
     DrainGrace,
     /// How long a purge may take to apply.
     PurgeGrace,
 }
 
-/// The field of a setting, by its type.
+/// A reference to the field of a setting, by the type of the field.
 enum Field<'a> {
     Span(&'a mut Span),
     OptionalSpan(&'a mut Option<Span>),
@@ -71,7 +71,7 @@
 }
 
 impl Field<'_> {
-    /// The number by which a policy sets it; none where it is not set.
+    /// Returns the number that sets the field in a policy; `None` if the field is not set.
     fn get(&self) -> Option<f64> {
         let millis = |span: Span| span.as_micros() as f64 / MICROS_PER_MILLI;
         match self {
@@ -83,6 +83,7 @@
         }
     }
 
+    /// Sets the field to a number of a policy.
     fn set(&mut self, number: f64) {
         let span = || Span::micros((number * MICROS_PER_MILLI).round() as u64);
         match self {
@@ -96,8 +97,8 @@
 }
 
 impl Setting {
-    /// Its field in the settings, of the request class with the index `class` where each class has its own;
-    /// none where there is no such class.
+    /// Returns the field of this setting. For a setting that each request class has, this is the field of the
+    /// class with the index `class`; `None` if there is no such class.
     fn field(self, settings: &mut Settings, class: Option<usize>) -> Option<Field<'_>> {
         let Settings { topology, attempts, rejection, slow_start, purges, .. } = settings;
         Some(match self {
@@ -116,7 +117,7 @@
             Self::SlowStartWindow => Field::OptionalSpan(&mut slow_start.window),
             Self::CopiesGoneAfter => Field::OptionalSpan(&mut purges.copies_gone_after),
             Self::PurgeGrace => Field::OptionalSpan(&mut purges.grace),
-            of_class => return of_class.class_field(settings.classes.get_mut(class?)?),
+            class_setting => return class_setting.class_field(settings.classes.get_mut(class?)?),
         })
     }
 
@@ -136,7 +137,7 @@
     }
 }
 
-/// The policy that a deployment's settings amount to.
+/// Returns the policy that sets all its keys to the values in a deployment's settings.
 pub fn from_settings(settings: &Settings, classes: RequestClasses) -> Policy {
     let mut settings = settings.clone();
     let mut policy = Policy::default();
@@ -156,7 +157,7 @@
     policy
 }
 
-/// A deployment's settings with those that the policy sets in place of their own.
+/// Returns a copy of a deployment's settings in which the keys of the policy replace the original values.
 pub fn apply_to_settings(
     policy: &Policy,
     settings: &Settings,
--- a/crates/policy/src/keys/table.rs
+++ b/crates/policy/src/keys/table.rs
@@ -1,13 +1,19 @@
-//! The declarations of all keys. Names, units and bounds are stored and sent: they stay. Descriptions are
-//! read by operators.
+//! The declarations of all keys. Names, units and bounds are stored and sent, so they must not change.
+//! Descriptions are shown to operators.
 
 use super::Applies::{AtStart, InService};
 use super::Unit::{Count, Flag, Milliseconds, Number};
 use super::{Applies, Key, Setting, Unit};
 
+/// One hour in milliseconds.
 const HOUR_MS: f64 = 3_600_000.0;
+
+/// One day in milliseconds.
 const DAY_MS: f64 = 24.0 * HOUR_MS;
+
 const ZERO_TO_ONE: [f64; 2] = [0.0, 1.0];
+
+/// The bounds of rates, in units per second, and of bursts and concurrency limits, in units.
 const RATE: [f64; 2] = [0.0, 1e6];
 
 const fn key(
@@ -21,7 +27,7 @@
     Key { name, setting, unit, min, max, applies, description }
 }
 
-/// A key of a budget: the router itself applies it, and it changes in service.
+/// Declares a key of a budget: the router itself applies it, and changes take effect while the router runs.
 const fn budget(name: &'static str, unit: Unit, bounds: [f64; 2], description: &'static str) -> Key {
     key(name, None, unit, bounds, InService, description)
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The policy by which all routers of a fleet decide: what it may set ([`keys`]), what budgets it declares
-//! ([`budgets`]), what was agreed of it ([`AgreedState`]), and whether a change caused failures
-//! ([`Probation`]).
+//! The policy that all routers of a fleet apply. This crate defines the keys that a policy may set
+//! ([`keys`]), the budgets that it declares ([`budgets`]), the replicated state of the fleet and of its
+//! policy changes ([`AgreedState`]), and the test for changes that cause failures ([`Probation`]).
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers. The guarantees, and the argument why they
-//! hold, are in `docs/design/policy.md`.
+//! The crate does no I/O, reads no clock and draws no random numbers. `docs/design/policy.md` states its
+//! guarantees and why they hold.
 
 mod agreed;
 pub mod budgets;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,54 +1,54 @@
-//! One policy: numbers by key, with a hash of its content.
+//! A policy: a number for each key that is set, and a hash of its content.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// How many bytes of the SHA-256 digest identify a policy.
+/// The number of bytes of the SHA-256 digest that identify a policy.
 const HASH_BYTES: usize = 8;
 
-/// Numbers by the keys that [`crate::keys`] declares, in the units declared there. Flags are 0 or 1.
+/// The numbers of a policy by key. [`crate::keys`] declares the keys and their units; flags are 0 or 1.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Policy(pub BTreeMap<String, f64>);
 
-/// A key by which two policies differ.
+/// A key whose number differs between two policies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Difference<'a> {
     /// The key.
     pub key: &'a str,
-    /// The number of the one policy, if it sets the key.
+    /// The number in the first policy; `None` if that policy does not set the key.
     pub old: Option<f64>,
-    /// The number of the other policy, if it sets the key.
+    /// The number in the second policy; `None` if that policy does not set the key.
     pub new: Option<f64>,
 }
 
 impl Policy {
-    /// The number of a key, if the policy sets it.
+    /// Returns the number of a key; `None` if the policy does not set the key.
     pub fn get(&self, key: &str) -> Option<f64> {
         self.0.get(key).copied()
     }
 
-    /// The first 16 hex digits of the SHA-256 of all keys and numbers, in the order of keys.
+    /// Returns the first 16 hex digits of the SHA-256 of all keys and numbers, in key order.
     pub fn hash(&self) -> String {
         let mut hasher = Sha256::new();
         for (key, number) in &self.0 {
             hasher.update((key.len() as u64).to_be_bytes());
             hasher.update(key.as_bytes());
-            // The sum turns negative zero into zero: both are the same number.
+            // Adding zero turns negative zero into zero, so that policies that compare equal hash alike.
             hasher.update((number + 0.0).to_bits().to_be_bytes());
         }
         hasher.finalize().iter().take(HASH_BYTES).map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// This policy with other numbers for some keys.
+    /// Returns a copy of this policy in which the given keys have the given numbers.
     pub fn with(&self, changes: impl IntoIterator<Item = (String, f64)>) -> Self {
         let mut changed = self.clone();
         changed.0.extend(changes);
         changed
     }
 
-    /// This policy with other numbers for some keys, and without the keys that have no number.
+    /// Returns a copy of this policy in which each given key has the given number, or is removed for `None`.
     pub fn changed(&self, changes: impl IntoIterator<Item = (String, Option<f64>)>) -> Self {
         let mut changed = self.clone();
         for (key, number) in changes {
@@ -60,7 +60,7 @@
         changed
     }
 
-    /// The keys by which `other` differs from this policy, in their order.
+    /// Returns the keys whose numbers differ between this policy and `other`, in key order.
     pub fn differences<'a>(&'a self, other: &'a Self) -> Vec<Difference<'a>> {
         let mut keys: Vec<&str> = self.0.keys().chain(other.0.keys()).map(String::as_str).collect();
         keys.sort_unstable();
