--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -1,6 +1,8 @@
-//! Golden file of the fleet's policy: every key with its declaration, and the hashes of some policies.
-//! Replicas of one fleet compare policies by hash, so a hash must be the same in every version of the
-//! program.
+//! Golden file of the policy: the declaration of every key, and the hashes and encodings of some policies.
+//! Replicas of one fleet compare policies by hash, so a policy must have the same hash in every version of
+//! the program.
+//!
+//! This command replaces the file:
 //!
 //! ```sh
 //! cargo test -p tindoor-policy --test golden -- --ignored record
@@ -12,7 +14,7 @@
 
 use tindoor_policy::{Policy, keys};
 
-fn file() -> PathBuf {
+fn golden_path() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/policy.txt")
 }
 
@@ -20,8 +22,8 @@
     Policy::default().with(keys.iter().map(|(key, number)| (key.to_string(), *number)))
 }
 
-/// Each key at the least, or else at the most, of its bounds; those of request classes for a request class
-/// called `video`.
+/// Returns a policy that sets each key to one of its bounds. The keys of request classes are those of a class
+/// named `video`.
 fn policy_at_bounds(bound: impl Fn(&keys::Key) -> f64) -> Policy {
     let setting = |key: &keys::Key| (key.name.replace('*', "video"), bound(key));
     Policy::default().with(keys::KEYS.iter().map(setting))
@@ -46,7 +48,7 @@
     format!("key {name} | fact {fact:?} | {unit} | {min} to {max} | {applies} | {description}")
 }
 
-/// The name of a setting in the version that recorded the file.
+/// Returns the name of a setting in the golden file, which keeps the names of the version that recorded it.
 fn recorded_name(setting: keys::Setting) -> &'static str {
     use keys::Setting::*;
     match setting {
@@ -77,7 +79,7 @@
     }
 }
 
-fn described() -> String {
+fn golden_text() -> String {
     let mut text = String::new();
     for key in keys::KEYS {
         writeln!(text, "{}", describe_key(key)).unwrap();
@@ -91,16 +93,16 @@
 }
 
 #[test]
-fn keys_and_hashes_of_policies_are_as_recorded() {
-    let recorded = fs::read_to_string(file()).unwrap();
-    for (line, recorded) in described().lines().zip(recorded.lines()) {
+fn declarations_hashes_and_encodings_match_the_golden_file() {
+    let recorded = fs::read_to_string(golden_path()).unwrap();
+    for (line, recorded) in golden_text().lines().zip(recorded.lines()) {
         assert_eq!(line, recorded);
     }
-    assert_eq!(described(), recorded);
+    assert_eq!(golden_text(), recorded);
 }
 
 #[test]
 #[ignore = "replaces the golden file"]
 fn record() {
-    fs::write(file(), described()).unwrap();
+    fs::write(golden_path(), golden_text()).unwrap();
 }
--- a/crates/policy/tests/keys.rs
+++ b/crates/policy/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Tests of the keys of a policy, and of its hash.
+//! Tests of the keys of a policy and of its hash.
 
 use std::collections::BTreeMap;
 
@@ -26,26 +26,26 @@
 }
 
 #[test]
-fn a_policy_follows_the_settings_and_changes_only_keys_that_may_change() {
+fn a_policy_reproduces_its_settings_and_only_valid_changes_are_accepted() {
     let (settings, classes) = deployment();
-    let own = keys::from_settings(&settings, &classes);
-    assert_eq!(own.0["offering.pages.latency_goal_ms"], 300.0);
+    let current = keys::from_settings(&settings, &classes);
+    assert_eq!(current.0["offering.pages.latency_goal_ms"], 300.0);
     assert_eq!(
-        keys::apply_to_settings(&own, &settings, &classes).unwrap(),
+        keys::apply_to_settings(&current, &settings, &classes).unwrap(),
         settings,
-        "applying a policy restores the settings that it was made from"
+        "applying a policy restores the settings that it was derived from"
     );
-    let change = |name: &str, number: f64| own.with([(name.to_string(), number)]);
-    let check = |new: &Policy| keys::check_change(&own, new, &classes);
+    let change = |name: &str, number: f64| current.with([(name.to_string(), number)]);
+    let check = |new: &Policy| keys::check_change(&current, new, &classes);
     assert_eq!(check(&change("offering.pages.latency_goal_ms", 250.0)), Ok(()));
-    let why = |name: &str, number: f64| check(&change(name, number)).unwrap_err().to_string();
-    assert!(why("offering.pages.cut_off_ms", 2000.0).contains("at a start only"));
-    assert!(why("offering.videos.fresh_ms", 1.0).contains("no offering"));
-    assert!(why("fresh", 1.0).contains("no such key"));
-    assert!(why("most_dispatches", 2.5).contains("whole number"));
-    assert!(why("longest_come_back_ms", f64::NAN).contains("is not from"));
-    assert!(why("offering.pages.latency_goal_ms", 4000.0).contains("cut-off"));
-    assert!(why("offering.pages.fresh_ms", 70_000.0).contains("outlive the memory of its purge"));
+    let rejection = |name: &str, number: f64| check(&change(name, number)).unwrap_err().to_string();
+    assert!(rejection("offering.pages.cut_off_ms", 2000.0).contains("at a start only"));
+    assert!(rejection("offering.videos.fresh_ms", 1.0).contains("no offering"));
+    assert!(rejection("fresh", 1.0).contains("no such key"));
+    assert!(rejection("most_dispatches", 2.5).contains("whole number"));
+    assert!(rejection("longest_come_back_ms", f64::NAN).contains("is not from"));
+    assert!(rejection("offering.pages.latency_goal_ms", 4000.0).contains("cut-off"));
+    assert!(rejection("offering.pages.fresh_ms", 70_000.0).contains("outlive the memory of its purge"));
 }
 
 fn policy(number: f64) -> Policy {
