--- a/crates/consensus/src/node/activation.rs
+++ b/crates/consensus/src/node/activation.rs
@@ -119,7 +119,7 @@
         if !self.checks.staged_activation {
             return Some(FleetTime(time.midpoint()));
         }
-        if time.error_bound() > self.timings.clock_bound * 0.5 || !self.agreed.has_clocks() {
+        if time.error_bound() > self.timings.clock_bound * 0.5 || !self.agreed.has_enough_clocks() {
             return None;
         }
         let lease = self.timings.lease + self.timings.drift(self.timings.lease);
--- a/crates/policy/src/agreed/state.rs
+++ b/crates/policy/src/agreed/state.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns whether there are enough clocks for a change to be decided.
-    pub fn has_clocks(&self) -> bool {
+    pub fn has_enough_clocks(&self) -> bool {
         self.clocks.len() >= self.members.members().len().min(MIN_CLOCKS)
     }
 
@@ -238,9 +238,11 @@
     /// Decides the activation time of a change, unless too few clocks are left: a clock may have been removed
     /// since the leader checked their number, and nothing would reveal a jump of the last clock.
     fn decide(&mut self, generation: u64, activation_time: FleetTime) -> Vec<Transition> {
-        let has_clocks = self.has_clocks();
+        let has_enough_clocks = self.has_enough_clocks();
         match &mut self.staged {
-            Some(staged) if staged.version.generation == generation && !staged.is_decided() && has_clocks => {
+            Some(staged)
+                if staged.version.generation == generation && !staged.is_decided() && has_enough_clocks =>
+            {
                 staged.activation_time = Some(activation_time);
                 vec![Transition::Decided(generation, activation_time)]
             }
