--- a/crates/policy/src/agreed/proposal.rs
+++ b/crates/policy/src/agreed/proposal.rs
@@ -31,7 +31,7 @@
     pub base_generation: u64,
     /// The proposed policy.
     pub policy: Policy,
-    /// The generation that the proposal reverts; `None` if it is no revert.
+    /// The generation that the proposal reverts; `None` if it is not a revert.
     pub reverts: Option<u64>,
     /// The author of the proposal.
     pub author: String,
@@ -46,7 +46,7 @@
     pub version: PolicyVersion,
     /// The token of the proposal.
     pub token: u64,
-    /// The generation that the change reverts; `None` if it is no revert.
+    /// The generation that the change reverts; `None` if it is not a revert.
     pub reverts: Option<u64>,
     /// The author of the proposal.
     pub author: String,
@@ -105,7 +105,7 @@
     pub author: String,
     /// The author's note.
     pub note: String,
-    /// The generation that the proposal reverts; `None` if it is no revert.
+    /// The generation that the proposal reverts; `None` if it is not a revert.
     #[serde(rename = "undoes")]
     pub reverts: Option<u64>,
     /// How the proposal ended.
--- a/crates/policy/src/agreed/state.rs
+++ b/crates/policy/src/agreed/state.rs
@@ -192,8 +192,8 @@
     }
 
     /// Removes the clocks of routers that are no longer members, except while a decided change waits for its
-    /// activation: the readings of these clocks still define the activation time, and with a single clock
-    /// left, nothing would reveal a jump of it.
+    /// activation: the readings of these clocks still define the activation time, and nothing would reveal a
+    /// jump of a single clock left.
     fn remove_clocks_of_non_members(&mut self) {
         if !self.has_decided_change() {
             let members = &self.members;
--- a/crates/policy/src/budgets/charges.rs
+++ b/crates/policy/src/budgets/charges.rs
@@ -66,8 +66,8 @@
         ChargedKeys { keys, count }
     }
 
-    /// Returns whether an attempt with this outcome may have caused a fill from the origin. The answer is yes
-    /// unless the outcome rules it out.
+    /// Returns whether an attempt with this outcome may have caused a fill from the origin: true unless the
+    /// outcome rules such a fill out.
     pub fn may_have_filled(&self, outcome: Outcome) -> bool {
         use AttemptStatus::{Miss, Overloaded, Served, Superseded, Unreachable};
         use OutcomeDetail::{FilledFromSource, Hit, JoinedFill, OriginFailed, StaleHit};
--- a/crates/policy/src/budgets/limits.rs
+++ b/crates/policy/src/budgets/limits.rs
@@ -6,10 +6,10 @@
 use super::{Budget, scope_of_name};
 use crate::{Policy, PolicyError};
 
-/// The fraction of each total that is set aside for guaranteed minima if the policy does not set it.
+/// The default fraction of each total that is set aside for guaranteed minima.
 const DEFAULT_GUARANTEED_FRACTION: f64 = 0.1;
 
-/// The sliding window of slow start if the policy does not set it.
+/// The default sliding window of slow start.
 const DEFAULT_SLOW_START_WINDOW: Span = Span::millis(1000);
 
 /// The total of a fraction budget, in units: one unit is a thousandth of the whole.
@@ -57,8 +57,8 @@
     policy.get("budget.further.per_success")
 }
 
-/// Returns the limits of all budgets under a policy; no limits if the policy does not bound the number of
-/// routers.
+/// Returns the limits of all budgets under a policy. The plan is empty if the policy does not bound the number
+/// of routers.
 pub fn plan(policy: &Policy) -> BudgetPlan {
     let mut plan = BudgetPlan::default();
     let Some(max_routers) = max_routers(policy).filter(|most| *most > 0) else { return plan };
--- a/crates/policy/src/keys.rs
+++ b/crates/policy/src/keys.rs
@@ -85,7 +85,7 @@
 /// The prefix of the keys of request classes.
 const CLASS_PREFIX: &str = "offering.";
 
-/// The prefix of the declarations of such keys.
+/// The prefix of the names in declarations of such keys; the asterisk stands for the class.
 const ANY_CLASS_PREFIX: &str = "offering.*.";
 
 /// The names of the request classes, in the order of the settings.
--- a/crates/policy/src/probation.rs
+++ b/crates/policy/src/probation.rs
@@ -217,7 +217,7 @@
 
     fn test_cell(&self, comparison: &Comparison, all: &[Comparison], thresholds: Thresholds) -> CellFinding {
         let Comparison { cell, baseline, after } = *comparison;
-        // If a cell began to fail before the change, its count is compared with the fraction just before it.
+        // If a cell began to fail before the change, the test expects the fraction of the recent window.
         let full = baseline.full.fraction_in_time();
         let has_recent = baseline.recent.requests >= self.limits.min_requests / 3;
         let recent = if has_recent { baseline.recent.fraction_in_time().min(full) } else { full };
