--- a/crates/policy/src/budgets/limits.rs
+++ b/crates/policy/src/budgets/limits.rs
@@ -57,8 +57,8 @@
     policy.get("budget.further.per_success")
 }
 
-/// Returns the limits of all budgets under a policy. The plan is empty if the policy does not bound the number
-/// of routers.
+/// Returns the limits of all budgets under a policy. The plan is empty if the policy does not bound the
+/// number of routers.
 pub fn plan(policy: &Policy) -> BudgetPlan {
     let mut plan = BudgetPlan::default();
     let Some(max_routers) = max_routers(policy).filter(|most| *most > 0) else { return plan };
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -130,7 +130,7 @@
     let filled = Outcome::new(AttemptStatus::Served, OutcomeDetail::FilledFromSource);
     assert!(
         !reported.may_have_filled(filled) && unreported.may_have_filled(filled),
-        "a fill from a parent may come from the origin, unless caches report fills from the origin"
+        "a parent may have filled from the origin, unless caches report fills from the origin"
     );
 }
 
