--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,79 +1,82 @@
-//! What a node is started with.
+//! The configuration of a node.
 
 use tindoor_membership::{Incarnation, Timings};
 use tindoor_policy::ProbationLimits;
 
 use crate::storage::StoredState;
 
-/// Everything a [`Node`](crate::Node) is started with.
+/// The configuration with which a [`Node`](crate::Node) starts.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The fleet's name, the same at all its routers.
+    /// The fleet's name. All routers of a fleet must use the same name.
     pub fleet: String,
-    /// Who this router is.
+    /// The identity of this router.
     pub identity: LocalIdentity,
-    /// The fleet's timings, the same at all its routers.
+    /// The fleet's timings. All routers of a fleet must use the same timings.
     pub timings: Timings,
-    /// Sizes and intervals.
+    /// The node's size limits and intervals.
     pub limits: Limits,
-    /// The safety checks; all are on in service.
+    /// The safety checks. All of them are enabled in production.
     pub checks: SafetyChecks,
-    /// Addresses of the routers to contact first.
+    /// Addresses of the routers to contact first, before any member is known.
     pub seeds: Vec<String>,
-    /// What this replica's storage holds, if it was written before.
+    /// The contents of this replica's storage. `None` if nothing was ever written to it.
     pub stored: Option<StoredState>,
-    /// The seed of all random draws.
+    /// The seed of the node's random number generator.
     pub random_seed: u64,
 }
 
-/// Who this router is.
+/// The identity of a router.
 #[derive(Clone, Debug)]
 pub struct LocalIdentity {
-    /// This process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// The router's name, which outlives its processes.
+    /// The router's name, which stays the same across restarts.
     pub name: String,
-    /// Where its peers reach it.
+    /// The address at which peers reach this router.
     pub address: String,
-    /// Its location, by its position in the deployment's list.
+    /// The router's location, as an index into the deployment's list of locations.
     pub location: u16,
-    /// Its replica id, if it may vote: that of its storage, or one drawn for this process.
+    /// The replica id: the one in its storage, or a random one for this process. `None` if the router may not
+    /// vote.
     pub replica_id: Option<u64>,
-    /// The process before this one, where that one is proved to have ended.
+    /// The previous process of this router. `None` unless that process is proved to have ended.
     pub predecessor: Option<Incarnation>,
 }
 
-/// Sizes and intervals of a node.
+/// Size limits and intervals of a node.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Voters that the fleet should have.
+    /// The target number of voters in the fleet.
     pub voters: usize,
-    /// Peers that are sent a status request each heartbeat.
+    /// The number of random peers that are sent a status request at each heartbeat.
     pub status_requests: usize,
-    /// Ticks in a heartbeat interval.
+    /// The number of ticks in a heartbeat interval.
     pub ticks_per_heartbeat: u32,
-    /// Confirmations of other peers in one status response.
+    /// The maximum number of other peers' confirmations in one status response.
     pub peer_confirmations: usize,
-    /// Recent log entries that are kept for peers that lag behind.
+    /// The maximum number of recent log entries that are kept for peers that lag behind.
     pub recent_entries: usize,
-    /// Status and read requests without a response that are remembered.
+    /// The maximum number of unanswered status requests that are tracked. The same limit applies to
+    /// unconfirmed read requests.
     pub outstanding_requests: usize,
-    /// Submitted commands whose outcome is not yet known.
+    /// The maximum number of submitted commands whose outcome is not yet known.
     pub pending_commands: usize,
-    /// Heartbeats between two outcome reports.
+    /// The interval between outcome reports, in heartbeats.
     pub report_interval: u32,
-    /// Heartbeats until a pending command is sent again.
+    /// The interval after which pending commands are sent again, in heartbeats.
     pub resend_interval: u32,
-    /// How often a command is forwarded.
+    /// The maximum number of times that a command is forwarded.
     pub command_hops: u8,
-    /// When a change on probation is reverted.
+    /// The limits by which a change on probation is kept or reverted.
     pub probation: ProbationLimits,
-    /// Up to so many members request quota from the leader itself; in larger fleets one member of each
-    /// location passes quota on.
+    /// The largest fleet, in members, in which every member requests quota directly from the leader. In
+    /// larger fleets one member of each location requests quota and grants it to the other members there.
     pub direct_quota_members: usize,
-    /// Unanswered quota requests in a row, after which another member of the location is asked.
+    /// The number of consecutive unanswered quota requests after which another member of the location is
+    /// asked.
     pub unanswered_quota_requests: u32,
-    /// This router's weight where budgets are divided.
+    /// This router's weight in the division of budgets.
     pub quota_weight: u64,
 }
 
@@ -98,18 +101,18 @@
     }
 }
 
-/// The safety checks of a node. All are on in service; a fault experiment disables one to show that its audit
-/// detects the fault.
+/// The safety checks of a node. All are enabled in production. A fault experiment disables one of them to
+/// show that the experiment's audit detects the resulting fault.
 #[derive(Clone, Copy, Debug)]
 pub struct SafetyChecks {
-    /// Requests are accepted only while the lease is valid.
+    /// Accept requests only while the lease is valid.
     pub lease: bool,
-    /// A change is activated a lease after its decision, once the silent members can't go on by the old
-    /// policy.
+    /// Decide a change only once members that do not respond can no longer apply the old policy beyond its
+    /// activation, and activate it one lease after the decision.
     pub staged_activation: bool,
-    /// A proposal must be made from the policy in force.
+    /// Accept a proposal only if its base generation is the generation in force.
     pub compare_generation: bool,
-    /// The checks of budgets.
+    /// The safety checks of quota.
     pub quota: tindoor_quota::SafetyChecks,
 }
 
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -1,4 +1,5 @@
-//! What a leader knows beyond the replicated state. It is not replicated: the next leader finds it out anew.
+//! The state that a leader keeps in addition to the replicated state. It is not replicated: each new leader
+//! starts without it.
 
 use std::collections::BTreeMap;
 
@@ -6,26 +7,30 @@
 use tindoor_membership::Incarnation;
 use tindoor_policy::{LogEntry, Probation};
 
-/// Results of checking a proposed policy, by member; an objection or none.
+/// The results of checking a proposed policy, by member: the objection, or `None` if the member can apply the
+/// policy.
 pub(crate) type CheckResults = BTreeMap<Incarnation, Option<String>>;
 
 /// The state of one term of leadership.
 pub(crate) struct Leadership {
-    /// Since when this replica leads.
+    /// When this replica became the leader.
     pub since: Moment,
-    /// The term in which it leads.
+    /// The term of this leadership.
     pub term: u64,
-    /// The generation whose decision was proposed: once, with one activation time.
+    /// The generation whose decision was proposed. A decision is proposed once, with a single activation
+    /// time.
     pub decision_proposed: Option<u64>,
-    /// When a change of the voters was last proposed.
+    /// When a step of a membership change (begin, finish or hand over the leadership) was last started.
     pub membership_change_proposed: Option<Moment>,
-    /// Since when the fleet's time is not known precisely enough.
+    /// Since when the fleet's time has not been known precisely enough.
     pub time_uncertain_since: Option<Moment>,
-    /// The test of the change on probation.
+    /// The ongoing assessment of the change on probation.
     pub probation: Option<Probation>,
+    /// The results of checking `checked_generation`.
     check_results: CheckResults,
+    /// The generation to which `check_results` belong.
     checked_generation: u64,
-    /// Entries that were proposed and may not yet be committed.
+    /// Entries that were proposed and may not yet be committed, with the time of their proposal.
     proposed: Vec<(LogEntry, Moment)>,
 }
 
@@ -44,7 +49,7 @@
         }
     }
 
-    /// The leader's clock has jumped: its waits begin anew. What it has decided stays decided.
+    /// Restarts all waiting periods after a jump of the leader's clock. Proposed decisions stay recorded.
     pub fn clock_jumped(&mut self, now: Moment) {
         self.since = now;
         self.membership_change_proposed = self.membership_change_proposed.map(|_| now);
@@ -53,22 +58,23 @@
         self.probation = None;
     }
 
-    /// Forgets entries that were proposed that long ago: they may have been lost, and are proposed again.
+    /// Forgets entries that were proposed at least `retry_after` ago, so that they are proposed again: they
+    /// may have been lost.
     pub fn expire_proposals(&mut self, now: Moment, retry_after: Span) {
         self.proposed.retain(|(_, at)| now.since(*at) < retry_after);
     }
 
-    /// Whether that entry was proposed and may not yet be committed.
+    /// Returns whether an entry was proposed and may not yet be committed.
     pub fn is_proposed(&self, entry: &LogEntry) -> bool {
         self.proposed.iter().any(|(proposed, _)| proposed == entry)
     }
 
-    /// Remembers that this entry was proposed.
+    /// Records that an entry was proposed.
     pub fn record_proposal(&mut self, now: Moment, entry: LogEntry) {
         self.proposed.push((entry, now));
     }
 
-    /// Records a member's check of a proposed policy.
+    /// Records the result of a member's check of a proposed policy.
     pub fn record_check(&mut self, generation: u64, member: Incarnation, objection: Option<String>) {
         if self.checked_generation != generation {
             self.checked_generation = generation;
@@ -77,7 +83,7 @@
         self.check_results.insert(member, objection);
     }
 
-    /// The results of checking that generation.
+    /// Returns the results of checking a generation.
     pub fn check_results(&self, generation: u64) -> &CheckResults {
         static NONE: CheckResults = CheckResults::new();
         if self.checked_generation == generation { &self.check_results } else { &NONE }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,10 +1,11 @@
-//! One router's part in its fleet, without I/O.
+//! The consensus node of a router: replicated state, leases and leadership, without I/O.
 //!
-//! A [`Node`] is passed the messages that arrived and the current time, and returns [`Action`]s: what is to
-//! be sent, written and checked. Agreement among the voters is by the `raft` library; the replicated state is
-//! [`tindoor_policy::AgreedState`]; leases, clocks and failure detection are in `tindoor_membership`.
+//! The owner of a [`Node`] passes it the received messages and the current time, and performs the [`Action`]s
+//! that the node requests: messages to send, data to write and policies to check. The voters agree on a log
+//! with the `raft` library; the replicated state is [`tindoor_policy::AgreedState`]; leases, clocks and
+//! failure detection are in `tindoor_membership`.
 //!
-//! What is promised, and why it holds, is in `docs/design/policy.md`.
+//! The guarantees of the protocol, and why they hold, are described in `docs/design/policy.md`.
 
 mod actions;
 mod config;
--- a/crates/consensus/src/membership_change.rs
+++ b/crates/consensus/src/membership_change.rs
@@ -1,32 +1,35 @@
-//! Which replicas are to vote: an odd number of them, as an even one needs one more for a quorum and
-//! tolerates no more failures. A change is one joint step, in which the voters before and after it must both
-//! agree.
+//! Plans which replicas vote. The number of voters should be odd: an even number needs a larger quorum and
+//! tolerates no more failures than the odd number below it. A change uses joint consensus: until it is
+//! finished, the voters before it and the voters after it must both agree.
 
 /// A voter, or a replica that may become one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaInfo {
-    /// Its replica id.
+    /// The replica id.
     pub replica_id: u64,
-    /// Its location.
+    /// The replica's location.
     pub location: u16,
-    /// Whether it was heard from recently. A voter that was not is replaced.
+    /// Whether this replica was heard from recently. Unreachable voters are replaced.
     pub is_reachable: bool,
 }
 
-/// Replicas that become voters and voters that cease to be, in one step.
+/// Replicas that become voters and voters that stop being voters, in one step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipChange {
     /// Replica ids that become voters.
     pub added: Vec<u64>,
-    /// Replica ids that cease to be voters.
+    /// Replica ids that stop being voters.
     pub removed: Vec<u64>,
 }
 
-/// The next change of the voters, if any is due. `leader` stays a voter. All `candidates` are reachable.
+/// Returns the next change of the voters. `None` if no change is needed or possible.
 ///
-/// An unreachable voter is replaced in one step: if its replacement were added first and it were removed
-/// after that, the fleet would meanwhile need a larger quorum than it has. From one voter on two are added at
-/// once, as two voters need both.
+/// `leader` always stays a voter. All `candidates` must be reachable. The target number of voters is
+/// `wanted`, or the odd number below it if `wanted` is even.
+///
+/// An unreachable voter is replaced in one step. If its replacement were added first and the unreachable
+/// voter removed later, the fleet would need a larger quorum in between than it may be able to form. A single
+/// voter is extended by two voters at once, because a fleet of two voters would need both for a quorum.
 pub fn plan_membership_change(
     leader: u64,
     voters: &[ReplicaInfo],
@@ -50,6 +53,7 @@
     Some(plan.change).filter(|change| *change != MembershipChange::default())
 }
 
+/// A change under construction, with the voters and candidates that remain after it.
 struct Plan {
     leader: u64,
     voters: Vec<ReplicaInfo>,
@@ -58,18 +62,19 @@
 }
 
 impl Plan {
-    /// An unreachable voter first, then one of the location that has most voters.
+    /// Returns the voter to remove next: an unreachable voter if there is one, otherwise a voter in the
+    /// location with the most voters. Never returns the leader.
     fn next_to_remove(&self) -> Option<ReplicaInfo> {
         self.voters.iter().copied().filter(|voter| voter.replica_id != self.leader).max_by_key(|voter| {
-            (!voter.is_reachable, in_location(&self.voters, voter.location), voter.replica_id)
+            (!voter.is_reachable, count_in_location(&self.voters, voter.location), voter.replica_id)
         })
     }
 
-    /// A candidate of the location that has fewest of these voters, so that no location has most of them.
+    /// Takes a candidate from the location with the fewest of `voters`, so that no location has most of them.
     fn take_candidate(&mut self, voters: &[ReplicaInfo]) -> Option<ReplicaInfo> {
         let key = |index: &usize| {
             let candidate = &self.candidates[*index];
-            (in_location(voters, candidate.location), candidate.replica_id)
+            (count_in_location(voters, candidate.location), candidate.replica_id)
         };
         let next = (0..self.candidates.len()).min_by_key(key)?;
         Some(self.candidates.swap_remove(next))
@@ -101,7 +106,8 @@
         }
     }
 
-    /// Adds as many as it takes to the next odd number, or none.
+    /// Adds the number of voters that is missing to the next odd number, or none if there are too few
+    /// candidates.
     fn grow(&mut self) -> Option<()> {
         let missing = if self.voters.len().is_multiple_of(2) { 1 } else { 2 };
         while self.change.added.len() < missing && self.candidates.len() + self.change.added.len() >= missing
@@ -115,6 +121,6 @@
     }
 }
 
-fn in_location(voters: &[ReplicaInfo], location: u16) -> usize {
+fn count_in_location(voters: &[ReplicaInfo], location: u16) -> usize {
     voters.iter().filter(|voter| voter.location == location).count()
 }
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -1,20 +1,20 @@
 //! Messages between routers of a fleet, and their encoding.
 //!
-//! The encoding is by position: the order of fields and variants must not change.
+//! The encoding is positional: the order of fields and variants must not change.
 
 use serde::{Deserialize, Serialize};
 use tindoor_membership::{ClockOffset, Incarnation, Member};
 use tindoor_policy::{OutcomeCount, Proposal};
 use tindoor_quota::{QuotaGrant, QuotaRequest};
 
-/// One message with its header.
+/// A message with its header.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The fleet's name, as all its routers are configured.
+    /// The configured name of the fleet, the same at all its routers.
     pub fleet: String,
-    /// The process that sent it.
+    /// The process that sent the message.
     pub sender: Incarnation,
-    /// Where its sender is reached.
+    /// The address at which the sender is reached.
     pub sender_address: String,
     /// The message.
     pub message: Message,
@@ -23,129 +23,129 @@
 /// A message between two routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for what the recipient knows beyond the sender's index.
+    /// Requests the recipient's status and everything it has applied beyond the sender's index.
     StatusRequest {
-        /// Correlates the response.
+        /// The number that correlates the response with this request.
         nonce: u64,
-        /// The fleet's number; 0 where the sender knows of none.
+        /// The fleet's number, or 0 if the sender does not know it.
         fleet: u64,
-        /// The sender's index.
+        /// The index of the last entry that the sender has applied.
         index: u64,
-        /// Whether confirmations of other peers are wanted.
+        /// Whether the response should contain confirmations by other peers.
         wants_peer_confirmations: bool,
     },
     /// The response to a status request.
     StatusResponse {
-        /// That of the request.
+        /// The nonce of the request.
         nonce: u64,
-        /// The sender's clock, in microseconds.
+        /// The time by the sender's clock, in microseconds.
         clock_micros: i64,
-        /// Clocks that the sender can read, relative to its own.
+        /// The clocks that the sender can read, as offsets from its own clock.
         clock_offsets: Vec<ClockOffset>,
-        /// The sender's index.
+        /// The index of the last entry that the sender has applied.
         index: u64,
-        /// Whether no change waits for its decision at that index, so that the sender confirms the index
-        /// itself.
+        /// Whether the sender confirms this index. It does so only if no undecided change is staged at the
+        /// index.
         confirms_index: bool,
-        /// The latest confirmation by a quorum of the voters that the sender knows.
+        /// The latest confirmation by a quorum of the voters that is known to the sender.
         quorum_confirmation: Option<AgedConfirmation>,
-        /// Confirmations by other peers of the same index.
+        /// Confirmations of the same index by other peers.
         peer_confirmations: Vec<PeerConfirmation>,
-        /// What the requester lacks.
+        /// The log entries or the state that the requester is missing.
         catch_up: CatchUp,
-        /// Where the leader is reached.
+        /// The leader's address, if the sender knows it.
         leader_address: Option<String>,
     },
     /// A message of the `raft` library.
     Raft(Vec<u8>),
-    /// What quota the sender demands and holds.
+    /// The quota that the sender demands and the quota that it holds.
     QuotaRequest(QuotaRequest),
-    /// What quota the recipient is granted.
+    /// The quota that is granted to the recipient.
     QuotaGrant(QuotaGrant),
-    /// A command for the leader, forwarded by members that do not lead.
+    /// A command for the leader. Members that are not the leader forward it.
     Command {
-        /// How often it was forwarded.
+        /// How many times the command was forwarded.
         hops: u8,
         /// The command.
         command: Command,
     },
 }
 
-/// A confirmation by a quorum of the voters, as another router tells of it.
+/// A confirmation by a quorum of the voters, as reported by another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgedConfirmation {
-    /// The index that was committed.
+    /// The commit index that was confirmed.
     pub index: u64,
-    /// How old it is at most, in microseconds.
+    /// The maximum age of the confirmation, in microseconds.
     pub age_micros: u64,
 }
 
-/// A confirmation by one peer, as another router tells of it.
+/// A confirmation by one peer, as reported by another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerConfirmation {
-    /// The peer that confirmed.
+    /// The peer that confirmed the index.
     pub peer: Incarnation,
-    /// How old it is at most, in microseconds.
+    /// The maximum age of the confirmation, in microseconds.
     pub age_micros: u64,
 }
 
-/// What the sender of a status request lacks.
+/// The part of the replicated state that the sender of a status request is missing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CatchUp {
-    /// Nothing.
+    /// Nothing is missing.
     None,
-    /// Log entries without a gap.
+    /// Consecutive log entries.
     Entries {
-        /// The index of the first of them.
+        /// The index of the first entry.
         first: u64,
-        /// The entries.
+        /// The encoded entries.
         entries: Vec<Vec<u8>>,
     },
-    /// The whole replicated state.
+    /// The whole replicated state, encoded.
     Snapshot(Vec<u8>),
 }
 
-/// Something for the leader to do.
+/// A command for the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// Add a member.
     Join {
-        /// Its process.
+        /// The member's process.
         incarnation: Incarnation,
-        /// The member.
+        /// The member's name, address, location and replica id.
         member: Member,
-        /// A process that is proved to have ended.
+        /// The previous process of the router, if that process is proved to have ended.
         predecessor: Option<Incarnation>,
     },
-    /// Remove a member that accepts no more requests.
+    /// Remove a member that no longer accepts requests.
     Leave {
-        /// Its process.
+        /// The member's process.
         incarnation: Incarnation,
     },
-    /// The result of checking a proposed policy.
+    /// Report the result of checking a proposed policy.
     PolicyCheck {
         /// The generation that was checked.
         generation: u64,
-        /// Who checked it.
+        /// The process that checked it.
         incarnation: Incarnation,
-        /// Why it can't be applied; none where it can.
+        /// Why the policy can't be applied. `None` if it can be applied.
         objection: Option<String>,
     },
     /// Propose a change of the policy.
     Propose(Proposal),
     /// Cancel a proposal that is not yet decided.
     Withdraw {
-        /// Its generation.
+        /// The generation of the proposal.
         generation: u64,
     },
     /// Remove a member that is known to have ended.
     RemoveMember {
-        /// Its name.
+        /// The member's name.
         name: String,
     },
-    /// Outcomes of requests since the last report. It also proves that the sender is alive.
+    /// Report the outcomes of requests since the last report. The report also shows that the sender is alive.
     ReportOutcomes {
-        /// The sender.
+        /// The sender's process.
         incarnation: Incarnation,
         /// The sender's location.
         location: u16,
@@ -154,20 +154,20 @@
     },
 }
 
-/// Outcomes of the requests of one class that were decided under one generation.
+/// The outcomes of the requests of one class that were decided under one generation of the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassOutcomes {
     /// The generation of the policy.
     pub generation: u64,
     /// The request class.
     pub class: u16,
-    /// How many there were.
+    /// The number of requests in total, and the number of those in time.
     pub count: OutcomeCount,
 }
 
 /// A message that can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a message can't be decoded")]
+#[error("message can't be decoded: it is malformed or does not end where it should")]
 pub struct UnreadableMessage;
 
 impl Envelope {
@@ -176,7 +176,7 @@
         postcard::to_stdvec(self).expect("plain values can be encoded")
     }
 
-    /// Decodes a complete message; trailing bytes are an error.
+    /// Decodes a complete message. Trailing bytes are an error.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, UnreadableMessage> {
         match postcard::take_from_bytes(bytes) {
             Ok((envelope, [])) => Ok(envelope),
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,5 +1,5 @@
-//! One replica of the log: the `raft` library with what it wants written and sent, in the order that it
-//! needs.
+//! A replica of the log. Drives the `raft` library and returns its writes and messages in the order that the
+//! library requires.
 
 use std::collections::VecDeque;
 
@@ -14,69 +14,70 @@
 use crate::membership_change::MembershipChange;
 use crate::storage::{Compaction, RaftLog, StorageWrite};
 
-/// Ticks until a voter that hears from no leader campaigns.
+/// The minimum number of ticks without a message from a leader after which a voter campaigns.
 const ELECTION_TICKS: usize = 12;
 
-/// Ticks between a leader's heartbeats.
+/// The number of ticks between a leader's `raft` heartbeats.
 const HEARTBEAT_TICKS: usize = 3;
 
-/// Ticks until a snapshot without a response is sent again.
+/// The interval in which snapshots without a response are sent again, in ticks.
 const SNAPSHOT_RETRY_TICKS: u64 = 10;
 
-/// Entries that are kept before they are compacted into a snapshot.
+/// The number of log entries at which the log is compacted into a snapshot.
 const COMPACTION_THRESHOLD_ENTRIES: usize = 512;
 
-/// The largest message of log entries, in bytes.
+/// The maximum size of an append message, in bytes.
 const MAX_APPEND_BYTES: u64 = 64 << 10;
 
-/// Append messages in flight to one follower.
+/// The maximum number of append messages in flight to one follower.
 const MAX_APPENDS_IN_FLIGHT: usize = 64;
 
-/// Proposed entries that are not yet committed, in bytes.
+/// The maximum total size of proposed entries that are not yet committed, in bytes.
 const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 
 /// The `raft` library with this replica's log.
 pub(crate) struct Replica {
     raw: RawNode<RaftLog>,
     replica_id: u64,
-    /// Batches that wait for their write, in order.
+    /// Batches whose writes have not yet completed, in order.
     unpersisted: VecDeque<Batch>,
+    /// The number of ticks since the start.
     ticks: u64,
-    /// A compaction that waits until the library counts its entries as applied.
+    /// A compaction that waits until the library has recorded its entries as applied.
     pending_compaction: Option<Compaction>,
-    /// The write of a compaction, which is done with the next write.
+    /// The write of a compaction. It is merged into the next write.
     compaction_write: Option<StorageWrite>,
 }
 
-/// What depends on one write.
+/// Messages and applied entries that depend on one write.
 struct Batch {
-    /// The library's number of it.
+    /// The number that the library assigned to the batch and its write.
     number: u64,
-    /// Whether its write is not yet done.
+    /// Whether the write has not yet completed.
     is_writing: bool,
-    /// Messages to be sent after the write.
+    /// Messages to send after the write has completed.
     messages: Vec<Message>,
-    /// The index of the last entry that was applied with it; 0 for none.
+    /// The index of the last entry that was applied with this batch, or 0 if there is none.
     applied: u64,
 }
 
-/// What a step of the replica led to.
+/// The output of a step of the replica.
 #[derive(Default)]
 pub(crate) struct ReplicaOutput {
-    /// Messages with the replica ids of their recipients.
+    /// Encoded messages with the replica ids of their recipients.
     pub messages: Vec<(u64, Vec<u8>)>,
-    /// What is to be written.
+    /// Writes to stable storage, in order.
     pub writes: Vec<StorageWrite>,
-    /// A replicated state that takes the place of all before.
+    /// An encoded replicated state that replaces the current one. It precedes the entries in `committed`.
     pub installed: Option<Vec<u8>>,
     /// Committed entries with their indexes.
     pub committed: Vec<(u64, LogEntry)>,
-    /// Reads that a quorum confirmed: the request's number, and the commit index at the request.
+    /// Reads that a quorum confirmed: the number of the request, and the commit index when it was made.
     pub confirmed_reads: Vec<(u64, u64)>,
 }
 
 impl Replica {
-    /// Starts a replica with this log.
+    /// Starts a replica with the given log.
     pub fn start(replica_id: u64, log: RaftLog) -> raft::Result<Self> {
         let config = raft::Config {
             id: replica_id,
@@ -90,8 +91,8 @@
             max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             ..raft::Config::default()
         };
-        let silent = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, log, &silent)?;
+        let discard_logger = slog::Logger::root(slog::Discard, slog::o!());
+        let raw = RawNode::new(&config, log, &discard_logger)?;
         let mut replica = Self {
             raw,
             replica_id,
@@ -104,17 +105,17 @@
         Ok(replica)
     }
 
-    /// Derives the election timeout from replica id, term and ticks. The library draws it from the system's
-    /// random numbers, and a simulation could not be replayed.
+    /// Derives the election timeout from the replica id, the term and the ticks. By default the library draws
+    /// it from the system's random number generator, which would make simulations impossible to replay.
     fn set_election_timeout(&mut self) {
-        let mixed =
+        let hash =
             self.replica_id ^ self.raw.raft.term.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (self.ticks >> 6);
-        let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
-        let extra = ((mixed >> 32) as usize) % ELECTION_TICKS;
-        self.raw.raft.set_randomized_election_timeout(ELECTION_TICKS + extra);
+        let hash = (hash ^ (hash >> 32)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
+        let extra_ticks = ((hash >> 32) as usize) % ELECTION_TICKS;
+        self.raw.raft.set_randomized_election_timeout(ELECTION_TICKS + extra_ticks);
     }
 
-    /// Advances the library's time by one tick.
+    /// Advances the library's clock by one tick.
     pub fn tick(&mut self) {
         self.ticks += 1;
         self.raw.tick();
@@ -124,25 +125,29 @@
         }
     }
 
-    /// Reports snapshots as failed, so that they are sent again: one may have been lost, or refused by a
-    /// replica that is not in it, and the library would wait for its response for ever.
+    /// Reports unanswered snapshots as failed, so that the library sends them again. Otherwise the library
+    /// would wait forever for the response to a snapshot that was lost, or that was rejected because the
+    /// recipient is not among the voters in the snapshot.
     fn retry_snapshots(&mut self) {
-        let awaiting = |progress: &raft::Progress| progress.state == ProgressState::Snapshot;
+        let awaits_response = |progress: &raft::Progress| progress.state == ProgressState::Snapshot;
         let tracker = self.raw.raft.prs().iter();
-        let replica_ids: Vec<u64> =
-            tracker.filter(|(_, progress)| awaiting(progress)).map(|(replica_id, _)| *replica_id).collect();
+        let replica_ids: Vec<u64> = tracker
+            .filter(|(_, progress)| awaits_response(progress))
+            .map(|(replica_id, _)| *replica_id)
+            .collect();
         for replica_id in replica_ids {
             self.raw.report_snapshot(replica_id, SnapshotStatus::Failure);
         }
     }
 
-    /// Campaigns at once, for a fleet that was just bootstrapped.
+    /// Starts an election immediately. Used when a fleet was just bootstrapped.
     pub fn campaign(&mut self) {
         let _ = self.raw.campaign();
         self.set_election_timeout();
     }
 
-    /// Handles a message of another replica. One that can't be decoded is dropped.
+    /// Handles a message from another replica. Drops messages that can't be decoded or have another
+    /// recipient.
     pub fn step(&mut self, bytes: &[u8]) {
         if let Ok(message) = Message::parse_from_bytes(bytes)
             && message.to == self.replica_id
@@ -152,40 +157,43 @@
         }
     }
 
-    /// Whether this replica leads.
+    /// Returns whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader
     }
 
-    /// The replica id of the leader; 0 where none is known.
+    /// Returns the replica id of the leader, or 0 if no leader is known.
     pub fn leader_id(&self) -> u64 {
         self.raw.raft.leader_id
     }
 
-    /// The index of the last entry that was applied.
+    /// Returns the index of the last entry that the library has recorded as applied.
     pub fn applied(&self) -> u64 {
         self.raw.raft.raft_log.applied
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.raw.raft.term
     }
 
-    /// The current term, if this replica leads in it.
+    /// Returns the current term. `None` if this replica is not the leader.
     pub fn led_term(&self) -> Option<u64> {
         self.is_leader().then(|| self.term())
     }
 
-    /// Proposes an entry. False where this replica does not lead, or where too much is uncommitted.
+    /// Proposes an entry. Returns false if this replica is not the leader, or if too many bytes are
+    /// uncommitted.
     pub fn propose(&mut self, entry: &LogEntry) -> bool {
         let data = postcard::to_stdvec(entry).expect("plain values can be encoded");
         self.raw.propose(Vec::new(), data).is_ok()
     }
 
-    /// Proposes a change of the voters. From its commit on, until that of
-    /// [`finish_membership_change`](Self::finish_membership_change), the voters before and after it must both
-    /// agree.
+    /// Proposes a change of the voters by joint consensus. Returns false if the proposal is rejected.
+    ///
+    /// From the commit of the change until the commit of
+    /// [`finish_membership_change`](Self::finish_membership_change), the voters before the change and the
+    /// voters after it must both agree.
     pub fn begin_membership_change(&mut self, planned: &MembershipChange) -> bool {
         let single = |(replica_id, kind): (u64, ConfChangeType)| {
             let mut single = ConfChangeSingle::default();
@@ -196,13 +204,14 @@
         let added = planned.added.iter().map(|replica_id| (*replica_id, ConfChangeType::AddNode));
         let removed = planned.removed.iter().map(|replica_id| (*replica_id, ConfChangeType::RemoveNode));
         let mut change = ConfChangeV2::default();
-        // Finished explicitly: the library's own way of finishing may be lost with its leader.
+        // The change is finished explicitly. The library's automatic finish is lost if its leader fails.
         change.set_transition(ConfChangeTransition::Explicit);
         change.changes = added.chain(removed).map(single).collect::<Vec<_>>().into();
         self.raw.propose_conf_change(Vec::new(), change).is_ok()
     }
 
-    /// Proposes that the voters before the change have no vote any more.
+    /// Proposes to finish a membership change: once committed, only the voters after the change vote. Returns
+    /// false if the proposal is rejected.
     pub fn finish_membership_change(&mut self) -> bool {
         self.raw.propose_conf_change(Vec::new(), ConfChangeV2::default()).is_ok()
     }
@@ -212,12 +221,13 @@
         self.raw.transfer_leader(replica_id);
     }
 
-    /// Requests the commit index, confirmed by a quorum; the result bears the same number.
+    /// Requests the read index, that is, the commit index confirmed by a quorum. The result has the same
+    /// number.
     pub fn request_read(&mut self, number: u64) {
         self.raw.read_index(number.to_be_bytes().to_vec());
     }
 
-    /// That write, and all before it, is on stable storage.
+    /// Handles the completion of a write: it and all earlier writes are on stable storage.
     pub fn write_completed(&mut self, number: u64) -> ReplicaOutput {
         for batch in self.unpersisted.iter_mut().filter(|batch| batch.number <= number) {
             batch.is_writing = false;
@@ -225,13 +235,15 @@
         self.advance()
     }
 
-    /// Compacts the applied entries into a snapshot, where there are many of them, or where it is `due`: a
-    /// new voter accepts no snapshot from before it was one.
-    pub fn compact(&mut self, index: u64, due: bool, agreed: &AgreedState) {
+    /// Compacts the entries up to `index` into a snapshot if the log has reached the compaction threshold, or
+    /// if `is_due` is set. It is set when the voters change, because a new voter rejects a snapshot in which
+    /// it is not yet a voter.
+    pub fn compact(&mut self, index: u64, is_due: bool, agreed: &AgreedState) {
         let log = self.raw.store();
         let is_full = log.len() >= COMPACTION_THRESHOLD_ENTRIES && self.pending_compaction.is_none();
-        if (due || is_full) && index > log.base() {
-            // The voters as agreed at that index: the library's own record of them may lag behind.
+        if (is_due || is_full) && index > log.base() {
+            // Uses the voters agreed at `index`, because the library's own record of the voters may lag
+            // behind.
             let voters = ConfState {
                 voters: agreed.voters.clone(),
                 voters_outgoing: agreed.outgoing_voters.clone(),
@@ -243,8 +255,8 @@
         }
     }
 
-    /// Carries out the pending compaction once the library counts its entries as applied: it reads its log up
-    /// to there.
+    /// Performs the pending compaction once the library has recorded its entries as applied. Until then the
+    /// library still reads these entries from the log.
     fn compact_applied(&mut self) {
         let applied = self.applied();
         if let Some(compaction) = self.pending_compaction.take_if(|pending| pending.index <= applied) {
@@ -253,7 +265,7 @@
         }
     }
 
-    /// All that is due now.
+    /// Returns all output that is ready now.
     pub fn advance(&mut self) -> ReplicaOutput {
         let mut output = ReplicaOutput::default();
         loop {
@@ -280,8 +292,8 @@
         }
     }
 
-    /// Updates the log by snapshot, entries and hard state. Returns the index of the snapshot, if there is
-    /// one.
+    /// Updates the log with the snapshot, entries and hard state in `ready`. Returns the index of the
+    /// snapshot, if there is one.
     fn update_log(
         &mut self,
         ready: &mut Ready,
@@ -304,7 +316,7 @@
         installed
     }
 
-    /// Decodes committed entries. Returns the index of the last of them.
+    /// Decodes committed entries. Returns the index of the last entry, if there is one.
     fn commit(&mut self, entries: Vec<Entry>, output: &mut ReplicaOutput) -> Option<u64> {
         let mut last = None;
         for entry in entries {
@@ -315,8 +327,8 @@
         last
     }
 
-    /// An entry that can't be decoded was proposed by a newer version of the program: it changes nothing
-    /// here.
+    /// Decodes a committed entry. An entry that can't be decoded was proposed by a newer version of the
+    /// program. It is treated as a no-op.
     fn decode(&mut self, entry: &Entry) -> LogEntry {
         match entry.get_entry_type() {
             EntryType::EntryNormal if !entry.data.is_empty() => {
@@ -326,7 +338,8 @@
                 Ok(change) => self.apply_membership_change(&change),
                 Err(_) => LogEntry::NoOp,
             },
-            // A leader's first entry is empty; this program proposes no changes of the older kind.
+            // The first entry of a leader is empty. `EntryConfChange` is the older form of a membership
+            // change, which this program never proposes.
             EntryType::EntryNormal | EntryType::EntryConfChange => LogEntry::NoOp,
         }
     }
@@ -337,7 +350,7 @@
         else {
             return LogEntry::NoOp;
         };
-        // The library goes on leading where it has no vote any more, and fails at the next response.
+        // The library would remain the leader after losing its vote, and would fail at the next response.
         if self.is_leader() && !replica_ids.contains(&self.replica_id) && !leaving.contains(&self.replica_id)
         {
             let term = self.term();
@@ -348,7 +361,7 @@
         LogEntry::Voters { replica_ids, outgoing: leaving }
     }
 
-    /// Sends what has waited for writes that are done.
+    /// Releases the messages and applied entries of batches whose writes have completed.
     fn release_persisted(&mut self, output: &mut ReplicaOutput) {
         while let Some(batch) = self.unpersisted.pop_front_if(|batch| !batch.is_writing) {
             push_messages(batch.messages, output);
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,58 +1,59 @@
-//! The status of a node, for its operator. The JSON names are those of the control socket.
+//! The status of a node as shown to its operator. The JSON names are those of the control socket.
 
 use serde::{Deserialize, Serialize};
 
-/// Why no request is accepted now.
+/// Why a router currently accepts no requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnavailableReason {
     /// The router is not a member: it has just started, or was removed.
     #[serde(rename = "NotListed")]
     NotAMember,
-    /// Its lease has expired: it can't know whether its policy is still in force.
+    /// The router's lease has expired: its policy may no longer be in force.
     #[serde(rename = "NoLease")]
     LeaseExpired,
-    /// A change is about to be activated, and the fleet's time is not known precisely enough.
+    /// The fleet's time is not known precisely enough to tell whether a decided change is active, or the
+    /// local clock has jumped and is not trusted yet.
     #[serde(rename = "NoTime")]
     ClockUncertain,
-    /// It can't apply the policy in force.
+    /// The router can't apply the policy in force.
     #[serde(rename = "Unfit")]
     PolicyNotApplicable,
 }
 
-/// The status of a node, for its operator.
+/// The status of a node, as shown to its operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// The router's name.
     pub name: String,
-    /// Its process.
+    /// The incarnation of the router's process.
     #[serde(rename = "start")]
     pub incarnation: String,
-    /// The fleet's number; 0 before it is bootstrapped.
+    /// The fleet's number, or 0 if the router does not know of a bootstrapped fleet.
     pub fleet: u64,
-    /// How far in the log the router is.
+    /// The index of the last log entry that the router has applied.
     pub index: u64,
     /// The generation of the policy in force.
     pub generation: u64,
-    /// The hash of the policy in force.
+    /// The hash of the policy in force. Empty if there is none.
     pub hash: String,
-    /// Why no request is accepted; none where requests are accepted.
+    /// Why the router accepts no requests. `None` if it accepts requests.
     #[serde(rename = "out")]
     pub unavailable: Option<UnavailableReason>,
-    /// Time remaining of the lease, in milliseconds.
+    /// The time until the lease expires, in milliseconds.
     #[serde(rename = "lease_left_ms")]
     pub lease_remaining_ms: u64,
-    /// How many members the fleet has.
+    /// The number of members in the fleet.
     #[serde(rename = "routers")]
     pub members: usize,
-    /// The names of the voters; the replica id of one that is no member.
+    /// The names of the voters. A voter that is not a member is shown by its replica id.
     pub voters: Vec<String>,
-    /// The address of the leader.
+    /// The leader's address, if known.
     pub leader: Option<String>,
-    /// The error bound of the fleet's time, in microseconds.
+    /// The error bound of the fleet's time, in microseconds. `None` if the fleet's time is not known.
     pub clock_bound_us: Option<u64>,
-    /// The staged change.
+    /// A description of the staged change, if there is one.
     #[serde(rename = "under_way")]
     pub staged_change: Option<String>,
-    /// The generation on probation.
+    /// The generation on probation, if there is one.
     pub on_probation: Option<u64>,
 }
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,4 +1,5 @@
-//! The log of a replica as the `raft` library reads it, and what is to be written of it to stable storage.
+//! The in-memory log of a replica, which the `raft` library reads, and the corresponding writes to stable
+//! storage.
 
 use std::collections::VecDeque;
 
@@ -6,32 +7,35 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
-/// The term and index that a new fleet's log begins with.
-const FIRST: u64 = 1;
+/// The term and the index of the snapshot with which the log of a new fleet begins.
+const INITIAL_TERM_AND_INDEX: u64 = 1;
 
-/// What is to be written atomically, before messages that depend on it are sent.
+/// A write that must be atomic, and must be on stable storage before messages that depend on it are sent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StorageWrite {
-    /// Counted from 1, in the order in which writes are to be done; 0 for the write that bootstraps a storage.
+    /// The number of the write. Writes are numbered from 1 in the order in which they must be performed. The
+    /// write that bootstraps a storage has number 0.
     pub number: u64,
-    /// The new hard state: term, vote and commit index.
+    /// The new encoded hard state (term, vote and commit index), if it changed.
     pub hard_state: Option<Vec<u8>>,
-    /// The new snapshot. It replaces all entries, unless `discard_before` is given.
+    /// The new encoded snapshot, if it changed. It replaces all stored entries unless `discard_before` is
+    /// given.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries with their indexes. Stored entries from the first of these indexes on are discarded.
+    /// Encoded entries to append, with their indexes. Stored entries at or after the first of these indexes
+    /// are discarded.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// Stored entries before that index are discarded.
+    /// If given, stored entries before this index are discarded.
     pub discard_before: Option<u64>,
 }
 
-/// What the storage of a replica holds at a start.
+/// The contents of a replica's storage when the replica starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
-    /// The hard state: term, vote and commit index.
+    /// The encoded hard state: term, vote and commit index.
     pub hard_state: Vec<u8>,
-    /// The snapshot.
+    /// The encoded snapshot.
     pub snapshot: Vec<u8>,
-    /// The entries with their indexes, in order and without gaps.
+    /// The encoded entries with their indexes, in order and without gaps.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
@@ -44,7 +48,7 @@
 }
 
 impl RaftLog {
-    /// Decodes what was stored; none where it is inconsistent.
+    /// Decodes the stored state. Returns `None` if it can't be decoded or is inconsistent.
     pub fn decode(stored: &StoredState) -> Option<Self> {
         let hard_state = HardState::parse_from_bytes(&stored.hard_state).ok()?;
         let snapshot = Snapshot::parse_from_bytes(&stored.snapshot).ok()?;
@@ -62,19 +66,19 @@
         (log.hard_state.commit <= log.last()).then_some(log)
     }
 
-    /// The log of a new fleet: this snapshot, and one voter.
+    /// Returns the log of a new fleet: a snapshot with the given data and a single voter.
     pub fn bootstrap(data: Vec<u8>, replica_id: u64) -> Self {
         let mut snapshot = Snapshot::default();
-        snapshot.mut_metadata().index = FIRST;
-        snapshot.mut_metadata().term = FIRST;
+        snapshot.mut_metadata().index = INITIAL_TERM_AND_INDEX;
+        snapshot.mut_metadata().term = INITIAL_TERM_AND_INDEX;
         snapshot.mut_metadata().mut_conf_state().voters = vec![replica_id];
         snapshot.data = data.into();
         let mut hard_state = HardState::default();
-        (hard_state.term, hard_state.commit) = (FIRST, FIRST);
+        (hard_state.term, hard_state.commit) = (INITIAL_TERM_AND_INDEX, INITIAL_TERM_AND_INDEX);
         Self { hard_state, snapshot, entries: VecDeque::new() }
     }
 
-    /// The whole log as one write.
+    /// Returns the whole log as a single write.
     pub fn to_write(&self) -> StorageWrite {
         StorageWrite {
             hard_state: Some(encode(&self.hard_state)),
@@ -84,32 +88,33 @@
         }
     }
 
-    /// The replicated state in the snapshot.
+    /// Returns the encoded replicated state in the snapshot. Empty if there is no snapshot.
     pub fn snapshot_data(&self) -> &[u8] {
         &self.snapshot.data
     }
 
-    /// The index of the snapshot.
+    /// Returns the index of the snapshot.
     pub fn base(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
+    /// Returns the index of the last entry, or of the snapshot if no entries follow it.
     fn last(&self) -> u64 {
         self.entries.back().map_or(self.base(), |last| last.index)
     }
 
-    /// How many entries follow the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Sets term, vote and commit index.
+    /// Sets the term, vote and commit index.
     pub fn set_hard_state(&mut self, hard_state: HardState, write: &mut StorageWrite) {
         write.hard_state = Some(encode(&hard_state));
         self.hard_state = hard_state;
     }
 
-    /// Appends entries, in place of those from the first of them on.
+    /// Appends entries. Existing entries at or after the index of the first new entry are discarded.
     pub fn append(&mut self, entries: &[Entry], write: &mut StorageWrite) {
         let Some(first) = entries.first() else { return };
         while self.entries.back().is_some_and(|last| last.index >= first.index) {
@@ -120,7 +125,7 @@
         self.entries.extend(entries.iter().cloned());
     }
 
-    /// Installs a snapshot from the leader in place of the whole log.
+    /// Replaces the whole log by a snapshot from the leader.
     pub fn install(&mut self, snapshot: Snapshot, write: &mut StorageWrite) {
         self.entries.clear();
         self.hard_state.commit = self.hard_state.commit.max(snapshot.get_metadata().index);
@@ -128,7 +133,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces the entries up to that index by a snapshot of the state that they lead to.
+    /// Replaces the entries up to the index of the compaction by a snapshot of the replicated state at that
+    /// index.
     pub fn compact(&mut self, compaction: Compaction, write: &mut StorageWrite) {
         let Compaction { index, voters, data } = compaction;
         let Ok(term) = self.term(index) else { return };
@@ -146,13 +152,13 @@
     }
 }
 
-/// A snapshot that is to replace entries.
+/// A snapshot that will replace the log entries up to its index.
 pub(crate) struct Compaction {
-    /// The index up to which entries are replaced.
+    /// The index of the last entry that is replaced.
     pub index: u64,
     /// The voters at that index.
     pub voters: ConfState,
-    /// The replicated state at that index.
+    /// The encoded replicated state at that index.
     pub data: Vec<u8>,
 }
 
