--- a/crates/consensus/src/node/activation.rs
+++ b/crates/consensus/src/node/activation.rs
@@ -1,4 +1,4 @@
-//! Which policy decides requests, and when a staged one is activated.
+//! Determines which policy applies to requests and when a staged change is activated.
 
 use tindoor::time::Moment;
 use tindoor_membership::FleetTime;
@@ -9,18 +9,20 @@
 use crate::errors::RevertError;
 use crate::status::UnavailableReason;
 
-/// A decision of a change, as observed here.
+/// The decision of a staged change, as observed at this router.
 #[derive(Clone, Copy)]
 pub(super) struct ObservedDecision {
+    /// When the decision was first observed, by the local clock.
     pub at: Moment,
-    /// The generation that it replaces.
+    /// The generation that the change replaces.
     pub from_generation: u64,
-    /// The generation that was decided.
+    /// The generation of the change.
     pub to_generation: u64,
 }
 
 impl Node {
-    /// The policy that decides a request accepted now; why none does.
+    /// Returns the policy that applies to a request accepted now, or the reason why no request may be
+    /// accepted.
     pub fn active_policy(&mut self, now: Moment) -> Result<&PolicyVersion, UnavailableReason> {
         if !self.is_member() {
             return Err(UnavailableReason::NotAMember);
@@ -47,7 +49,8 @@
         self.version_of(generation).ok_or(UnavailableReason::NotAMember)
     }
 
-    /// The staged change, if its activation time has passed.
+    /// Returns the staged change if its activation time has passed. Fails if the fleet's time is not known
+    /// precisely enough to tell.
     fn activated_change(&self, now: Moment) -> Result<Option<&StagedChange>, UnavailableReason> {
         let Some((staged, at)) =
             self.agreed.staged.as_ref().and_then(|staged| Some((staged, staged.activation_time?)))
@@ -66,18 +69,19 @@
         }
     }
 
+    /// Returns the policy of a generation, if it is staged or in force.
     fn version_of(&self, generation: u64) -> Option<&PolicyVersion> {
         let staged = self.agreed.staged.as_ref().map(|staged| &staged.version);
         staged.into_iter().chain(&self.agreed.in_force).find(|version| version.generation == generation)
     }
 
-    /// The policy in force, whether or not this router may decide requests by it.
+    /// Returns the policy in force, whether or not this router may accept requests under it.
     pub fn in_force(&self) -> Option<&PolicyVersion> {
         self.agreed.in_force.as_ref()
     }
 
-    /// Whether this router can apply a policy, in response to
-    /// [`Action::CheckPolicy`](crate::Action::CheckPolicy).
+    /// Handles the result of an [`Action::CheckPolicy`](crate::Action::CheckPolicy): the objection, or `None`
+    /// if this router can apply the policy.
     pub fn policy_checked(&mut self, now: Moment, generation: u64, objection: Option<Objection>) {
         self.policy_checks.insert(generation, objection);
         let (in_force, staged) = (self.agreed.generation(), self.agreed.staged.as_ref());
@@ -88,7 +92,8 @@
         self.advance_replica(now);
     }
 
-    /// A proposal to roll a generation back: the policy before it, as a change of its own.
+    /// Returns a proposal to revert the generation on probation: a new change that restores the previous
+    /// policy.
     pub fn revert_proposal(
         &mut self,
         generation: u64,
@@ -113,7 +118,8 @@
         })
     }
 
-    /// When a decision made now is to be activated; none while no time can be given.
+    /// Returns the activation time of a decision made now. `None` while the fleet's time is not known
+    /// precisely enough to set one.
     pub(super) fn activation_time(&self, now: Moment) -> Option<FleetTime> {
         let time = self.fleet_time(now)?;
         if !self.checks.staged_activation {
--- a/crates/consensus/src/node/commands.rs
+++ b/crates/consensus/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! Commands for the leader: submitted here, or forwarded by other members.
+//! Handles commands for the leader, whether submitted here or forwarded by other members.
 
 use tindoor::time::Moment;
 use tindoor_policy::{AgreedState, StagedChange};
@@ -14,7 +14,7 @@
         matches!(self, Self::Join { .. })
     }
 
-    /// Whether a submitted command has yet to take effect.
+    /// Returns whether a submitted command has not yet taken effect.
     fn is_pending(&self, agreed: &AgreedState) -> bool {
         match self {
             Self::Propose(proposal) => {
@@ -44,17 +44,18 @@
         Ok(())
     }
 
-    /// Leaves the fleet: this router accepts no more requests.
+    /// Asks the leader to remove this router from the fleet. The router must no longer accept requests.
     pub fn leave(&mut self, now: Moment) {
         self.route_command(now, 0, Command::Leave { incarnation: self.identity.incarnation });
         self.advance_replica(now);
     }
 
-    /// A random token for a proposal.
+    /// Returns a random token for a proposal.
     pub fn new_token(&mut self) -> u64 {
         self.rng.random()
     }
 
+    /// Discards commands that have taken effect and sends the remaining ones again.
     pub(super) fn resend_pending_commands(&mut self, now: Moment) {
         let agreed = &self.agreed;
         self.pending_commands.retain(|command| command.is_pending(agreed));
@@ -69,19 +70,21 @@
         let Some(generation) = proposed.map(|staged| staged.version.generation) else { return };
         let Some(objection) = self.policy_checks.get(&generation) else { return };
         let objection = objection.as_ref().map(|objection| objection.reason.clone());
-        // A router that does not know the time precisely enough to activate the change can't accept it.
-        let knows_time = || {
+        // A router can't accept a change if it does not know the fleet's time precisely enough to activate
+        // it.
+        let is_time_precise = || {
             let time = self.fleet_time(now);
             time.is_some_and(|time| time.error_bound() <= self.timings.clock_bound * 0.5)
         };
-        if objection.is_none() && !knows_time() || !self.is_member() {
+        if objection.is_none() && !is_time_precise() || !self.is_member() {
             return;
         }
         let incarnation = self.identity.incarnation;
         self.route_command(now, 0, Command::PolicyCheck { generation, incarnation, objection });
     }
 
-    /// Carries out a command if this router leads; otherwise forwards it towards the leader.
+    /// Executes a command if this router is the leader, otherwise forwards it towards the leader. Drops the
+    /// command if it was already forwarded the maximum number of times.
     pub(super) fn route_command(&mut self, now: Moment, hops: u8, command: Command) {
         if let Command::ReportOutcomes { incarnation, location, outcomes } = &command {
             return self.record_report(now, *incarnation, *location, outcomes);
@@ -93,8 +96,8 @@
             return;
         }
         let leader = self.leader_address().filter(|leader| *leader != self.identity.address);
-        let next = leader.or_else(|| self.random_peer(now, false)).or_else(|| self.random_seed_address());
-        if let Some(address) = next {
+        let next_hop = leader.or_else(|| self.random_peer(now, false)).or_else(|| self.random_seed_address());
+        if let Some(address) = next_hop {
             self.send(&address, Message::Command { hops: hops + 1, command });
         }
     }
--- a/crates/consensus/src/node/entries.rs
+++ b/crates/consensus/src/node/entries.rs
@@ -9,7 +9,8 @@
 use crate::actions::Action;
 
 impl Node {
-    /// Applies the next entry, whether from the own replica or from a peer.
+    /// Applies the next log entry, whether it comes from the local replica or from a peer. Ignores an entry
+    /// whose index is not the next one.
     pub(super) fn apply_entry(&mut self, now: Moment, index: u64, entry: LogEntry) {
         if index != self.agreed.index + 1 {
             return;
@@ -20,12 +21,13 @@
         ) {
             self.first_observed.insert(index, now);
         }
-        self.keep_recent(&entry);
+        self.push_recent_entry(&entry);
         let changes_voters = matches!(entry, LogEntry::Voters { .. });
         let changes_members = matches!(entry, LogEntry::Join { .. } | LogEntry::Leave { .. });
         let decided = if let LogEntry::Decide { generation, .. } = &entry { Some(*generation) } else { None };
-        // Some member has just heard from who joins. Otherwise one that returns after a long absence would be
-        // removed again within a heartbeat, as silent since this leader was elected.
+        // Counts the join as a heartbeat, because some member has just heard from the joining process.
+        // Otherwise a process that returns after a long absence would be removed again within a heartbeat,
+        // because it would appear to have been silent since this leader was elected.
         if let LogEntry::Join { incarnation, .. } = &entry {
             self.failure_detector.record_heartbeat(*incarnation, now);
         }
@@ -41,7 +43,8 @@
         }
     }
 
-    fn keep_recent(&mut self, entry: &LogEntry) {
+    /// Appends an entry to the recent entries, which are sent to peers that lag behind.
+    fn push_recent_entry(&mut self, entry: &LogEntry) {
         if self.recent_entries.len() == self.limits.recent_entries {
             self.recent_entries.pop_front();
         }
@@ -61,8 +64,8 @@
         self.actions.push(Action::Transition(transition));
     }
 
-    /// A decision that had no effect when it was committed decides nothing, at any router: another may
-    /// follow.
+    /// Allows the leader to propose another decision if the one just applied had no effect. A decision that
+    /// has no effect when it is committed has none at any router.
     fn allow_another_decision(&mut self, decided: Option<u64>) {
         if decided.is_some()
             && !self.agreed.has_decided_change()
@@ -72,6 +75,7 @@
         }
     }
 
+    /// Asks the owner to check the policy of the staged change, if it is of the given generation.
     fn request_policy_check(&mut self, generation: u64) {
         let staged = self.agreed.staged.as_ref();
         if let Some(staged) = staged.filter(|staged| staged.version.generation == generation) {
@@ -79,14 +83,15 @@
         }
     }
 
-    /// Installs the whole replicated state, from another router that knows more.
+    /// Installs an encoded replicated state from another router. Ignores it if it can't be decoded.
     pub(super) fn install_snapshot(&mut self, now: Moment, bytes: &[u8]) {
         if let Ok(agreed) = postcard::from_bytes::<AgreedState>(bytes) {
             self.install_state(now, agreed);
         }
     }
 
-    /// Installs a replicated state, if it is further than what is known here.
+    /// Installs a replicated state of the same fleet, if its index is higher than that of the state known
+    /// here.
     pub fn install_state(&mut self, now: Moment, mut agreed: AgreedState) {
         let is_same_fleet = self.agreed.fleet == 0 || self.agreed.fleet == agreed.fleet;
         if !is_same_fleet || agreed.fleet == 0 || agreed.index <= self.agreed.index {
@@ -109,15 +114,16 @@
         }
     }
 
-    /// What an installed state contains was observed no earlier than now.
+    /// Records everything that the installed state contains as first observed now, because it is not known
+    /// when it was committed.
     pub(super) fn observe_installed_state(&mut self, now: Moment) {
         self.first_observed.clear();
         self.first_observed.extend(self.agreed.members.oldest_superseded().map(|index| (index, now)));
         self.first_observed.insert(self.agreed.index, now);
         let Some(staged) = &self.agreed.staged else { return };
         self.first_observed.insert(staged.index, now);
-        // Its decision as well: without that, a fleet that lost the clocks that it was made by would wait for
-        // its activation for ever.
+        // The decision of the staged change is recorded as well. Otherwise a fleet that has lost the clocks
+        // by which the decision was made would wait forever for the activation.
         let (from_generation, to_generation) = (self.agreed.generation(), staged.version.generation);
         let is_observed = self.observed_decision.is_some_and(|observed| {
             (observed.from_generation, observed.to_generation) == (from_generation, to_generation)
@@ -127,7 +133,8 @@
         }
     }
 
-    /// When that index was certainly committed already.
+    /// Returns the earliest known time at which the entry at `index` was certainly committed. `None` if no
+    /// such time is known.
     pub(super) fn observed_at(&self, index: u64) -> Option<Moment> {
         self.first_observed.range(index..).next().map(|(_, at)| *at)
     }
--- a/crates/consensus/src/node/heartbeat.rs
+++ b/crates/consensus/src/node/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a node does each heartbeat.
+//! The periodic work of a node at each heartbeat.
 
 use rand::Rng;
 use tindoor::time::Moment;
@@ -7,10 +7,11 @@
 use super::Node;
 use crate::messages::Command;
 
-/// How often a router that knows reachable members sends a status request to a seed all the same.
+/// The probability that a member which knows reachable peers also sends a status request to a seed at a
+/// heartbeat.
 const SEED_REQUEST_PROBABILITY: f64 = 0.1;
 
-/// Observations that are kept in any case.
+/// The number of entries in `first_observed` that are always kept.
 const MIN_OBSERVATIONS: usize = 8;
 
 impl Node {
@@ -41,10 +42,10 @@
     fn request_statuses(&mut self, now: Moment) {
         let mut peers: Vec<String> =
             (0..self.limits.status_requests).filter_map(|_| self.random_peer(now, false)).collect();
-        if self.is_own_replica_voting() {
+        if self.is_local_replica_voter() {
             peers.extend(self.random_peer(now, true));
         }
-        // One that is no member, or that knows of no reachable peer, asks a seed.
+        // A router that is not a member, or that knows no reachable peer, sends a request to a seed.
         if !self.is_member() || peers.is_empty() || self.rng.random_bool(SEED_REQUEST_PROBABILITY) {
             peers.extend(self.random_seed_address());
         }
@@ -67,9 +68,9 @@
         self.route_command(now, 0, Command::Join { incarnation, member, predecessor });
     }
 
-    /// Requests that a quorum confirm that nobody else leads. Not while a decision is being committed: a
-    /// confirmation from before the commit, requested after the activation time was set, would give a lease
-    /// beyond that time.
+    /// Requests a confirmation by a quorum that this router is still the leader. Does nothing while a
+    /// proposed decision is not yet committed: a confirmation that is requested after the activation time was
+    /// set, but made before the commit, would extend a lease beyond the activation time.
     fn request_quorum_confirmation(&mut self, now: Moment) {
         if self.is_decision_uncommitted() {
             return;
@@ -82,7 +83,7 @@
         self.replica.as_mut().expect("a leader has a replica").request_read(number);
     }
 
-    /// Bounds the memory by the number of members.
+    /// Discards state that is no longer needed, so that memory is bounded by the number of members.
     fn discard_unneeded(&mut self) {
         let candidates: Vec<Incarnation> = self.clock_candidates().collect();
         let agreed = &self.agreed;
--- a/crates/consensus/src/node/leader/clocks.rs
+++ b/crates/consensus/src/node/leader/clocks.rs
@@ -1,4 +1,5 @@
-//! The leader's part in the fleet's time: which clocks define it, and how far each is ahead of it.
+//! The leader's maintenance of the fleet's time: chooses the clocks that define it and proposes their
+//! offsets.
 
 use tindoor::time::Moment;
 use tindoor_membership::{Incarnation, Interval};
@@ -6,16 +7,17 @@
 
 use super::super::Node;
 
-/// The part of the clock bound within which a clock must be read to be set against the fleet's time.
+/// The maximum error bound of a reading from which a clock's offset is agreed, as a fraction of the clock
+/// bound.
 const PRECISION_BOUND_PART: f64 = 0.25;
 
-/// Leases for which the fleet's time must be uncertain until it is defined anew.
+/// How long the fleet's time must be uncertain before it is redefined, in leases.
 const RESET_LEASES: f64 = 2.0;
 
 impl Node {
-    /// Sets the clocks against the fleet's time. The leader's clock, as the first, defines it. At most one
-    /// clock is changed at once, and none while a change is decided: its activation time is given in the
-    /// fleet's time.
+    /// Maintains the offsets of clocks from the fleet's time. If there are none yet, the leader's clock
+    /// defines the fleet's time. Changes at most one clock at a time, and none while a decided change is not
+    /// yet activated, because its activation time is given in the fleet's time.
     pub(super) fn reconcile_clocks(&mut self, now: Moment) {
         if self.agreed.has_decided_change() || self.is_decision_uncommitted() || !self.is_member() {
             return;
@@ -34,18 +36,20 @@
         let lease = self.timings.lease;
         let chosen = self.clock_members(|member| member == own || self.silence(member, now) < lease);
         let changed = chosen.iter().find_map(|clock| Some((*clock, self.clock_update(*clock, time, now)?)));
-        if let Some((clock, ahead)) = changed {
-            return self.propose_clock(now, clock, Some(ahead));
+        if let Some((clock, offset_micros)) = changed {
+            return self.propose_clock(now, clock, Some(offset_micros));
         }
         self.remove_unneeded_clock(now, &chosen);
     }
 
-    fn propose_clock(&mut self, now: Moment, clock: Incarnation, ahead: Option<i64>) {
-        self.propose(now, LogEntry::Clock { incarnation: clock, offset_us: ahead });
+    /// Proposes the offset of a clock, in microseconds, or its removal if `None`.
+    fn propose_clock(&mut self, now: Moment, clock: Incarnation, offset_micros: Option<i64>) {
+        self.propose(now, LogEntry::Clock { incarnation: clock, offset_us: offset_micros });
     }
 
-    /// Defines the fleet's time anew by the leader's clock, once it was uncertain for long: most of its
-    /// clocks are gone, or two contradict each other. No change is decided now that depends on it.
+    /// Redefines the fleet's time by the leader's clock once it has been uncertain for `RESET_LEASES`,
+    /// because most of its clocks are gone or two of them contradict each other. This is safe because it is
+    /// only called while no decided change depends on the fleet's time.
     fn handle_uncertain_time(&mut self, now: Moment) {
         let uncertain_since = self.leadership.as_ref().and_then(|leadership| leadership.time_uncertain_since);
         if uncertain_since.is_some_and(|since| now.since(since) > self.timings.lease * RESET_LEASES) {
@@ -61,7 +65,8 @@
         }
     }
 
-    /// How far that clock is ahead of the fleet's time, if that is to be agreed anew.
+    /// Returns the new offset of a clock from the fleet's time, in microseconds. `None` if the agreed offset
+    /// need not change or the clock can't be read precisely enough.
     fn clock_update(&self, clock: Incarnation, time: Interval, now: Moment) -> Option<i64> {
         let precision = self.timings.clock_bound * PRECISION_BOUND_PART;
         let offset = self.clocks.offset_of(&self.timings, clock, now)?;
@@ -80,7 +85,7 @@
         }
     }
 
-    /// Removes one clock that is not chosen, once all that are chosen define the fleet's time.
+    /// Proposes to remove one clock that is not chosen, once all chosen clocks define the fleet's time.
     fn remove_unneeded_clock(&mut self, now: Moment, chosen: &[Incarnation]) {
         let clocks = &self.agreed.clocks;
         if !chosen.iter().all(|clock| clocks.contains_key(clock)) {
--- a/crates/consensus/src/node/leader/decision.rs
+++ b/crates/consensus/src/node/leader/decision.rs
@@ -1,5 +1,5 @@
-//! The leader's part in the staged change: it is decided once nobody objects and the silent members can't go
-//! on by the old policy.
+//! The leader's handling of the staged change: the leader decides it once no member objects and silent
+//! members can no longer apply the old policy.
 
 use tindoor::time::Moment;
 use tindoor_membership::{FleetTime, Incarnation};
@@ -7,14 +7,18 @@
 
 use super::super::Node;
 
-/// The part of a lease for which silent members are waited for: they may have an objection.
+/// How long the leader waits for possible objections of silent members, as a fraction of a lease.
 const OBJECTION_WAIT_LEASE_PART: f64 = 0.5;
 
-/// Leases and clock bounds within which a decided change is activated by any clock.
+/// The lease part of the maximum time from the decision of a change to its activation by any clock, in
+/// leases.
 const MAX_ACTIVATION_LEASES: f64 = 3.0;
+
+/// The clock error part of that maximum time, in clock bounds.
 const MAX_ACTIVATION_CLOCK_BOUNDS: f64 = 6.0;
 
 impl Node {
+    /// Records a member's check of the staged policy, then reconsiders the staged change.
     pub(super) fn record_policy_check(
         &mut self,
         now: Moment,
@@ -33,7 +37,7 @@
         self.reconcile_change(now);
     }
 
-    /// Decides, cancels or completes the staged change, as it is due.
+    /// Decides or cancels the staged change, or marks it as activated, whichever is due.
     pub(super) fn reconcile_change(&mut self, now: Moment) {
         let Some(staged) = self.agreed.staged.clone() else { return };
         let generation = staged.version.generation;
@@ -46,10 +50,11 @@
         }
     }
 
+    /// Returns whether the activation time has passed at every router.
     fn is_activated_everywhere(&self, now: Moment, at: FleetTime) -> bool {
         match self.fleet_time(now) {
             Some(time) => time.low > at.plus(self.timings.clock_bound).0,
-            // The fleet's time was lost: by the local clock, the activation time has certainly passed.
+            // The fleet's time was lost. The local clock shows when the activation time has certainly passed.
             None => self.observed_decision.is_some_and(|decision| {
                 let delay = self.timings.lease * MAX_ACTIVATION_LEASES
                     + self.timings.clock_bound * MAX_ACTIVATION_CLOCK_BOUNDS;
@@ -58,6 +63,7 @@
         }
     }
 
+    /// Proposes to cancel or to decide an undecided change, if either is due.
     fn reconcile_decision(&mut self, now: Moment, staged: &StagedChange) {
         let generation = staged.version.generation;
         if self.leadership.is_none() {
@@ -75,7 +81,8 @@
         }
     }
 
-    /// An objection, or that the change waits for too long.
+    /// Returns why the change must be cancelled: a member objected, or the decision took too long. `None` if
+    /// there is no such reason.
     fn reason_to_cancel(&self, now: Moment, staged: &StagedChange) -> Option<String> {
         let results = self.leadership.as_ref()?.check_results(staged.version.generation);
         if let Some((member, objection)) =
@@ -91,8 +98,8 @@
         (waited > max_wait).then(|| "no decision in time".into())
     }
 
-    /// Whether no member that does not know of the change can go on by the old policy beyond the activation
-    /// time.
+    /// Returns whether the change may be decided: no member that is not informed of the change can apply the
+    /// old policy beyond the activation time.
     fn may_decide(&self, now: Moment, staged: &StagedChange) -> bool {
         if !self.checks.staged_activation {
             return true;
@@ -104,7 +111,8 @@
         let members = &self.agreed.members;
         match members.rule_out_uninformed_majority(staged.index, |member| results.contains_key(&member)) {
             Ok(()) => waited || members.members().keys().all(|member| results.contains_key(member)),
-            // A majority of some list is silent: its members may renew each other's leases for the grace.
+            // A majority of a member list is silent. Its members may renew each other's leases until the
+            // quorum loss grace has passed.
             Err(uninformed) => {
                 let since = self.observed_at(uninformed.superseded_at).unwrap_or(proposed_at);
                 let grace = self.timings.quorum_loss_grace;
@@ -113,6 +121,7 @@
         }
     }
 
+    /// Proposes the decision, if an activation time can be set.
     fn propose_decision(&mut self, now: Moment, generation: u64) {
         let Some(at) = self.activation_time(now) else { return };
         let (Some(replica), Some(leadership)) = (&mut self.replica, &mut self.leadership) else { return };
@@ -121,7 +130,7 @@
         }
     }
 
-    /// Whether this leader has proposed a decision that is not yet committed.
+    /// Returns whether this leader has proposed a decision that is not yet committed.
     pub(in crate::node) fn is_decision_uncommitted(&self) -> bool {
         let undecided = self.agreed.staged.as_ref().filter(|staged| !staged.is_decided());
         let proposed = self.leadership.as_ref().and_then(|leadership| leadership.decision_proposed);
--- a/crates/consensus/src/node/leader/mod.rs
+++ b/crates/consensus/src/node/leader/mod.rs
@@ -1,5 +1,5 @@
-//! What the leader of the voters does: it maintains the members, the clocks, the voters and the staged
-//! change.
+//! The work of the leader: it maintains the members, the clocks, the voters, the staged change and the change
+//! on probation.
 
 mod clocks;
 mod decision;
@@ -16,18 +16,18 @@
 use crate::messages::Command;
 use crate::replica::Replica;
 
-/// Heartbeats after which an entry that is not committed is proposed again.
+/// The time after which an entry that was proposed but not committed may be proposed again, in heartbeats.
 const PROPOSAL_RETRY_HEARTBEATS: f64 = 6.0;
 
 impl Node {
-    /// Everything a leader does each heartbeat.
+    /// Does the leader's periodic work at each heartbeat.
     pub(super) fn lead(&mut self, now: Moment) {
         let term = self.replica.as_ref().map_or(0, Replica::term);
         let current = self.leadership.take().filter(|leadership| leadership.term == term);
         let mut leadership = current.unwrap_or_else(|| Leadership::new(now, term));
         leadership.expire_proposals(now, self.timings.heartbeat_interval * PROPOSAL_RETRY_HEARTBEATS);
         self.leadership = Some(leadership);
-        // A leader that was just elected does not know yet all that is committed.
+        // A leader that was just elected may not yet have applied the entries that are already committed.
         if self.agreed.fleet == 0 {
             return;
         }
@@ -38,7 +38,7 @@
         self.reconcile_probation(now);
     }
 
-    /// Carries out a command for the leader, which this router is.
+    /// Executes a command. This router must be the leader.
     pub(super) fn execute_command(&mut self, now: Moment, command: Command) {
         if self.leadership.is_none() {
             let term = self.replica.as_ref().map_or(0, Replica::term);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Proposes an entry, unless it is proposed and may not yet be committed.
+    /// Proposes an entry, unless the same entry was already proposed and may not yet be committed.
     fn propose(&mut self, now: Moment, entry: LogEntry) {
         let (Some(replica), Some(leadership)) = (&mut self.replica, &mut self.leadership) else { return };
         if !leadership.is_proposed(&entry) && replica.propose(&entry) {
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Since when this router leads.
+    /// Returns when this router became the leader.
     fn leader_since(&self, now: Moment) -> Moment {
         self.leadership.as_ref().map_or(now, |leadership| leadership.since)
     }
 
-    /// How long a member has been silent, as far as this leader can tell.
+    /// Returns how long a member has been silent, counted from the start of this leadership at the earliest.
     fn silence(&self, member: Incarnation, now: Moment) -> Span {
         self.failure_detector.silence(member, now, self.leader_since(now))
     }
--- a/crates/consensus/src/node/members.rs
+++ b/crates/consensus/src/node/members.rs
@@ -1,4 +1,4 @@
-//! Look-ups among members and replicas.
+//! Lookups of members, replicas and their addresses.
 
 use std::collections::BTreeMap;
 
@@ -10,26 +10,29 @@
 use super::Node;
 use crate::replica::Replica;
 
-/// Random peers that are drawn until one is found that is not suspected.
+/// The maximum number of random draws to find a peer that is not suspected to have failed.
 const PEER_DRAWS: usize = 4;
 
-/// Mean silences after which a peer is suspected, and heartbeats that a mean silence is taken for at least.
+/// The silence after which a peer is suspected to have failed, as a multiple of its mean heartbeat interval.
 const SUSPICION_THRESHOLD: f64 = 4.0;
+
+/// The minimum mean interval that is assumed for the suspicion of a peer, in heartbeats.
 const MIN_MEAN_SILENCE_HEARTBEATS: f64 = 4.0;
 
-/// How often a suspected peer is chosen all the same.
+/// The probability that a suspected peer is chosen when it is drawn.
 const SUSPECTED_PEER_PROBABILITY: f64 = 0.25;
 
-/// Indexes over the members: they are looked up for each message.
+/// Indexes over the members and replicas, because they are looked up for each message.
 #[derive(Default)]
 pub(super) struct Directory {
-    /// The members, by position.
+    /// The members, in order.
     pub members: Vec<Incarnation>,
     /// The processes and addresses of replicas, by replica id.
     pub replicas: BTreeMap<u64, (Incarnation, String)>,
 }
 
 impl Directory {
+    /// Builds the indexes from the replicated state.
     pub fn new(agreed: &AgreedState) -> Self {
         let members = agreed.members.members();
         let replica = |(incarnation, member): (&Incarnation, &Member)| {
@@ -42,13 +45,13 @@
 }
 
 impl Node {
-    /// The voters whose processes are known.
+    /// Returns the processes of the voters, as far as they are known.
     pub(super) fn voters(&self) -> impl Iterator<Item = Incarnation> {
         let replicas = &self.directory.replicas;
         self.agreed.voters.iter().filter_map(|replica_id| Some(replicas.get(replica_id)?.0))
     }
 
-    pub(super) fn is_own_replica_voting(&self) -> bool {
+    pub(super) fn is_local_replica_voter(&self) -> bool {
         self.identity.replica_id.is_some_and(|replica_id| self.agreed.voters.contains(&replica_id))
     }
 
@@ -56,7 +59,8 @@
         self.directory.replicas.get(&replica_id).map(|(_, address)| address.as_str())
     }
 
-    /// Where the leader is reached: by the own replica, or as peers tell.
+    /// Returns the leader's address: the one known from the local replica, otherwise the one last reported by
+    /// a peer.
     pub(super) fn leader_address(&self) -> Option<String> {
         let replica_id = self.replica.as_ref().map_or(0, Replica::leader_id);
         match self.replica_address(replica_id).filter(|_| replica_id != 0) {
@@ -65,7 +69,7 @@
         }
     }
 
-    /// Whether messages of that process are handled.
+    /// Returns whether messages from a process are handled.
     pub(super) fn is_known(&self, sender: Incarnation, address: &str) -> bool {
         self.agreed.members.contains(sender)
             || !self.is_member()
@@ -74,9 +78,10 @@
             || self.agreed.members.members().values().any(|member| member.address == address)
     }
 
-    /// A random member; rarely one that is suspected to have failed.
+    /// Returns the address of a random other member, or of a random voter if `voters_only` is set. Rarely
+    /// chooses a peer that is suspected to have failed.
     pub(super) fn random_peer(&mut self, now: Moment, voters_only: bool) -> Option<String> {
-        let usual = self.timings.heartbeat_interval * MIN_MEAN_SILENCE_HEARTBEATS;
+        let min_mean_silence = self.timings.heartbeat_interval * MIN_MEAN_SILENCE_HEARTBEATS;
         for _ in 0..PEER_DRAWS {
             let voters: Vec<Incarnation> = self.voters().filter(|_| voters_only).collect();
             let candidates = if voters_only { &voters } else { &self.directory.members };
@@ -88,7 +93,7 @@
             else {
                 continue;
             };
-            let suspicion = self.failure_detector.suspicion(peer, now, usual);
+            let suspicion = self.failure_detector.suspicion(peer, now, min_mean_silence);
             let is_suspected = suspicion.is_some_and(|suspicion| suspicion > SUSPICION_THRESHOLD);
             if !is_suspected || self.rng.random_bool(SUSPECTED_PEER_PROBABILITY) {
                 return Some(member.address.clone());
@@ -97,7 +102,7 @@
         None
     }
 
-    /// A random seed that is not this router.
+    /// Returns the address of a random seed other than this router.
     pub(super) fn random_seed_address(&mut self) -> Option<String> {
         let own = &self.identity.address;
         let seeds: Vec<&String> = self.seeds.iter().filter(|seed| *seed != own).collect();
@@ -107,12 +112,13 @@
         Some(seeds[self.rng.random_range(0..seeds.len())].clone())
     }
 
-    /// How many processes may act as members.
+    /// Returns the number of processes that may act as members.
     pub fn possible_members(&self) -> usize {
         self.agreed.members.possible_members()
     }
 
-    /// Whether one more process may join: the guaranteed minimum of each that may spend is reserved.
+    /// Returns whether one more process may join. The number is limited because a guaranteed minimum is
+    /// reserved for each process that may act as a member.
     pub(super) fn has_room_for_member(&self) -> bool {
         let staged = self.agreed.staged.as_ref().map(|staged| &staged.version);
         let versions = staged.into_iter().chain(&self.agreed.in_force);
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The state of a node, its construction, and what its owner calls at events.
+//! The state of a node, its construction, and the methods that its owner calls.
 
 mod activation;
 mod clocks;
@@ -33,10 +33,10 @@
 use crate::replica::Replica;
 use crate::storage::{RaftLog, StoredState};
 
-/// The index of the first entry of a fleet's log.
+/// The index of the first entry in a fleet's log.
 const BOOTSTRAP_INDEX: u64 = 1;
 
-/// One router's part in its fleet.
+/// The consensus node of a router: its part in the agreement, leases and leadership of its fleet.
 pub struct Node {
     fleet: String,
     identity: LocalIdentity,
@@ -45,13 +45,14 @@
     checks: SafetyChecks,
     seeds: Vec<String>,
 
+    /// The replicated state, as far as it is known here.
     agreed: AgreedState,
     directory: Directory,
-    /// The last entries that were applied, encoded, without a gap up to the index.
+    /// The most recently applied entries, encoded. They are consecutive and end at the index of `agreed`.
     recent_entries: VecDeque<Vec<u8>>,
-    /// When changes of the members, proposals and decisions were first observed here, by index.
+    /// When membership changes, proposals and decisions were first observed here, by index.
     first_observed: BTreeMap<u64, Moment>,
-    /// The last decision that was observed.
+    /// The last decision that was observed here.
     observed_decision: Option<ObservedDecision>,
 
     clocks: ClockSync,
@@ -60,26 +61,31 @@
 
     replica: Option<Replica>,
     leadership: Option<Leadership>,
-    /// The term in which this router leads, as last reported to its owner.
+    /// The term in which this router is the leader, as last reported to the node's owner. `None` if the
+    /// router was last reported not to be the leader.
     reported_term: Option<u64>,
-    /// Where the leader is reached, as peers tell.
+    /// The leader's address, as last reported by a peer.
     reported_leader: Option<String>,
-    /// When a quorum last confirmed that this router leads, and in which term.
+    /// The term and the time of the latest quorum confirmation that this router is the leader. The time is
+    /// that of the read request.
     leadership_confirmed: Option<(u64, Moment)>,
 
-    /// When status requests without a response were sent, by nonce.
+    /// When each unanswered status request was sent, by nonce.
     status_requests: BTreeMap<u64, Moment>,
+    /// The nonce of the last status request, or 0 if none was sent yet.
     last_nonce: u64,
-    /// When reads that are not yet confirmed were requested, by number.
+    /// When each unconfirmed read was requested, by number.
     read_requests: BTreeMap<u64, Moment>,
+    /// Submitted commands whose outcome is not yet known.
     pending_commands: VecDeque<Command>,
 
-    /// Whether this router can apply the policy in force and a staged one, by generation.
+    /// The results of checking the policy in force and the staged one, by generation: the objection, or
+    /// `None` if this router can apply the policy.
     policy_checks: BTreeMap<u64, Option<Objection>>,
-    /// The newest generation by which a request was decided here. The router never returns to an older one.
+    /// The newest generation that `active_policy` returned. The router never returns to an older one.
     newest_used_generation: u64,
 
-    /// Outcomes that are not yet reported, by generation and request class.
+    /// Outcomes that were not yet reported, by generation and request class.
     unreported_outcomes: BTreeMap<(u64, u16), OutcomeCount>,
     /// Outcomes that members reported to this voter.
     outcome_window: OutcomeWindow,
@@ -87,17 +93,20 @@
     quota: Participant,
     planned_generations: Option<PlannedGenerations>,
     skipped_lenders: SkippedLenders,
-    /// Since when this process is a member.
+    /// Since when this process has been a member. `None` if it is not a member.
     member_since: Option<Moment>,
 
     rng: Pcg64Mcg,
+    /// The number of ticks since the last heartbeat.
     ticks: u32,
+    /// The number of heartbeats since the start.
     heartbeats: u32,
+    /// Actions that the owner has not yet taken.
     actions: Vec<Action>,
 }
 
 impl Node {
-    /// Starts a node, with what its replica's storage holds.
+    /// Starts a node from its configuration and the stored state of its replica.
     pub fn start(config: NodeConfig, now: Moment) -> Result<Self, StartError> {
         let NodeConfig { fleet, identity, timings, limits, checks, seeds, stored, random_seed } = config;
         timings.check()?;
@@ -147,7 +156,9 @@
         Ok(node)
     }
 
-    /// Bootstraps the fleet with this policy: once, by its operator. Returns the fleet's number.
+    /// Bootstraps a fleet with this policy, at the request of its operator. Returns the fleet's number.
+    ///
+    /// A fleet is bootstrapped only once, by one router.
     pub fn bootstrap(&mut self, now: Moment, policy: Policy) -> Result<u64, BootstrapError> {
         let Some(replica_id) = self.identity.replica_id else { return Err(BootstrapError::NotAVoter) };
         if self.agreed.fleet != 0 {
@@ -159,7 +170,7 @@
         agreed.apply(BOOTSTRAP_INDEX, LogEntry::Bootstrap { fleet, policy, replica_id });
         let data = postcard::to_stdvec(&agreed).expect("plain values can be encoded");
         let log = RaftLog::bootstrap(data, replica_id);
-        // The first write of this storage: all later ones continue it.
+        // This is the first write to the storage. All later writes build on it.
         self.actions.push(Action::Write(log.to_write()));
         let mut replica = Replica::start(replica_id, log)?;
         replica.campaign();
@@ -169,7 +180,7 @@
         Ok(fleet)
     }
 
-    /// Advances the node's time; to be called each [`tick_interval`](Self::tick_interval).
+    /// Advances the node's time. Must be called once per [`tick_interval`](Self::tick_interval).
     pub fn tick(&mut self, now: Moment) {
         if let Some(replica) = &mut self.replica {
             replica.tick();
@@ -183,32 +194,33 @@
         self.advance_replica(now);
     }
 
-    /// How often [`tick`](Self::tick) is to be called.
+    /// Returns the interval at which [`tick`](Self::tick) must be called.
     pub fn tick_interval(&self) -> Span {
         self.timings.heartbeat_interval * (1.0 / f64::from(self.limits.ticks_per_heartbeat))
     }
 
-    /// Takes the actions that have become due.
+    /// Removes and returns the actions that the owner must perform now, in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether no action is due.
+    /// Returns whether there are no actions to perform.
     pub fn is_quiet(&self) -> bool {
         self.actions.is_empty()
     }
 
-    /// Whether its replica has applied all that this router knows to be agreed.
+    /// Returns whether this router's replica has applied every entry that is part of the replicated state
+    /// known here. Returns false if the router has no replica.
     pub fn is_settled(&self) -> bool {
         self.replica.as_ref().is_some_and(|replica| replica.applied() >= self.agreed.index)
     }
 
-    /// Whether this router leads the voters.
+    /// Returns whether this router is the leader.
     pub fn is_leader(&self) -> bool {
         self.replica.as_ref().is_some_and(Replica::is_leader)
     }
 
-    /// The replicated state, as far as it is known here.
+    /// Returns the replicated state, as far as it is known here.
     pub fn agreed(&self) -> &AgreedState {
         &self.agreed
     }
@@ -232,7 +244,7 @@
     RaftLog::decode(stored).ok_or(StartError::InconsistentLog)
 }
 
-/// The replicated state of the log's snapshot.
+/// Decodes the replicated state in the log's snapshot.
 fn decode_agreed(log: &RaftLog, checks: SafetyChecks) -> Result<AgreedState, StartError> {
     let mut agreed = if log.snapshot_data().is_empty() {
         AgreedState::new()
--- a/crates/consensus/src/node/quota.rs
+++ b/crates/consensus/src/node/quota.rs
@@ -1,4 +1,4 @@
-//! This router's part in the division of the fleet's budgets.
+//! This router's part in the division of the fleet's budgets: it requests quota, and grants quota to others.
 
 use tindoor::time::Moment;
 use tindoor_membership::Incarnation;
@@ -9,33 +9,34 @@
 use crate::messages::Message;
 use crate::replica::Replica;
 
-/// Leases after which lenders that were skipped as unresponsive are asked again.
+/// The time after which lenders that were skipped as unresponsive are asked again, in leases.
 const SKIPPED_LENDERS_LEASES: f64 = 4.0;
 
-/// The generations whose budgets are divided.
+/// The generations whose budgets are currently divided.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct PlannedGenerations {
-    /// The generation in force; 0 for none.
+    /// The generation in force here, or 0 if there is none.
     active: u64,
-    /// The decided generation that follows it; 0 for none.
+    /// The decided generation that will follow it, or 0 if there is none.
     next: u64,
 }
 
-/// Members of the own location that were skipped as lenders, as they did not respond.
+/// Members of this router's location that are skipped as lenders because they did not respond.
 pub(super) struct SkippedLenders {
-    /// How many.
+    /// The number of skipped members, counted from the first member of the location.
     pub count: usize,
-    /// When the number last changed.
+    /// When the number was last changed or reset.
     pub since: Moment,
 }
 
 impl Node {
-    /// What this router may spend of the fleet's budgets.
+    /// Returns this router's share of the fleet's budgets.
     pub fn quota(&mut self) -> &mut Participant {
         &mut self.quota
     }
 
-    /// Plans the division of budgets under the policy that this router goes by, and under the decided one.
+    /// Plans the division of budgets under the policy that this router applies, and under the decided policy
+    /// that will follow it.
     pub(super) fn plan_quota(&mut self, now: Moment) {
         let decided = self.agreed.staged.as_ref().filter(|staged| staged.is_decided());
         let next = decided
@@ -55,7 +56,7 @@
         self.planned_generations = Some(planned);
     }
 
-    /// Requests quota, or, where this router leads, takes up the division of it.
+    /// Requests quota. If this router is the leader, divides the budgets instead.
     pub(super) fn reconcile_quota(&mut self, now: Moment) {
         self.plan_quota(now);
         if !self.is_member() {
@@ -63,8 +64,8 @@
         } else if self.member_since.is_none() {
             self.member_since = Some(now);
         }
-        // A process that had this name before accepts no more requests a lease after it was removed: from
-        // then on its guaranteed minimum is this one's.
+        // A previous process with this router's name may accept requests until one lease after its removal.
+        // Only then does its guaranteed minimum pass to this process.
         let lease = self.timings.lease + self.timings.drift(self.timings.lease);
         self.quota.set_owns_guaranteed(now, self.member_since.is_some_and(|since| now.since(since) >= lease));
         if self.quota.is_idle() {
@@ -85,6 +86,7 @@
         self.quota.retain(now, |member| members.contains(member));
     }
 
+    /// Sends a quota request to the lender, if one is due.
     fn request_quota(&mut self, now: Moment) {
         if let Some(lender) = self.lender(now)
             && let Some(request) = self.quota.next_request(now)
@@ -93,8 +95,8 @@
         }
     }
 
-    /// Grants quota to a member. Quota that was granted to another process would be nobody's until it
-    /// expired.
+    /// Grants quota to a member. Ignores requests from processes that are not members: quota granted to such
+    /// a process would be lost to the fleet until it expired.
     pub(super) fn grant_quota(
         &mut self,
         now: Moment,
@@ -110,8 +112,9 @@
         }
     }
 
-    /// Who is asked for quota: the leader; in a large fleet the first responsive member of the own location,
-    /// which asks the leader.
+    /// Returns the address of the router from which this router requests quota: the leader, or in a large
+    /// fleet the first responsive member of this router's location. That member requests quota from the
+    /// leader.
     fn lender(&mut self, now: Moment) -> Option<String> {
         if !self.is_member() {
             return None;
@@ -125,6 +128,8 @@
         self.leader_address().filter(|leader| *leader != self.identity.address)
     }
 
+    /// Skips one more lender after too many unanswered requests. Stops skipping lenders after
+    /// `SKIPPED_LENDERS_LEASES`.
     fn update_skipped_lenders(&mut self, now: Moment) {
         if self.quota.unanswered_requests() >= self.limits.unanswered_quota_requests {
             self.quota.reset_unanswered_requests();
@@ -134,7 +139,8 @@
         }
     }
 
-    /// The first member of the own location that was not skipped, if it comes before this router.
+    /// Returns the address of the first member of this router's location that is not skipped, if that member
+    /// precedes this router in the order of members.
     fn local_lender(&self) -> Option<String> {
         let members = self.agreed.members.members().iter();
         let mut local = members.filter(|(_, member)| member.location == self.identity.location);
--- a/crates/consensus/src/node/replica_output.rs
+++ b/crates/consensus/src/node/replica_output.rs
@@ -1,4 +1,4 @@
-//! Carries out what the replica of the log wants.
+//! Processes the output of the log replica: writes, messages, committed entries and confirmed reads.
 
 use tindoor::time::Moment;
 use tindoor_membership::Confirmation;
@@ -9,7 +9,8 @@
 use crate::replica::{Replica, ReplicaOutput};
 
 impl Node {
-    /// Those writes, up to that number, are on stable storage.
+    /// Handles the completion of the write with this number. It and all earlier writes must be on stable
+    /// storage.
     pub fn write_completed(&mut self, now: Moment, number: u64) {
         if let Some(replica) = &mut self.replica {
             let output = replica.write_completed(number);
@@ -18,7 +19,7 @@
         self.advance_replica(now);
     }
 
-    /// Carries out what the replica wants, until it wants nothing more.
+    /// Processes the output of the replica until there is none, then reports a change of the leadership.
     pub(super) fn advance_replica(&mut self, now: Moment) {
         while let Some(replica) = &mut self.replica {
             let output = replica.advance();
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Returns whether there was anything that the replica may continue with.
+    /// Processes one output of the replica. Returns whether it contained anything after which the replica may
+    /// have more output.
     fn handle_output(&mut self, now: Moment, output: ReplicaOutput) -> bool {
         let ReplicaOutput { messages, writes, installed, committed, confirmed_reads } = output;
         let has_progress =
@@ -56,10 +58,11 @@
         has_progress
     }
 
-    /// A quorum confirmed that this router led when it requested the read, and what was committed then.
+    /// Handles a quorum's confirmation that this router was the leader when it requested the read, and that
+    /// `index` was the commit index at that time.
     fn handle_confirmed_read(&mut self, number: u64, index: u64) {
         let Some(at) = self.read_requests.remove(&number) else { return };
-        // Quota is granted by this confirmation only with all applied that was committed at it.
+        // The confirmation permits quota grants only if this router has applied everything up to `index`.
         let is_applied = index <= self.agreed.index;
         if let Some(term) = self.replica.as_ref().and_then(Replica::led_term).filter(|_| is_applied) {
             self.leadership_confirmed = Some((term, at)).max(self.leadership_confirmed);
--- a/crates/consensus/src/node/status.rs
+++ b/crates/consensus/src/node/status.rs
@@ -1,4 +1,4 @@
-//! Builds the status for the operator.
+//! Builds the status that is shown to the operator.
 
 use tindoor::time::Moment;
 use tindoor_policy::StagedChange;
@@ -7,7 +7,7 @@
 use crate::status::Status;
 
 impl Node {
-    /// The status of this router, for its operator.
+    /// Returns the status of this router, as shown to its operator.
     pub fn status(&mut self, now: Moment) -> Status {
         let unavailable = self.active_policy(now).err();
         let agreed = &self.agreed;
@@ -24,11 +24,12 @@
             voters: agreed.voters.iter().map(|replica_id| self.voter_name(*replica_id)).collect(),
             leader: self.leader_address(),
             clock_bound_us: self.fleet_time(now).map(|time| time.error_bound().as_micros()),
-            staged_change: agreed.staged.as_ref().map(describe),
+            staged_change: agreed.staged.as_ref().map(describe_staged_change),
             on_probation: agreed.probation.as_ref().map(|probation| probation.generation),
         }
     }
 
+    /// Returns the name of a voter, or its replica id if the voter is not a member.
     fn voter_name(&self, replica_id: u64) -> String {
         let process = self.directory.replicas.get(&replica_id).map(|(incarnation, _)| *incarnation);
         let member = process.and_then(|incarnation| self.agreed.members.get(incarnation));
@@ -36,7 +37,7 @@
     }
 }
 
-fn describe(staged: &StagedChange) -> String {
+fn describe_staged_change(staged: &StagedChange) -> String {
     let version = &staged.version;
     let state = if staged.is_decided() { "decided" } else { "asked" };
     format!(
--- a/crates/consensus/src/node/status_exchange.rs
+++ b/crates/consensus/src/node/status_exchange.rs
@@ -1,4 +1,4 @@
-//! Status requests and responses: how routers catch up, confirm each other's index and read each other's
+//! Status requests and responses, by which routers catch up, confirm each other's index and read each other's
 //! clocks.
 
 use rand::Rng;
@@ -8,15 +8,17 @@
 use super::Node;
 use crate::messages::{AgedConfirmation, CatchUp, Envelope, Message, PeerConfirmation};
 
-/// Confirmations of other peers are requested once less than this part of the lease remains.
+/// Confirmations by other peers are requested when less than this fraction of the lease remains.
 const PEER_CONFIRMATION_LEASE_PART: f64 = 0.7;
 
-/// In fleets over that size the lease is renewed by peers only once less than this part of it remains: each
-/// renewal reads the confirmations of all members.
+/// In large fleets, the lease is renewed by confirmations of peers only when less than this fraction of it
+/// remains, because each renewal reads the confirmations of all members.
 const PEER_RENEWAL_LEASE_PART: f64 = 0.6;
+
+/// The number of members above which a fleet is large.
 const LARGE_FLEET_MEMBERS: usize = 64;
 
-/// A status request as it arrived.
+/// The fields of a received status request.
 struct StatusRequest {
     nonce: u64,
     fleet: u64,
@@ -25,7 +27,8 @@
 }
 
 impl Node {
-    /// Handles a message.
+    /// Handles a received message. Ignores messages of other fleets and, except for status requests and
+    /// joins, messages from unknown processes.
     pub fn receive(&mut self, now: Moment, envelope: Envelope) {
         let Envelope { fleet, sender, sender_address, message } = envelope;
         if fleet != self.fleet || sender == self.identity.incarnation {
@@ -34,7 +37,8 @@
         let is_known = self.is_known(sender, &sender_address);
         match message {
             Message::StatusRequest { nonce, fleet, index, wants_peer_confirmations } => {
-                // A router that knows of no fleet asks whoever does: all its seeds may know as little.
+                // A router that does not know its fleet requests the status of a requester that does, because
+                // its seeds may all lack this knowledge.
                 if self.agreed.fleet == 0 && fleet != 0 {
                     self.request_status(now, &sender_address);
                 }
@@ -58,13 +62,13 @@
         self.advance_replica(now);
     }
 
-    /// Requests another router's status.
+    /// Sends a status request to an address.
     pub(super) fn request_status(&mut self, now: Moment, address: &str) {
         while self.status_requests.len() >= self.limits.outstanding_requests {
             self.status_requests.pop_first();
         }
-        // Nonces increase, so that the oldest is forgotten first. The first is random: a response to an
-        // earlier process must not match.
+        // Nonces increase, so that the oldest request is forgotten first. The first nonce is random, so that
+        // a response to an earlier process of this router does not match.
         self.last_nonce = match self.last_nonce {
             0 => self.rng.random::<u64>() >> 1,
             last => last + 1,
@@ -80,6 +84,8 @@
         self.send(address, request);
     }
 
+    /// Responds to a status request, unless this router knows no fleet or the requester belongs to another
+    /// fleet.
     fn respond_status(&mut self, now: Moment, address: &str, request: &StatusRequest) {
         if self.agreed.fleet == 0 || request.fleet != 0 && request.fleet != self.agreed.fleet {
             return;
@@ -102,7 +108,7 @@
         self.send(address, response);
     }
 
-    /// What the sender of that request lacks.
+    /// Returns the log entries or the state that the sender of a request is missing.
     fn catch_up(&self, request: &StatusRequest) -> CatchUp {
         let agreed = &self.agreed;
         if request.fleet != 0 && request.index >= agreed.index {
@@ -118,6 +124,7 @@
         }
     }
 
+    /// Returns the confirmations of this router's index by peers, if they are `wanted`.
     fn peer_confirmations(&self, now: Moment, wanted: bool) -> Vec<PeerConfirmation> {
         if !wanted {
             return Vec::new();
@@ -127,9 +134,12 @@
         known.into_iter().map(aged).collect()
     }
 
-    /// The clocks that can be read here. A router whose clock has jumped tells none for a lease, so that
-    /// peers keep what they read of it before that. After a lease it does: otherwise, where all clocks have
-    /// jumped, as those of machines that slept together, nobody would ever have anything to agree with.
+    /// Returns the offsets of the clocks that can be read here.
+    ///
+    /// A router whose clock has jumped reports no offsets for the length of a lease, so that peers keep their
+    /// earlier readings of its clock. After that it reports them even if its clock is still not trusted.
+    /// Otherwise, if all clocks have jumped (for example, because all machines were suspended at once), no
+    /// router would ever receive readings that its own could agree with.
     fn clock_offsets(&self, now: Moment) -> Vec<ClockOffset> {
         let own = self.identity.incarnation;
         if self.clocks.untrusted_since().is_some_and(|since| now.since(since) < self.timings.lease) {
@@ -147,19 +157,20 @@
         offsets
     }
 
-    /// The greatest age that a moment may have by another clock.
+    /// Returns the maximum age that a moment may have by another router's clock, in microseconds.
     fn age_micros(&self, now: Moment, at: Moment) -> u64 {
         let age = now.since(at);
         age.as_micros() + self.timings.drift(age).as_micros()
     }
 
-    /// The latest moment by the local clock of which another router tells that age, in response to a request
-    /// of then.
+    /// Converts an age in a response to a moment by the local clock. The result is no later than the true
+    /// moment, because the age and the possible clock drift are subtracted from the time of the request.
     fn moment_of_age(&self, requested_at: Moment, age_micros: u64) -> Moment {
         let drift = self.timings.drift(Span::micros(age_micros)).as_micros();
         requested_at - Span::micros(age_micros.saturating_add(drift))
     }
 
+    /// Handles a status response. Ignores it if no request with its nonce is outstanding.
     fn handle_status_response(&mut self, now: Moment, sender: Incarnation, response: Message) {
         let Message::StatusResponse {
             nonce,
@@ -175,7 +186,8 @@
         else {
             return;
         };
-        // Only a response to a request is of use: the moment of the request is what bounds the ages in it.
+        // Only a response to a known request can be used, because the time of the request bounds the ages in
+        // the response.
         let Some(requested_at) = self.status_requests.remove(&nonce) else { return };
         self.apply_catch_up(now, catch_up);
         self.failure_detector.record_heartbeat(sender, now);
@@ -207,6 +219,7 @@
         self.renew_lease(now);
     }
 
+    /// Applies the log entries or the state that a peer sent.
     fn apply_catch_up(&mut self, now: Moment, catch_up: CatchUp) {
         match catch_up {
             CatchUp::None => {}
@@ -221,7 +234,7 @@
         }
     }
 
-    /// Renews the lease by what peers confirmed.
+    /// Renews the lease by the confirmations of peers.
     pub(super) fn renew_lease(&mut self, now: Moment) {
         let is_long = self.lease.remaining(now) > self.timings.lease * PEER_RENEWAL_LEASE_PART;
         if is_long && self.agreed.members.members().len() > LARGE_FLEET_MEMBERS {
