--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Golden files of what replicas send to each other and store: each file in `tests/golden` holds the encoding
-//! of one sample value. The tests encode each sample and compare it with its file byte for byte, and decode
-//! each file and compare the result with its sample.
+//! Golden files of the data that replicas send to each other and store. Each file in `tests/golden` holds the
+//! encoding of one sample value. The tests encode each sample and compare it with its file byte for byte, and
+//! decode each file and compare the result with its sample.
 //!
-//! A file may only be recorded anew where the encoding is meant to change, which breaks fleets that are in
-//! service:
+//! Record the files again only for an intended change of the encoding. Such a change breaks fleets that are
+//! in production:
 //!
 //! ```sh
 //! cargo test -p tindoor-consensus --test golden -- --ignored record
@@ -22,12 +22,12 @@
 use tindoor_policy::{AgreedState, LogEntry, OutcomeCount, Policy, Proposal};
 use tindoor_quota::{BudgetKey, Granted, KeyDemand, Quota, QuotaGrant, QuotaRequest};
 
-fn directory() -> PathBuf {
+fn golden_directory() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
 fn recorded(name: &str) -> Vec<u8> {
-    let path = directory().join(format!("{name}.bin"));
+    let path = golden_directory().join(format!("{name}.bin"));
     fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
@@ -56,7 +56,7 @@
     Proposal { token, base_generation, policy: changed_policy(), reverts, author, note }
 }
 
-// Messages between replicas.
+// Messages between routers.
 
 fn status_request(wants_peer_confirmations: bool) -> Message {
     Message::StatusRequest {
@@ -98,11 +98,11 @@
     CatchUp::Snapshot(postcard::to_stdvec(&bootstrapped_state()).unwrap())
 }
 
-fn quota_request(lines: Vec<KeyDemand>) -> Message {
-    Message::QuotaRequest(QuotaRequest { nonce: 900, demands: lines })
+fn quota_request(key_demands: Vec<KeyDemand>) -> Message {
+    Message::QuotaRequest(QuotaRequest { nonce: 900, demands: key_demands })
 }
 
-fn quota_request_lines() -> Vec<KeyDemand> {
+fn sample_key_demands() -> Vec<KeyDemand> {
     let fleet_wide = KeyDemand {
         key: BudgetKey { budget: 1, scope: 0 },
         demand: Quota { rate: 100_000, burst: 40_000 },
@@ -110,26 +110,25 @@
         holdings: Quota { rate: 50_000, burst: 20_000 },
         lender_term: 0,
     };
-    let of_one_account = KeyDemand {
+    let per_account = KeyDemand {
         key: BudgetKey { budget: 500, scope: 0xabcd_ef01_2345_6789 },
         demand: Quota::NONE,
         weight: 16,
         holdings: Quota { rate: 0, burst: 1 },
         lender_term: 12,
     };
-    vec![fleet_wide, of_one_account]
+    vec![fleet_wide, per_account]
 }
 
 fn quota_grant(lender_term: u64, grants: Vec<Granted>) -> Message {
     Message::QuotaGrant(QuotaGrant { nonce: 900, lender_term, grants })
 }
 
-fn granted_shares() -> Vec<Granted> {
-    let line = |budget, of| BudgetKey { budget, scope: of };
+fn sample_grants() -> Vec<Granted> {
+    let key = |budget, scope_id| BudgetKey { budget, scope: scope_id };
     let rate =
-        Granted { key: line(1, 0), quota: Quota { rate: 50_000, burst: 20_000 }, duration_us: 1_000_000 };
-    let level =
-        Granted { key: line(500, 0xabcd_ef01), quota: Quota { rate: 0, burst: 3000 }, duration_us: 0 };
+        Granted { key: key(1, 0), quota: Quota { rate: 50_000, burst: 20_000 }, duration_us: 1_000_000 };
+    let level = Granted { key: key(500, 0xabcd_ef01), quota: Quota { rate: 0, burst: 3000 }, duration_us: 0 };
     vec![rate, level]
 }
 
@@ -170,7 +169,7 @@
     ]
 }
 
-/// Every kind of message, each with its header.
+/// Returns samples of every kind of message, each with its header.
 fn messages() -> Vec<(&'static str, Envelope)> {
     let mut messages = vec![
         ("status-request", status_request(false)),
@@ -179,13 +178,13 @@
         ("status-response-entries", status_response(sample_log_tail(), true)),
         ("status-response-snapshot", status_response(sample_snapshot(), true)),
         ("raft", Message::Raft(vec![8, 4, 16, 1, 24, 2, 255, 0])),
-        ("quota-request", quota_request(quota_request_lines())),
+        ("quota-request", quota_request(sample_key_demands())),
         ("quota-request-empty", quota_request(Vec::new())),
-        ("quota-grant", quota_grant(12, granted_shares())),
+        ("quota-grant", quota_grant(12, sample_grants())),
         ("quota-grant-empty", quota_grant(0, Vec::new())),
     ];
-    let forwarded = |hops: u8| move |(name, command)| (name, Message::Command { hops, command });
-    messages.extend(commands().into_iter().map(forwarded(3)));
+    let forwarded_command = |hops: u8| move |(name, command)| (name, Message::Command { hops, command });
+    messages.extend(commands().into_iter().map(forwarded_command(3)));
     messages.into_iter().map(|(name, message)| (name, with_header(message))).collect()
 }
 
@@ -197,12 +196,12 @@
 // Entries of the replicated log.
 
 fn log_entries() -> Vec<(&'static str, LogEntry)> {
-    let join = |replica_id, after| LogEntry::Join {
+    let join = |replica_id, previous| LogEntry::Join {
         incarnation: Incarnation(0x1111),
         member: sample_member(replica_id),
-        predecessor: after,
+        predecessor: previous,
     };
-    let clock = |ahead| LogEntry::Clock { incarnation: Incarnation(0x1111), offset_us: ahead };
+    let clock = |offset| LogEntry::Clock { incarnation: Incarnation(0x1111), offset_us: offset };
     let joint_configuration = LogEntry::Voters { replica_ids: vec![7, 8, 900], outgoing: vec![7, 6] };
     vec![
         (
@@ -240,11 +239,11 @@
 
 // Snapshots of the replicated state.
 
-/// The state that these entries lead to.
+/// Returns the state after applying these entries to an empty state.
 fn state_after(entries: Vec<LogEntry>) -> AgreedState {
     let mut state = AgreedState::new();
-    for (nth, entry) in entries.into_iter().enumerate() {
-        state.apply(nth as u64 + 1, entry);
+    for (position, entry) in entries.into_iter().enumerate() {
+        state.apply(position as u64 + 1, entry);
     }
     state
 }
@@ -255,11 +254,12 @@
 
 fn add_member(number: u64, replica_id: Option<u64>) -> LogEntry {
     let (name, address) = (format!("router-{number}"), format!("192.0.2.{number}:7000"));
-    let listed = Member { name, address, replica_id, location: number as u16 };
-    LogEntry::Join { incarnation: Incarnation(number), member: listed, predecessor: None }
+    let new_member = Member { name, address, replica_id, location: number as u16 };
+    LogEntry::Join { incarnation: Incarnation(number), member: new_member, predecessor: None }
 }
 
-/// Three members, two of them voters, one of them replaced by a restarted process and one removed.
+/// Returns entries after which the fleet has three members. Two replicas are voters, one of the members has
+/// replaced its predecessor after a restart, and a fourth member was removed.
 fn membership() -> Vec<LogEntry> {
     let restarted = Member { location: 9, ..sample_member(Some(7)) };
     vec![
@@ -277,26 +277,27 @@
     ]
 }
 
-fn with_entries(more: Vec<LogEntry>) -> AgreedState {
+fn membership_followed_by(more: Vec<LogEntry>) -> AgreedState {
     state_after(membership().into_iter().chain(more).collect())
 }
 
-fn propose(token: u64, base_generation: u64, undoes: Option<u64>) -> LogEntry {
-    LogEntry::Propose(sample_proposal(token, base_generation, undoes))
+fn propose(token: u64, base_generation: u64, reverted_generation: Option<u64>) -> LogEntry {
+    LogEntry::Propose(sample_proposal(token, base_generation, reverted_generation))
 }
 
-fn commit(generation: u64) -> LogEntry {
+fn decide(generation: u64) -> LogEntry {
     LogEntry::Decide { generation, activation_time: FleetTime(1_700_000_000_123_456) }
 }
 
-/// A refused, an aborted and an activated change; the last one is on probation.
+/// Returns entries with a rejected, a cancelled and an activated change. The activated change is on
+/// probation.
 fn finished_changes() -> Vec<LogEntry> {
     vec![
         propose(21, 9, None),
         propose(22, 1, None),
         LogEntry::Cancel { generation: 2, reason: "router-1 rejects it".into() },
         propose(23, 1, None),
-        commit(3),
+        decide(3),
         LogEntry::Activated { generation: 3 },
     ]
 }
@@ -307,16 +308,16 @@
 
 fn snapshots() -> Vec<(&'static str, AgreedState)> {
     let rollback = [finished_changes(), vec![propose(24, 3, Some(3))]].concat();
-    let rolled_back = [rollback.clone(), vec![commit(4), LogEntry::Activated { generation: 4 }]].concat();
+    let rolled_back = [rollback.clone(), vec![decide(4), LogEntry::Activated { generation: 4 }]].concat();
     vec![
         ("snapshot-empty", AgreedState::new()),
         ("snapshot-bootstrapped", bootstrapped_state()),
-        ("snapshot-members", with_entries(Vec::new())),
-        ("snapshot-proposed-change", with_entries(vec![propose(20, 1, None)])),
-        ("snapshot-committed-change", with_entries(vec![propose(20, 1, None), commit(2)])),
-        ("snapshot-change-on-probation", with_entries(finished_changes())),
-        ("snapshot-proposed-rollback", with_entries(rollback)),
-        ("snapshot-rolled-back", with_entries(rolled_back)),
+        ("snapshot-members", membership_followed_by(Vec::new())),
+        ("snapshot-proposed-change", membership_followed_by(vec![propose(20, 1, None)])),
+        ("snapshot-committed-change", membership_followed_by(vec![propose(20, 1, None), decide(2)])),
+        ("snapshot-change-on-probation", membership_followed_by(finished_changes())),
+        ("snapshot-proposed-rollback", membership_followed_by(rollback)),
+        ("snapshot-rolled-back", membership_followed_by(rolled_back)),
     ]
 }
 
@@ -341,7 +342,7 @@
     assert_eq!((rolled_back.probation.is_none(), rolled_back.generation()), (true, 4));
 }
 
-// What a replica stores: its hard state, snapshot and log entries, as its writes leave them.
+// The stored data of a replica: its hard state, snapshot and log entries after all writes.
 
 fn timings() -> Timings {
     Timings {
@@ -430,8 +431,8 @@
 
     fn store(&mut self, write: StorageWrite) {
         let entries = &mut self.stored.entries;
-        if let Some(hard) = write.hard_state {
-            self.stored.hard_state = hard;
+        if let Some(hard_state) = write.hard_state {
+            self.stored.hard_state = hard_state;
         }
         if let Some(snapshot) = write.snapshot {
             self.stored.snapshot = snapshot;
@@ -450,13 +451,13 @@
     }
 }
 
-/// The request of another member to join, from that location.
+/// Returns the request of another member to join, from the given location.
 fn join(location: u16) -> Command {
     let member = Member { name: "router-2".into(), location, ..sample_member(None) };
     Command::Join { incarnation: Incarnation(0x1111), member, predecessor: None }
 }
 
-/// A replica whose log holds a member that joined and a change that took effect.
+/// Returns a replica whose log contains a joined member and an activated change.
 fn replica_with_log() -> Replica {
     let mut replica = Replica::bootstrapped();
     replica.command(Command::Propose(sample_proposal(0xdead_beef, 1, None)));
@@ -466,7 +467,7 @@
     replica
 }
 
-/// A replica that has just replaced its log by a snapshot.
+/// Returns a replica that has just compacted its log into a snapshot.
 fn replica_after_compaction() -> Replica {
     let mut replica = replica_with_log();
     for location in 0..1000 {
@@ -516,7 +517,7 @@
 #[test]
 fn samples_are_encoded_as_recorded() {
     for (name, bytes) in encoded_samples() {
-        assert!(bytes == recorded(&name), "{name}: encoded differently than recorded");
+        assert!(bytes == recorded(&name), "{name}: the encoding differs from the golden file");
     }
 }
 
@@ -541,15 +542,16 @@
     }
 }
 
-/// Each entry of the stored log that is committed is applied by a replica that starts from what was recorded.
+/// A replica that starts from recorded storage applies all committed entries of the stored log, and so
+/// reaches the same state as the replica that stored them.
 #[test]
 fn replicas_start_from_recorded_storage_with_the_same_state() {
     for (name, replica) in replicas() {
         let mut restarted = start_replica(Some(recorded_storage(name)), replica.ms);
         let mut writes = restarted.take_actions().into_iter();
         assert!(writes.all(|action| !matches!(action, Action::Send { .. })), "{name}");
-        assert_eq!(restarted.agreed().generation(), 2, "{name}: the change took effect");
-        assert!(restarted.agreed().members.contains(Incarnation(0x1111)), "{name}: the member is listed");
+        assert_eq!(restarted.agreed().generation(), 2, "{name}: the change is in force");
+        assert!(restarted.agreed().members.contains(Incarnation(0x1111)), "{name}: the member has joined");
         assert_eq!(restarted.agreed(), replica.node.agreed(), "{name}");
     }
 }
@@ -559,15 +561,15 @@
     let expected: BTreeSet<String> =
         encoded_samples().into_iter().map(|(name, _)| format!("{name}.bin")).collect();
     let file_name = |entry: std::io::Result<fs::DirEntry>| entry.unwrap().file_name().into_string().unwrap();
-    let found: BTreeSet<String> = fs::read_dir(directory()).unwrap().map(file_name).collect();
+    let found: BTreeSet<String> = fs::read_dir(golden_directory()).unwrap().map(file_name).collect();
     assert_eq!(found, expected);
 }
 
 #[test]
 #[ignore = "replaces the golden files"]
 fn record() {
-    fs::create_dir_all(directory()).unwrap();
+    fs::create_dir_all(golden_directory()).unwrap();
     for (name, bytes) in encoded_samples() {
-        fs::write(directory().join(format!("{name}.bin")), bytes).unwrap();
+        fs::write(golden_directory().join(format!("{name}.bin")), bytes).unwrap();
     }
 }
