--- a/crates/consensus/src/errors.rs
+++ b/crates/consensus/src/errors.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SubmitError {
     /// Too many submitted commands are pending.
-    #[error("too many submitted commands are pending: submit this one again once another has completed")]
+    #[error("too many submitted commands are pending: try again after one of them has completed")]
     TooManyPending,
 }
 
--- a/crates/consensus/src/membership_change.rs
+++ b/crates/consensus/src/membership_change.rs
@@ -25,7 +25,7 @@
 /// Returns the next change of the voters. `None` if no change is needed or possible.
 ///
 /// `leader` always stays a voter. All `candidates` must be reachable. The target number of voters is
-/// `wanted`, or the odd number below it if `wanted` is even.
+/// `target`, or the odd number below it if `target` is even.
 ///
 /// An unreachable voter is replaced in one step. If its replacement were added first and the unreachable
 /// voter removed later, the fleet would need a larger quorum in between than it may be able to form. A single
@@ -34,20 +34,20 @@
     leader: u64,
     voters: &[ReplicaInfo],
     candidates: &[ReplicaInfo],
-    wanted: usize,
+    target: usize,
 ) -> Option<MembershipChange> {
-    let wanted = if wanted.is_multiple_of(2) { wanted.max(2) - 1 } else { wanted };
+    let target = if target.is_multiple_of(2) { target.max(2) - 1 } else { target };
     let mut plan = Plan {
         leader,
         voters: voters.to_vec(),
         candidates: candidates.to_vec(),
         change: MembershipChange::default(),
     };
-    if plan.voters.len() > wanted {
-        plan.shrink_to(wanted)?;
+    if plan.voters.len() > target {
+        plan.shrink_to(target)?;
     } else if let Some(unreachable) = plan.next_to_remove().filter(|voter| !voter.is_reachable) {
         plan.replace(unreachable);
-    } else if plan.voters.len() < wanted {
+    } else if plan.voters.len() < target {
         plan.grow()?;
     }
     Some(plan.change).filter(|change| *change != MembershipChange::default())
@@ -85,8 +85,8 @@
         self.change.removed.push(voter.replica_id);
     }
 
-    fn shrink_to(&mut self, wanted: usize) -> Option<()> {
-        while self.voters.len() > wanted {
+    fn shrink_to(&mut self, target: usize) -> Option<()> {
+        while self.voters.len() > target {
             let voter = self.next_to_remove()?;
             self.remove(voter);
         }
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -167,7 +167,7 @@
 
 /// A message that can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("message can't be decoded: it is malformed or does not end where it should")]
+#[error("message can't be decoded: it is malformed, truncated or followed by trailing bytes")]
 pub struct UnreadableMessage;
 
 impl Envelope {
--- a/crates/consensus/src/node/commands.rs
+++ b/crates/consensus/src/node/commands.rs
@@ -33,7 +33,7 @@
 }
 
 impl Node {
-    /// Submits a command to the leader. It is sent again until its outcome is known.
+    /// Submits a command to the leader, and sends it again until its outcome is known.
     pub fn submit(&mut self, now: Moment, command: Command) -> Result<(), SubmitError> {
         if self.pending_commands.len() >= self.limits.pending_commands {
             return Err(SubmitError::TooManyPending);
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -35,7 +35,7 @@
 /// The maximum total size of proposed entries that are not yet committed, in bytes.
 const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 
-/// The `raft` library with this replica's log.
+/// A replica of the log: the `raft` library with the log, and the output that waits for writes.
 pub(crate) struct Replica {
     raw: RawNode<RaftLog>,
     replica_id: u64,
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -39,7 +39,7 @@
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
-/// A replica's log in memory.
+/// The in-memory log of a replica.
 #[derive(Debug, Default)]
 pub(crate) struct RaftLog {
     hard_state: HardState,
--- a/crates/consensus/tests/membership_change.rs
+++ b/crates/consensus/tests/membership_change.rs
@@ -17,11 +17,11 @@
     voters: &[u64],
     unreachable: &[u64],
     candidates: &[u64],
-    wanted: usize,
+    target: usize,
 ) -> Option<(Vec<u64>, Vec<u64>)> {
     let (voters, leader) = (replicas(voters, unreachable), voters[0]);
     let MembershipChange { added, removed } =
-        plan_membership_change(leader, &voters, &replicas(candidates, &[]), wanted)?;
+        plan_membership_change(leader, &voters, &replicas(candidates, &[]), target)?;
     Some((added, removed))
 }
 
