--- a/crates/request-runtime/src/admission.rs
+++ b/crates/request-runtime/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control where the routers of a fleet agree on settings and share a quota.
+//! Admission control for a fleet whose routers agree on settings and share a quota.
 
 use std::time::{Duration, Instant};
 
@@ -6,48 +6,53 @@
 use tindoor::settings::Settings;
 use tindoor::time::{Moment, Span};
 
-/// Decides whether requests are admitted, by which settings, and what attempts may draw from the shared
-/// quota.
+/// Decides whether requests are admitted, which settings apply to them, and what their attempts may charge to
+/// the shared quota.
 pub trait AdmissionGate {
-    /// The settings to apply now, where they have changed since the last call; an error says that no request
-    /// is admitted now, and when clients may retry.
+    /// Returns the settings in force if they have changed since the last call, or `None` if they have not.
+    ///
+    /// An error means that no request is admitted now; it holds the delay after which clients may retry.
     fn updated_settings(&self) -> Result<Option<Settings>, Span>;
 
-    /// How many requests may be in flight by the settings in force.
+    /// Returns the maximum number of requests in flight under the settings in force.
     fn max_in_flight(&self) -> usize;
 
-    /// Admits a request of that account, right after [`updated_settings`](Self::updated_settings): returns
-    /// the generation of the settings in force, or when its client may retry.
+    /// Admits a request of `account` and returns the generation of the settings in force. Must be called
+    /// right after [`updated_settings`](Self::updated_settings).
+    ///
+    /// An error means that the request is not admitted; it holds the delay after which the client may retry.
     fn admit(&self, account: u64) -> Result<u64, Span>;
 
-    /// Counts the end of a request that was admitted under that generation.
-    fn request_ended(&self, generation: u64, class: u16, done: bool, took: Duration);
+    /// Counts the end of a request that was admitted under `generation`. `served` says whether the request
+    /// was served, `took` how long it was in flight.
+    fn request_ended(&self, generation: u64, class: u16, served: bool, took: Duration);
 
     /// Whether the shared quota has capacity for a fill from the origin.
     fn can_afford_fill(&self, class: u16) -> bool;
 
-    /// Charges one attempt to the shared quota; none where the quota does not allow it.
+    /// Charges one attempt to the shared quota. Returns `None` if the quota does not allow the attempt.
     fn charge_quota(&self, charge: &QuotaCharge) -> Option<AttemptCharge>;
 
-    /// Settles the charge of an attempt once the attempt has ended.
+    /// Settles the charge of an attempt after the attempt has ended with `outcome`.
     fn settle_charge(&self, charge: AttemptCharge, outcome: Outcome);
 
-    /// This router's share of the load that a warming endpoint takes; none where it is not divided.
+    /// Returns this router's share, between 0 and 1, of the load that an endpoint takes while it is warming
+    /// up. `None` if that load is not divided among the routers.
     fn slow_start_share(&self, stable_id: u64, is_parent: bool) -> Option<f64>;
 }
 
-/// What one attempt was charged, to be settled with the quota it came from.
+/// The quota charge of one attempt, to be settled when the attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptCharge {
-    /// When it was charged, on the quota's clock.
+    /// When the attempt was charged, on the quota's clock.
     pub at: Moment,
     /// The request class.
     pub class: u16,
-    /// Whether the attempt may have the origin asked for a fill.
+    /// Whether the attempt may cause a fill from the origin.
     pub may_fill_from_origin: bool,
 }
 
-/// A request that the admission gate admitted, to be counted at its end.
+/// A request admitted by the admission gate, to be counted when it ends.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmittedRequest {
     pub(crate) generation: u64,
--- a/crates/request-runtime/src/attempt.rs
+++ b/crates/request-runtime/src/attempt.rs
@@ -1,42 +1,43 @@
-//! What the routing engine orders for a request.
+//! The actions that the routing engine issues for a request.
 
 use std::time::{Duration, Instant};
 
 use tindoor::host::{EndpointId, FillDirectives};
 use tindoor::time::Span;
 
-/// What a request's task is to do next.
+/// An action to be carried out by the task that runs a request.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     /// Send this attempt.
     Send(Attempt),
-    /// Cancel the attempt of this index.
+    /// Cancel the attempt with this index.
     Cancel(u16),
-    /// Reject the request: a retry is harmless, best after this long.
+    /// Reject the request. The client can retry it safely, preferably after this delay, if one is given.
     Reject(Option<Span>),
     /// Fail the request.
     Fail,
-    /// Nobody waits for the request any more, or the router shuts down; not from the routing engine.
+    /// Abandon the request: its client no longer waits for it, or the router is shutting down. Issued by the
+    /// router, never by the routing engine.
     Abandon,
 }
 
-/// One attempt that the routing engine ordered.
+/// One attempt of a request, as issued by the routing engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Its index among the attempts of its request, from 0.
+    /// The index of the attempt within its request, from 0.
     pub index: u16,
-    /// Where it goes.
+    /// The endpoint that the attempt is sent to.
     pub endpoint: EndpointId,
-    /// How long it may take from `issued_at` on.
+    /// The time limit of the attempt, counted from `issued_at`.
     pub timeout: Duration,
-    /// How the endpoint is to fill a miss; none for a cache-only read.
+    /// How the endpoint fills a miss. `None` for a cache-only read.
     pub directives: Option<FillDirectives>,
-    /// When the routing engine ordered it.
+    /// When the routing engine issued the attempt.
     pub issued_at: Instant,
 }
 
 impl Attempt {
-    /// Where a miss is to be filled from; none for a cache-only read.
+    /// Returns the endpoint that a miss is filled from. `None` for a cache-only read.
     pub fn source(&self) -> Option<EndpointId> {
         self.directives.map(|directives| directives.source)
     }
--- a/crates/request-runtime/src/clock.rs
+++ b/crates/request-runtime/src/clock.rs
@@ -6,7 +6,9 @@
 
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// A monotonic clock, set to the Unix clock once at the start.
+/// A monotonic clock that is set from the system clock once, when it is created.
+///
+/// Its times are Unix times, but later changes of the system clock do not affect them.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -19,17 +21,17 @@
         Self { start: Instant::now(), unix_at_start }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Moment {
         Moment::at_micros((self.unix_at_start + self.start.elapsed()).as_micros() as u64)
     }
 
-    /// The Unix time now, in milliseconds.
+    /// Returns the current Unix time in milliseconds.
     pub fn unix_ms(&self) -> u64 {
         self.now().as_micros() / MICROS_PER_MILLI
     }
 
-    /// A Unix time in milliseconds as a point on this clock.
+    /// Converts a Unix time in milliseconds to a time on this clock.
     pub fn at_unix_ms(ms: u64) -> Moment {
         Moment::at_micros(ms.saturating_mul(MICROS_PER_MILLI))
     }
--- a/crates/request-runtime/src/engine_handle.rs
+++ b/crates/request-runtime/src/engine_handle.rs
@@ -1,4 +1,5 @@
-//! The one way to the routing engine: every event reaches it here, with the time at which it is applied.
+//! Access to the routing engine. Every event is applied through [`EngineHandle`], which sets the engine's
+//! time first.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,10 +12,11 @@
 
 use crate::{Action, AdmissionGate, AdmittedRequest, Attempt, Clock, EngineHost, Mailbox, WakeTimer};
 
-/// The routing engine with its clock, its timer and the admission gate before it.
+/// The routing engine with its clock, its timer and the admission gate that requests pass before they reach
+/// it.
 pub struct EngineHandle {
     engine: RefCell<RoutingEngine<EngineHost>>,
-    /// The engine's clock.
+    /// The clock of the routing engine.
     pub clock: Clock,
     timer: Rc<WakeTimer>,
     in_flight: Cell<usize>,
@@ -30,20 +32,22 @@
         Self { engine, clock, timer, in_flight: Cell::new(0), gate: RefCell::default() }
     }
 
-    /// Applies an event to the routing engine at the present time. Nothing is awaited inside.
+    /// Applies an event to the routing engine at the current time.
+    ///
+    /// The engine stays borrowed while `event` runs, so `event` must not use this handle.
     pub fn with<T>(&self, event: impl FnOnce(&mut RoutingEngine<EngineHost>) -> T) -> T {
         let mut engine = self.engine.borrow_mut();
         engine.set_time(self.clock.now());
         event(&mut engine)
     }
 
-    /// Has `gate` decide on the admission of each request from now on.
+    /// Sets the gate that decides on the admission of every later request.
     pub fn set_gate(&self, gate: Rc<dyn AdmissionGate>) {
         self.engine.borrow_mut().host().gate = Some(Rc::clone(&gate));
         *self.gate.borrow_mut() = Some(gate);
     }
 
-    /// Calls the routing engine whenever its timer fires; never returns.
+    /// Calls the routing engine each time its timer fires. Never returns.
     pub async fn run_timers(&self) {
         loop {
             self.timer.fired().await;
@@ -54,9 +58,11 @@
 
 /// Admission of requests.
 impl EngineHandle {
-    /// Applies the settings in force to the routing engine; an error says that no request is admitted now,
-    /// and when clients may retry. Requests in flight stay with the settings that they were admitted under.
-    fn reconcile_settings(&self) -> Result<(), Span> {
+    /// Applies the settings in force to the routing engine if they have changed. Requests in flight keep the
+    /// settings that they were admitted under.
+    ///
+    /// An error means that no request is admitted now; it holds the delay after which clients may retry.
+    fn apply_updated_settings(&self) -> Result<(), Span> {
         let gate = self.gate.borrow().clone();
         if let Some(settings) = gate.map_or(Ok(None), |gate| gate.updated_settings())? {
             self.with(|engine| engine.apply_settings(settings));
@@ -64,31 +70,37 @@
         Ok(())
     }
 
-    /// Whether one more request may be in flight, of `limit` at most. The settings in force are applied
-    /// first: a router at its limit would otherwise never learn that they changed.
+    /// Whether one more request may be in flight, given a maximum of `limit` and the maximum set by the
+    /// admission gate.
+    ///
+    /// Applies the settings in force first: a router at its limit admits no request, and would otherwise
+    /// never notice that the settings have changed.
     pub fn has_capacity(&self, limit: usize) -> bool {
-        let _ = self.reconcile_settings();
+        let _ = self.apply_updated_settings();
         let gate = self.gate.borrow();
         self.in_flight.get() < gate.as_ref().map_or(limit, |gate| limit.min(gate.max_in_flight()))
     }
 
-    /// When the client of a request that finds no capacity may retry, where that is known.
+    /// Returns the delay after which a client may retry a request that found no capacity. `None` if it is not
+    /// known.
     pub fn retry_after(&self) -> Option<Span> {
-        match self.reconcile_settings() {
+        match self.apply_updated_settings() {
             Ok(()) => self.with(RoutingEngine::retry_after),
             Err(retry_after) => Some(retry_after),
         }
     }
 
-    /// Hands a request to the routing engine, or rejects it where the gate does not admit it. Returns what to
-    /// count at its end, where there is a gate that admitted it.
+    /// Passes a request to the routing engine, or rejects it if the admission gate does not admit it.
+    ///
+    /// Returns the request to pass to [`record_outcome`](Self::record_outcome) when it ends. `None` if the
+    /// request was rejected, or if there is no admission gate.
     pub fn admit(
         &self,
         slot: RequestSlot,
         meta: RequestMeta,
         time_remaining: Span,
     ) -> Option<AdmittedRequest> {
-        let generation = match self.ask_gate(u64::from(meta.group)) {
+        let generation = match self.check_admission(u64::from(meta.group)) {
             Ok(generation) => generation,
             Err(retry_after) => {
                 self.engine.borrow_mut().host().push(slot, Action::Reject(Some(retry_after)));
@@ -99,41 +111,43 @@
         Some(AdmittedRequest { generation: generation?, class: meta.class, admitted_at: Instant::now() })
     }
 
-    /// The generation under which the gate admits a request; none where there is no gate.
-    fn ask_gate(&self, account: u64) -> Result<Option<u64>, Span> {
+    /// Returns the generation of the settings under which the gate admits a request of `account`. `None` if
+    /// there is no gate; an error holds the delay after which the client may retry.
+    fn check_admission(&self, account: u64) -> Result<Option<u64>, Span> {
         let Some(gate) = self.gate.borrow().clone() else { return Ok(None) };
-        self.reconcile_settings()?;
+        self.apply_updated_settings()?;
         gate.admit(account).map(Some)
     }
 
-    /// Counts the end of an admitted request.
-    pub fn record_outcome(&self, admitted: Option<AdmittedRequest>, done: bool) {
+    /// Reports the end of an admitted request to the admission gate; `served` says whether it was served.
+    pub fn record_outcome(&self, admitted: Option<AdmittedRequest>, served: bool) {
         if let (Some(request), Some(gate)) = (admitted, self.gate.borrow().as_ref()) {
-            gate.request_ended(request.generation, request.class, done, request.admitted_at.elapsed());
+            gate.request_ended(request.generation, request.class, served, request.admitted_at.elapsed());
         }
     }
 }
 
 /// Requests in flight.
 impl EngineHandle {
-    /// How many requests are in flight.
+    /// Returns the number of requests in flight.
     pub fn open_requests(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Gives a new request a slot and a mailbox.
+    /// Allocates a slot and a mailbox for a new request.
     pub fn open_request(&self) -> (RequestSlot, Rc<Mailbox>) {
         self.in_flight.set(self.in_flight.get() + 1);
         self.engine.borrow_mut().host().open()
     }
 
-    /// Frees the slot of a request that has its final answer and whose attempts have all been reported.
+    /// Frees the slot of a request. The request must have its final answer, and all its attempts must have
+    /// been reported.
     pub fn close_request(&self, slot: RequestSlot) {
         self.in_flight.set(self.in_flight.get() - 1);
         self.engine.borrow_mut().host().close(slot);
     }
 
-    /// Reports the end of an attempt to the routing engine; `last` says that the request has its final
+    /// Reports the end of an attempt to the routing engine; `last` says whether the request has its final
     /// answer.
     pub fn attempt_ended(&self, slot: RequestSlot, attempt: &Attempt, outcome: Outcome, last: bool) {
         let took = Span::micros(attempt.issued_at.elapsed().as_micros() as u64);
@@ -146,7 +160,8 @@
             last,
             "attempt ended"
         );
-        // The quota is settled first, as the next decision may draw on it.
+        // The charge is settled first, because the routing engine may charge the quota again in its next
+        // decision.
         self.settle_charge(slot, attempt.index, outcome);
         self.with(|engine| engine.attempt_ended(slot, attempt.index, outcome, took, last));
     }
@@ -160,12 +175,13 @@
         }
     }
 
-    /// Whether a request in flight has an attempt to that endpoint, or with it as source.
+    /// Whether a request in flight has an attempt that uses the endpoint, as its destination or as its
+    /// source.
     pub fn is_referenced(&self, endpoint: EndpointId) -> bool {
         self.engine.borrow_mut().host().is_referenced(endpoint)
     }
 
-    /// Abandons all requests in flight, as the router shuts down.
+    /// Abandons all requests in flight; used when the router shuts down.
     pub fn abandon_all(&self) {
         self.engine.borrow_mut().host().abandon_all();
     }
--- a/crates/request-runtime/src/engine_host.rs
+++ b/crates/request-runtime/src/engine_host.rs
@@ -1,4 +1,4 @@
-//! The routing engine's [`Host`]: puts each action into the mailbox of its request.
+//! The [`Host`] of the routing engine: puts each action into the mailbox of the request that it is for.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,12 +8,13 @@
 
 use crate::{Action, AdmissionGate, Attempt, AttemptCharge, Mailbox, WakeTimer};
 
-/// The requests in flight by their slots, and when the routing engine is to be called next.
+/// The requests in flight, by slot, and the timer that schedules the next call of the routing engine.
 #[derive(Default)]
 pub struct EngineHost {
     requests: Vec<Option<RequestEntry>>,
     free_slots: Vec<u32>,
-    /// By endpoint, how many times attempts of requests in flight refer to it.
+    /// The number of references to each endpoint, by endpoint id. An attempt of a request in flight holds one
+    /// reference to its endpoint and one to its source.
     reference_counts: Vec<u32>,
     pub(crate) timer: Rc<WakeTimer>,
     pub(crate) gate: Option<Rc<dyn AdmissionGate>>,
@@ -23,14 +24,16 @@
 struct RequestEntry {
     mailbox: Rc<Mailbox>,
     next_attempt_index: u16,
-    /// The endpoints and sources of its attempts: their ids are not given to others before the request ends.
+    /// The endpoints and sources of the request's attempts. Their ids are not reassigned to other endpoints
+    /// until the request ends.
     referenced: Vec<EndpointId>,
-    /// By attempt, the charge to settle at its end; none where the attempt fills nothing.
+    /// The quota charge of each attempt, by attempt index, to be settled when the attempt ends. `None` if the
+    /// attempt may not fill from the origin, or if its charge has been settled.
     charges: Vec<Option<AttemptCharge>>,
 }
 
 impl EngineHost {
-    /// Gives a new request a slot and a mailbox.
+    /// Allocates a slot and a mailbox for a new request.
     pub(crate) fn open(&mut self) -> (RequestSlot, Rc<Mailbox>) {
         let mailbox = Rc::new(Mailbox::default());
         let entry = Some(RequestEntry {
@@ -52,7 +55,7 @@
         (RequestSlot(slot), mailbox)
     }
 
-    /// Frees the slot and drops the references of its request.
+    /// Frees a slot and releases the endpoint references of its request.
     pub(crate) fn close(&mut self, slot: RequestSlot) {
         let entry = self.requests[slot.0 as usize].take();
         for endpoint in entry.iter().flat_map(|entry| &entry.referenced) {
@@ -61,12 +64,12 @@
         self.free_slots.push(slot.0);
     }
 
-    /// Whether an attempt of a request in flight refers to that endpoint.
+    /// Whether an attempt of a request in flight refers to the endpoint, as its destination or as its source.
     pub(crate) fn is_referenced(&self, endpoint: EndpointId) -> bool {
         self.reference_counts.get(endpoint.0 as usize).is_some_and(|count| *count > 0)
     }
 
-    /// Removes the charge of an attempt, if there is one to settle.
+    /// Removes and returns the charge of an attempt. `None` if the attempt has no charge to settle.
     pub(crate) fn take_charge(&mut self, slot: RequestSlot, attempt_index: u16) -> Option<AttemptCharge> {
         self.entry_mut(slot)?.charges.get_mut(usize::from(attempt_index))?.take()
     }
@@ -81,7 +84,11 @@
         match self.requests.get(slot.0 as usize).and_then(Option::as_ref) {
             Some(entry) => entry.mailbox.push(action),
             None => {
-                tracing::error!(request = slot.0, ?action, "an action for a request that is not in flight");
+                tracing::error!(
+                    request = slot.0,
+                    ?action,
+                    "dropped an action for a request that is not in flight"
+                );
             }
         }
     }
@@ -103,7 +110,7 @@
         entry.next_attempt_index += 1;
         entry.referenced.extend([Some(endpoint), source].into_iter().flatten());
         [Some(endpoint), source].into_iter().flatten().for_each(|endpoint| self.count_reference(endpoint));
-        tracing::debug!(request = slot.0, index, endpoint = endpoint.0, "attempt ordered");
+        tracing::debug!(request = slot.0, index, endpoint = endpoint.0, "attempt queued");
         let timeout = Duration::from_micros(timeout.as_micros());
         let issued_at = Instant::now();
         self.push(slot, Action::Send(Attempt { index, endpoint, timeout, directives, issued_at }));
@@ -147,7 +154,7 @@
         self.timer.set(Instant::now() + Duration::from_micros(wait.as_micros()));
     }
 
-    /// The discovery watch runs from the start, whether it is asked for or not.
+    /// Does nothing: the router watches endpoint discovery from startup on, without being asked.
     fn watch_endpoints(&mut self) {}
 
     fn can_afford_fill(&self, class: u16) -> bool {
@@ -157,7 +164,8 @@
     fn charge_quota(&mut self, slot: RequestSlot, charge: QuotaCharge) -> bool {
         let Some(gate) = &self.gate else { return true };
         let Some(charged) = gate.charge_quota(&charge) else { return false };
-        // The attempt that is sent next has the index of this charge.
+        // The routing engine charges an attempt right before it sends it, so that the charge and the attempt
+        // get the same index.
         if let Some(entry) = self.entry_mut(slot) {
             entry.charges.push(Some(charged).filter(|charged| charged.may_fill_from_origin));
         }
--- a/crates/request-runtime/src/lib.rs
+++ b/crates/request-runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every front shares and what knows no protocol: the requests in flight with their slots and
-//! correlation ids, the routing engine with its clock and its actions, and the lifecycle of one request.
+//! The protocol-independent request runtime that all fronts share: the requests in flight with their slots
+//! and correlation ids, the routing engine with its clock and its actions, and the lifecycle of one request.
 
 mod admission;
 mod attempt;
--- a/crates/request-runtime/src/lifecycle.rs
+++ b/crates/request-runtime/src/lifecycle.rs
@@ -1,4 +1,5 @@
-//! The lifecycle of one request, from its admission to when every attempt of it is reported.
+//! The lifecycle of one request, from its admission until it has its final answer and all its attempts have
+//! been reported.
 
 use std::pin::Pin;
 
@@ -8,52 +9,54 @@
 
 use crate::{Action, AdmittedRequest, Attempt, EngineHandle, Mailbox};
 
-/// How an attempt ended, with what it brought for the client.
+/// The outcome of an attempt and the response to pass to the client.
 pub struct AttemptEnd<P> {
-    /// As reported to the routing engine.
+    /// The outcome that is reported to the routing engine.
     pub outcome: Outcome,
-    /// For the client, if the attempt was served.
+    /// The response to the client. Only used if the attempt was served.
     pub payload: P,
 }
 
-/// The one final answer of a request.
+/// The final answer of a request. Each request has exactly one.
 pub enum FinalAnswer<P> {
-    /// What the attempt that was served brought.
+    /// The request was served, with this response.
     Served(P),
-    /// A retry is harmless, best after this long.
+    /// The request was rejected. The client can retry it safely, preferably after this delay, if one is
+    /// given.
     Rejected(Option<Span>),
-    /// The request failed, and may have run.
+    /// The request failed and may have run.
     Failed,
-    /// Nobody waits any more, or the router or the client's connection ends.
+    /// The request was abandoned: its client no longer waits for it, the client's connection closed, or the
+    /// router is shutting down.
     Abandoned,
 }
 
-/// What a front does for one request.
+/// The operations that a front provides for one request.
 pub trait RequestTransport {
-    /// What an attempt brings for the client.
+    /// The response of a served attempt, to be passed to the client.
     type Payload;
 
-    /// Sends one attempt and waits for its end. Dropping the future cancels the attempt at once.
+    /// Sends one attempt and waits for its end. Dropping the future cancels the attempt immediately.
     fn send(&self, attempt: Attempt) -> impl Future<Output = AttemptEnd<Self::Payload>>;
 
-    /// Gives the final answer; called once.
+    /// Sends the final answer to the client. Called exactly once for each request.
     fn answer(&self, answer: FinalAnswer<Self::Payload>);
 }
 
-/// A request that was read and checked, before it is admitted.
+/// A request that has been read and validated, but not yet admitted.
 pub struct IncomingRequest<'a> {
-    /// Its slot at the routing engine.
+    /// The slot of the request at the routing engine.
     pub slot: RequestSlot,
-    /// Where the routing engine's actions for it arrive.
+    /// The mailbox that receives the routing engine's actions for the request.
     pub mailbox: &'a Mailbox,
-    /// What it asks for.
+    /// What the request asks for.
     pub meta: RequestMeta,
-    /// How long its client waits from now on.
+    /// How long the client keeps waiting, counted from now.
     pub time_remaining: Span,
 }
 
-/// Runs one request: carries out what the routing engine orders, until the client has its one final answer
-/// and every attempt has been reported.
+/// Runs one request: carries out the actions of the routing engine until the client has its final answer and
+/// every attempt has been reported.
 pub async fn run_request<T: RequestTransport>(
     engine: &EngineHandle,
     request: IncomingRequest<'_>,
@@ -80,24 +83,26 @@
     end: Pin<Box<dyn Future<Output = AttemptEnd<P>> + 'a>>,
 }
 
-/// Where a request stands.
+/// The state of a request that is being run.
 struct Lifecycle<'a, T: RequestTransport> {
     engine: &'a EngineHandle,
     slot: RequestSlot,
     transport: &'a T,
     admitted: Option<AdmittedRequest>,
-    /// One at a time.
+    /// The attempt in flight; there is at most one at a time.
     in_flight: Option<InFlightAttempt<'a, T::Payload>>,
     is_answered: bool,
 }
 
 impl<T: RequestTransport> Lifecycle<'_, T> {
-    /// The end of an attempt is reported even where the final answer is long given.
+    /// Whether the request can be closed. A request that has its final answer stays open until the end of the
+    /// attempt in flight has been reported.
     fn is_finished(&self) -> bool {
         self.is_answered && self.in_flight.is_none()
     }
 
-    /// Waits for the next event; actions come before the end of the attempt in flight.
+    /// Waits for the next event. If an action and the end of the attempt in flight are both ready, the action
+    /// comes first.
     async fn next_event(&mut self, mailbox: &Mailbox) -> Event<T::Payload> {
         let action = async { Event::Action(mailbox.next().await) };
         let end = async {
@@ -113,8 +118,8 @@
         match action {
             Action::Send(attempt) => self.send(attempt),
             Action::Cancel(index) => self.cancel(index),
-            Action::Reject(retry_after) => self.refuse(FinalAnswer::Rejected(retry_after)),
-            Action::Fail => self.refuse(FinalAnswer::Failed),
+            Action::Reject(retry_after) => self.answer_unserved(FinalAnswer::Rejected(retry_after)),
+            Action::Fail => self.answer_unserved(FinalAnswer::Failed),
             Action::Abandon => self.abandon(),
         }
     }
@@ -123,8 +128,8 @@
         if self.in_flight.is_none() && !self.is_answered {
             self.in_flight = Some(InFlightAttempt { attempt, end: Box::pin(self.transport.send(attempt)) });
         } else {
-            // Every attempt that was ordered is reported, also one that was never sent: the routing engine
-            // would otherwise count it as in flight for ever.
+            // An attempt that is not sent is reported too. Otherwise the routing engine would count it as in
+            // flight forever.
             self.report_unfinished(&attempt, AttemptStatus::Superseded, self.is_answered);
         }
     }
@@ -135,14 +140,15 @@
         }
     }
 
-    fn refuse(&mut self, answer: FinalAnswer<T::Payload>) {
+    fn answer_unserved(&mut self, answer: FinalAnswer<T::Payload>) {
         self.transport.answer(answer);
         self.engine.record_outcome(self.admitted, false);
         self.is_answered = true;
     }
 
     fn abandon(&mut self) {
-        // Only where the router or the connection ends is anybody left to answer.
+        // The client receives this answer only if it still waits, because the router is shutting down or the
+        // connection is closing. The transport drops the answer of a cancelled call.
         if !self.is_answered {
             self.transport.answer(FinalAnswer::Abandoned);
         }
--- a/crates/request-runtime/src/mailbox.rs
+++ b/crates/request-runtime/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! A queue between whoever decides and the one task that acts.
+//! A single-consumer message queue that wakes the task that reads it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 
 use crate::Action;
 
-/// Messages that wait for one task: the actions of a request, by default.
+/// A queue of messages for one task. By default the messages are the actions of a request.
 pub struct Mailbox<T = Action> {
     queue: RefCell<VecDeque<T>>,
     reader: Cell<Option<Waker>>,
@@ -21,7 +21,7 @@
 }
 
 impl<T> Mailbox<T> {
-    /// Drops all that waits and adds `message` in its place.
+    /// Discards all queued messages and adds `message`.
     pub fn replace(&self, message: T) {
         self.queue.borrow_mut().clear();
         self.push(message);
@@ -35,17 +35,17 @@
         }
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.queue.borrow().is_empty()
     }
 
-    /// Removes the first message, if there is one.
+    /// Removes and returns the first message. `None` if the queue is empty.
     pub fn try_next(&self) -> Option<T> {
         self.queue.borrow_mut().pop_front()
     }
 
-    /// Waits for the first message and removes it. One task at a time may wait.
+    /// Waits for a message, then removes and returns it. Only one task may wait at a time.
     pub async fn next(&self) -> T {
         future::poll_fn(|context| match self.try_next() {
             Some(message) => Poll::Ready(message),
