--- a/crates/external-requests/src/call.rs
+++ b/crates/external-requests/src/call.rs
@@ -1,123 +1,128 @@
-//! What passes between a proxy and the table: calls, routing decisions, reports and replies.
+//! The messages between a proxy and the table: calls, routing decisions, reports and replies.
 
 use tindoor::host::{Authorization, EndpointId, FillDirectives, Outcome};
 use tindoor::time::Span;
 
-/// A call of a proxy, as its front counts them; never used again.
+/// The id of a proxy's call, assigned by the front. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A request, as the table counts them; never used again.
+/// The number of a request, assigned by the table from 1. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// What a proxy asks for, read and checked.
+/// A request that a proxy asks a decision for, read and validated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ExternalRequest {
-    /// The same for all calls that are made for one request.
+    /// The id of the request, the same in all calls that a proxy makes for it.
     pub correlation_id: u64,
-    /// Counted by the proxy from 1; higher for a retry of the same request.
+    /// The number of the attempt, counted by the proxy from 1 and increased with each retry of the request.
     pub attempt: u32,
     /// The request class.
     pub class: u16,
-    /// The object.
+    /// The object requested.
     pub object: u64,
-    /// The part of the object.
+    /// The index of the object's part.
     pub part: u32,
-    /// The group of the object, by which it may be purged.
+    /// The group that the object is purged with.
     pub group: u32,
-    /// Set for classes that are idempotent by a key.
+    /// The idempotency key. `None` unless the request class is idempotent by key.
     pub idempotency_key: Option<u128>,
-    /// Whether the client says that it retries.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
-    /// How long the client waits from now on.
+    /// How long the client keeps waiting, counted from the call.
     pub time_remaining: Span,
-    /// The result of the check of its signed URL.
+    /// The result of checking the request's signed URL.
     pub authorization: Authorization,
 }
 
-/// A routing decision as the routing engine ordered it.
+/// A routing decision, as made by the routing engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RoutingDecision {
     /// The index of the attempt within its request, from 0.
     pub attempt_index: u16,
-    /// Where the proxy is to send it.
+    /// The endpoint that the proxy sends the attempt to.
     pub endpoint: EndpointId,
-    /// How the endpoint is to fill a miss; none for a cache-only read.
+    /// How the endpoint fills a miss. `None` for a cache-only read.
     pub directives: Option<FillDirectives>,
-    /// How long the attempt may take, from the decision on.
+    /// The time limit of the attempt, counted from the decision.
     pub timeout: Span,
 }
 
 impl RoutingDecision {
-    /// Where a miss is to be filled from; none for a cache-only read.
+    /// Returns the endpoint that a miss is filled from. `None` for a cache-only read.
     pub fn source(&self) -> Option<EndpointId> {
         self.directives.map(|directives| directives.source)
     }
 }
 
-/// How a proxy says that its attempt ended.
+/// A proxy's report on the end of its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Report {
-    /// As reported to the routing engine.
+    /// The outcome, passed on to the routing engine.
     pub outcome: Outcome,
-    /// What to replay to others with the same idempotency key, if the attempt was served.
+    /// The result to replay to other requests with the same idempotency key. Only used if the attempt was
+    /// served.
     pub stored_result: StoredResult,
-    /// How long after the decision the proxy used it, where it tells.
+    /// The time from the decision until the proxy used it. `None` if the proxy did not report it.
     pub used_after: Option<Span>,
 }
 
-/// The response of a served attempt, as far as the router sees it.
+/// What the router knows of the response of a served attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoredResult {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The version of the object, 16 hex digits as a number; 0 where none was given.
+    /// The version of the object: the number that its 16 hex digits encode, or 0 if no version was given.
     pub version: u64,
 }
 
-/// Why a call got no decision.
+/// Why a call got no decision, or why its request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The routing engine gave the request up.
+    /// The routing engine rejected or failed the request.
     GaveUp,
-    /// There is no capacity for one more request, idempotency key or waiter.
+    /// The table has no capacity for another request, idempotency key or waiting call.
     NoCapacity,
-    /// A request of that correlation id is in flight with this attempt or a later one, or for something else.
+    /// The correlation id belongs to a request that finished recently, or to a request in flight that the
+    /// call can't continue: the call is not a later attempt, asks for something else or is not authorized.
     CorrelationIdInUse,
-    /// Another request with its idempotency key is in flight and did not end in time.
+    /// Another request with the same idempotency key is in flight and did not end in time.
     IdempotencyKeyInUse,
-    /// A later attempt of the same request came.
+    /// A later attempt of the same request arrived.
     Superseded,
-    /// The report belongs to no decision in flight.
+    /// The report does not match any decision in flight.
     UnknownDecision,
-    /// The decision expired before it was reported.
+    /// The decision expired before a report arrived.
     NotReported,
-    /// The router shuts down.
+    /// The router is shutting down.
     ShuttingDown,
 }
 
-/// The reply to a call or a report. Each call gets one of the first four, each report one of all but the
-/// first.
+/// The reply to a call or to a report.
+///
+/// A call gets [`Decision`](Self::Decision), [`Rejected`](Self::Rejected), [`Failed`](Self::Failed) or
+/// [`Replayed`](Self::Replayed); a report gets any reply except [`Decision`](Self::Decision).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallReply {
-    /// Send the request by this decision.
+    /// The proxy sends the request according to this decision.
     Decision {
-        /// Where and how.
+        /// Where and how the proxy sends the request.
         decision: RoutingDecision,
-        /// How soon the proxy must have sent it.
+        /// The time within which the proxy must send the request.
         use_within: Span,
-        /// How long the attempt may take from now on.
+        /// The time limit of the attempt, counted from this reply.
         time_remaining: Span,
     },
-    /// Final: a retry is harmless, best after this long.
+    /// Final: the request was rejected. The client can retry it safely, preferably after this delay, if one
+    /// is given.
     Rejected(Option<Span>, RefusalReason),
-    /// Final: the request may have run.
+    /// Final: the request failed and may have run.
     Failed(RefusalReason),
-    /// Final: the write of this idempotency key is done, with this result.
+    /// Final: the write with this idempotency key has already been served, with this result.
     Replayed(StoredResult),
-    /// Final: the endpoint's response goes to the client.
+    /// Final: the proxy passes the endpoint's response to the client.
     PassThrough,
-    /// Not final: a retry is ready for the next call of this request.
+    /// Not final: the routing engine has decided on a retry, which the next call for this request receives.
     AwaitRetry,
 }
--- a/crates/external-requests/src/host.rs
+++ b/crates/external-requests/src/host.rs
@@ -1,15 +1,19 @@
-//! What the table acts through.
+//! The interface through which the table acts on the front and the routing engine.
 
 use tindoor::host::{EndpointId, Outcome};
 use tindoor::time::{Moment, Span};
 
 use crate::{CallId, CallReply, ExternalRequest, RequestNumber};
 
-/// The front and the routing engine, as the table sees them. Every call takes effect at once, and none calls
-/// back into the table.
+/// The front and the routing engine, as used by the table.
+///
+/// Every method takes effect immediately, and none may call back into the table.
 pub trait TableHost {
-    /// A request is handed to the routing engine. `first_ran` says when and where an earlier request with its
-    /// idempotency key first may have run; a moment long ago where nobody knows.
+    /// Passes a new request to the routing engine.
+    ///
+    /// `first_ran` holds when and where an earlier request with the same idempotency key may first have run.
+    /// If the request may have run but nothing is known about it, the time is [`Moment::default()`], long
+    /// ago.
     fn request_started(
         &mut self,
         number: RequestNumber,
@@ -17,18 +21,18 @@
         first_ran: Option<(Moment, EndpointId)>,
     );
 
-    /// An attempt of the request ended; `last` says that the request has its final answer.
+    /// Reports the end of an attempt; `last` says whether the request has its final answer.
     fn attempt_ended(&mut self, number: RequestNumber, attempt_index: u16, outcome: Outcome, last: bool);
 
-    /// Nobody waits for the request any more.
+    /// Tells the routing engine that no client waits for the request any longer.
     fn request_abandoned(&mut self, number: RequestNumber);
 
-    /// The request has its final answer, and every attempt that the table knows of was reported.
+    /// Ends a request. It has its final answer, and every attempt known to the table has been reported.
     fn request_finished(&mut self, number: RequestNumber);
 
-    /// Replies to a call. A reply that was not yet sent is replaced by the next.
+    /// Replies to a call. Replaces an earlier reply to the same call that has not been sent yet.
     fn reply(&mut self, call: CallId, reply: CallReply);
 
-    /// When a call that finds no capacity may be retried.
+    /// Returns the delay after which a call that found no capacity may be retried. `None` if it is not known.
     fn retry_after(&mut self) -> Option<Span>;
 }
--- a/crates/external-requests/src/idempotency_keys.rs
+++ b/crates/external-requests/src/idempotency_keys.rs
@@ -1,5 +1,5 @@
-//! The idempotency keys of writes. Their number is bounded and each is kept for a stated time; a key whose
-//! write may have run is never evicted early to make room for another.
+//! The store of the idempotency keys of writes. The number of keys is bounded and each key expires after a
+//! given time. A key whose write may have run is never evicted early to make room for another.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +13,18 @@
 pub(crate) enum KeyState {
     InFlight(RequestNumber),
     Done(StoredResult),
-    /// When and where the write first may have run; whether it did is not known.
+    /// The write may have run. Holds when and where it may first have run.
     MayHaveRun(Moment, EndpointId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     state: KeyState,
-    /// None while its request is in flight.
+    /// `None` while the request is in flight.
     expires_at: Option<Moment>,
 }
 
-/// The idempotency keys of writes in flight and of those that ended lately.
+/// The idempotency keys of writes in flight and of writes that ended recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct IdempotencyKeys {
     entries: BTreeMap<u128, Entry>,
@@ -32,12 +32,12 @@
 }
 
 impl IdempotencyKeys {
-    /// How many keys are stored.
+    /// Returns the number of stored keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is stored.
+    /// Whether no keys are stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -46,7 +46,7 @@
         self.entries.get(&key).map(|entry| entry.state)
     }
 
-    /// Reserves a key for a request; false where a new key finds no capacity.
+    /// Reserves a key for a request. Returns `false` if the key is new and the store is full.
     pub(crate) fn reserve(&mut self, key: u128, number: RequestNumber, max_keys: usize) -> bool {
         if !self.entries.contains_key(&key) && self.entries.len() >= max_keys {
             return false;
@@ -59,7 +59,7 @@
         true
     }
 
-    /// Stores what is known of a write whose request ended, until `expires_at`.
+    /// Stores the state of a write whose request has ended, until `expires_at`.
     pub(crate) fn store(&mut self, key: u128, state: KeyState, expires_at: Moment) {
         self.entries.insert(key, Entry { state, expires_at: Some(expires_at) });
         self.expiry.schedule(expires_at, key);
--- a/crates/external-requests/src/lib.rs
+++ b/crates/external-requests/src/lib.rs
@@ -1,10 +1,12 @@
-//! Requests that are processed externally: proxies carry the bytes, and ask here for each request where to
-//! send it. Tracks which request a call belongs to, which routing decision a proxy holds and until when, how
-//! attempts ended, and which idempotency keys were seen. Nothing here does I/O or reads a clock.
+//! State of externally processed requests: proxies transfer the data, and ask the router for each request
+//! where to send it.
 //!
-//! A front builds one [`ExternalRequestTable`] and calls the method of each event, with the time and its
-//! [`TableHost`]. The routing engine, reached through the host, chooses endpoints and decides on retries and
-//! rejections.
+//! This crate tracks which request a call belongs to, which routing decision a proxy holds and until when,
+//! how attempts ended, and which idempotency keys were seen. It does no I/O and reads no clock.
+//!
+//! A front creates one [`ExternalRequestTable`] and calls the method for each event, passing the current time
+//! and its [`TableHost`]. The table reaches the routing engine through the host; the routing engine chooses
+//! endpoints and decides on retries and rejections.
 
 mod call;
 mod counters;
--- a/crates/external-requests/src/limits.rs
+++ b/crates/external-requests/src/limits.rs
@@ -1,43 +1,44 @@
-//! The sizes and times that the table keeps to, and the checks that a test may disable.
+//! The capacity and time limits of the table, and the checks that a test may disable.
 
 use tindoor::time::Span;
 
-/// Every size and time that the table keeps to.
+/// The capacity and time limits of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Requests in flight at once.
+    /// The maximum number of requests in flight.
     pub max_requests: usize,
-    /// Idempotency keys stored at once.
+    /// The maximum number of stored idempotency keys.
     pub max_idempotency_keys: usize,
-    /// Correlation ids of finished requests, stored at once.
+    /// The maximum number of finished requests whose correlation ids are stored. No new request starts while
+    /// that many are stored.
     pub max_finished: usize,
-    /// Calls that wait for the end of one request with their idempotency key.
+    /// The maximum number of calls that wait for the end of one request with the same idempotency key.
     pub max_waiters: usize,
-    /// How long a proxy may hold a decision before it uses it: at most half the shorter of the drain grace
-    /// and the purge grace, so that a change that comes right after the decision still finds its use within
-    /// the grace.
+    /// How long a proxy may hold a decision before it uses it. At most half of the drain grace or the purge
+    /// grace, whichever is shorter: if a drain or a purge starts right after the decision, the decision is
+    /// still used within the grace.
     pub use_within: Span,
-    /// How long after its timeout an attempt may still be reported.
+    /// How long after the timeout of an attempt its report is still accepted.
     pub report_grace: Span,
-    /// How long a request is kept for its next call once an attempt of it has ended.
+    /// How long a request is kept for its next call after an attempt or a call of it has ended.
     pub retry_window: Span,
-    /// How long a write that may have run may run again, by its idempotency key.
+    /// How long after its first possible run a write may run again under the same idempotency key.
     pub idempotency_window: Span,
-    /// The longest that a client may wait for one request, its own retries counted.
+    /// The longest time that a client may wait for one request, including the client's own retries.
     pub max_request_time: Span,
 }
 
-/// Checks that a test may disable, to see that the fault they prevent is detected without them. All are
-/// enabled in service.
+/// Checks that a test may disable, to show that it detects the faults that the checks prevent. All checks are
+/// enabled in production.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EnabledChecks {
-    /// One request at a time for each idempotency key.
+    /// Only one request at a time runs for each idempotency key.
     pub idempotency_keys: bool,
-    /// Calls with one correlation id are one request.
+    /// Calls with the same correlation id belong to the same request.
     pub correlation_ids: bool,
-    /// Decisions that became stale before they were sent are withdrawn.
+    /// Decisions that become stale before they are sent are withdrawn.
     pub withdrawal: bool,
-    /// Decisions expire if they are not reported.
+    /// Decisions expire if the proxy does not report on them in time.
     pub leases: bool,
 }
 
--- a/crates/external-requests/src/table/admission.rs
+++ b/crates/external-requests/src/table/admission.rs
@@ -1,4 +1,4 @@
-//! A call arrives: it is a new request, a retry of one, or a duplicate of a write.
+//! Admission of calls: a call starts a new request, continues a request in flight, or duplicates a write.
 
 use tindoor::host::EndpointId;
 use tindoor::time::Moment;
@@ -8,20 +8,21 @@
 use crate::idempotency_keys::KeyState;
 use crate::{CallId, CallReply, ExternalRequest, RefusalReason, RequestNumber, StoredResult, TableHost};
 
-/// Whether a new request may run, by its idempotency key.
+/// Whether a new request may run, according to its idempotency key.
 enum KeyCheck {
-    /// It may, and an earlier one first may have run then and there.
+    /// The request may run. `first_ran` holds when and where an earlier request with this key may first have
+    /// run.
     Reserved { first_ran: Option<(Moment, EndpointId)> },
-    /// A request with this key is in flight.
+    /// Another request with this key is in flight.
     InFlight(RequestNumber),
-    /// The write is done.
+    /// The write with this key has been served, with this result.
     Done(StoredResult),
-    /// There is no capacity for one more key.
+    /// The store of idempotency keys is full.
     NoCapacity,
 }
 
 impl ExternalRequestTable {
-    /// A proxy asks for a decision.
+    /// Handles a proxy's call, which asks for a decision.
     pub fn call_received(
         &mut self,
         now: Moment,
@@ -31,7 +32,7 @@
     ) {
         self.counters.calls += 1;
         self.idempotency_keys.remove_expired(now);
-        if let Some(number) = self.number_in_flight(request.correlation_id) {
+        if let Some(number) = self.find_in_flight(request.correlation_id) {
             return self.retry_received(now, host, number, call, request);
         }
         if let Some(reply) = self.finished_reply(now, &request) {
@@ -56,23 +57,25 @@
         self.requests.len() >= self.limits.max_requests || self.finished.len() >= self.limits.max_finished
     }
 
-    fn number_in_flight(&self, correlation_id: u64) -> Option<RequestNumber> {
+    fn find_in_flight(&self, correlation_id: u64) -> Option<RequestNumber> {
         self.correlation_ids.get(&correlation_id).copied().filter(|_| self.checks.correlation_ids)
     }
 
-    /// The reply to a call for a request that finished lately.
+    /// Returns the reply to a call for a request that finished recently. `None` if no such request is known.
     fn finished_reply(&self, now: Moment, request: &ExternalRequest) -> Option<CallReply> {
         let finished = self.finished.get(&request.correlation_id)?;
         if !self.checks.correlation_ids || finished.until <= now {
             return None;
         }
-        // The result of a write is disclosed only to those whose signed URL is valid.
+        // The result of a write is only disclosed to calls whose signed URL is valid or was before it
+        // expired.
         let in_use = CallReply::Failed(RefusalReason::CorrelationIdInUse);
         Some(if may_resume(request) { finished.reply } else { in_use })
     }
 
-    /// Reserves the idempotency key of a new request. A request that is not authorized learns nothing of
-    /// another's write, and reserves no key.
+    /// Reserves the idempotency key of a new request.
+    ///
+    /// A request that is not authorized reserves no key and gets no information about other writes.
     fn check_key(&mut self, now: Moment, request: &ExternalRequest) -> KeyCheck {
         let Some(key) = self.reserved_key(request) else { return KeyCheck::Reserved { first_ran: None } };
         let first_ran = match self.idempotency_keys.state(key) {
@@ -88,12 +91,16 @@
         }
     }
 
-    /// A router that has just started knows no keys: a retry may have run before the start. The routing
-    /// engine learns of it as long past, and does not run it again.
+    /// Returns the assumed first run of a request whose idempotency key is not stored. `None` if no
+    /// earlier run has to be assumed.
+    ///
+    /// A router that has just started knows no keys, so a retry may have run before the start. Its first
+    /// run is assumed to be long ago, which keeps the routing engine from running it again.
     fn assumed_first_run(&self, now: Moment, request: &ExternalRequest) -> Option<(Moment, EndpointId)> {
         let is_retry = request.client_retry || request.attempt > 1;
-        let keys_known_from = self.started_at + self.limits.idempotency_window + self.limits.max_request_time;
-        (is_retry && now < keys_known_from).then(|| (Moment::default(), EndpointId(0)))
+        let all_keys_known_from =
+            self.started_at + self.limits.idempotency_window + self.limits.max_request_time;
+        (is_retry && now < all_keys_known_from).then(|| (Moment::default(), EndpointId(0)))
     }
 
     fn start_request(
@@ -128,7 +135,7 @@
         host.reply(call, CallReply::Rejected(retry_after, RefusalReason::NoCapacity));
     }
 
-    /// Has a call wait for the request in flight with its idempotency key: their result is the same.
+    /// Makes a call wait for the request in flight with the same idempotency key, to receive the same result.
     fn wait_for(
         &mut self,
         now: Moment,
--- a/crates/external-requests/src/table/decisions.rs
+++ b/crates/external-requests/src/table/decisions.rs
@@ -1,4 +1,4 @@
-//! The routing engine decides, and decisions are sent, cancelled or withdrawn.
+//! Decisions of the routing engine: they are issued to calls, sent, cancelled or withdrawn.
 
 use tindoor::host::AttemptStatus;
 use tindoor::time::Moment;
@@ -8,7 +8,7 @@
 use crate::{CallId, CallReply, ExternalRequest, RequestNumber, RoutingDecision, TableHost};
 
 impl ExternalRequestTable {
-    /// The routing engine ordered an attempt.
+    /// Handles the routing engine's decision to send an attempt of a request.
     pub fn decision_made(
         &mut self,
         now: Moment,
@@ -25,7 +25,7 @@
                 host.reply(call, CallReply::AwaitRetry);
             }
             Progress::AwaitingNextCall { until } => self.keep_for_retry(number, decision, until),
-            // One attempt is in flight at a time.
+            // Only one attempt may be in flight at a time, so this one is dropped.
             Progress::DecisionIssued(_) | Progress::RetryReady { .. } | Progress::CallLost { .. } => {
                 end_attempt(host, number, decision.attempt_index, AttemptStatus::Superseded, false);
             }
@@ -38,7 +38,7 @@
         self.set_timer(number, Some(until));
     }
 
-    /// Issues a decision to a call, with a lease.
+    /// Issues a decision to a call, with a lease that limits how long the decision stays in flight.
     pub(super) fn issue(
         &mut self,
         now: Moment,
@@ -59,8 +59,10 @@
         host.reply(call, CallReply::Decision { decision, use_within, time_remaining });
     }
 
-    /// Marks a reply as sent right before it is; false where the decision was withdrawn meanwhile, and the
-    /// call has to wait for the next reply.
+    /// Marks a reply as sent. Must be called right before the reply is sent.
+    ///
+    /// Returns `false` if the reply is a decision that has been withdrawn: it must not be sent, and the call
+    /// waits for the next reply.
     pub fn confirm_send(&mut self, call: CallId, reply: &CallReply) -> bool {
         let CallReply::Decision { decision, .. } = reply else { return true };
         let request = self.calls.get(&call).and_then(|number| self.requests.get_mut(number));
@@ -73,8 +75,10 @@
         }
     }
 
-    /// The routing engine cancels an attempt. One whose decision was sent can't be cancelled: its end is
-    /// reported by the proxy, or it expires.
+    /// Handles the cancellation of an attempt by the routing engine.
+    ///
+    /// An attempt whose decision was sent can't be cancelled while its call is open: it ends when the proxy
+    /// reports on it or the decision expires.
     pub fn attempt_cancelled(
         &mut self,
         host: &mut impl TableHost,
@@ -100,8 +104,10 @@
         }
     }
 
-    /// The endpoint list changed, or objects were purged: withdraws the decisions that `is_stale` says would
-    /// now be different, where they have not been sent.
+    /// Withdraws the unsent decisions that are stale after a change of the endpoint list or a purge.
+    ///
+    /// `is_stale` returns whether a decision would be different now. Stale decisions that have been sent are
+    /// only counted.
     pub fn withdraw_stale_decisions(
         &mut self,
         host: &mut impl TableHost,
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Withdraws a decision that was not sent: its call waits for the next.
+    /// Withdraws a decision that has not been sent. Its call waits for the next decision.
     fn withdraw(&mut self, host: &mut impl TableHost, number: RequestNumber, lease: DecisionLease) {
         self.counters.withdrawn += 1;
         self.set_timer(number, None);
--- a/crates/external-requests/src/table/expiry.rs
+++ b/crates/external-requests/src/table/expiry.rs
@@ -1,15 +1,15 @@
-//! Calls that end early, timers, and the shutdown of the router.
+//! Calls that end before their final reply, timers, and the shutdown of the router.
 
 use tindoor::host::AttemptStatus;
 use tindoor::time::Moment;
 
-use super::finish::Ending;
+use super::finish::Completion;
 use super::request::{DecisionLease, Progress, Timer};
 use super::{ExternalRequestTable, end_attempt};
 use crate::{CallId, CallReply, RefusalReason, RequestNumber, TableHost};
 
 impl ExternalRequestTable {
-    /// A call ended, by its proxy or with its connection.
+    /// Handles the end of a call that the proxy ended or whose connection closed.
     pub fn call_ended(&mut self, now: Moment, call: CallId) {
         if let Some(waiter) = self.waiters.remove(&call) {
             self.timers.cancel(waiter.until, Timer::Waiter(call));
@@ -41,7 +41,8 @@
         }
     }
 
-    /// The time of [`next_timer`](Self::next_timer) has come.
+    /// Handles all timers that are due. Must be called at the time that [`next_timer`](Self::next_timer)
+    /// returns.
     pub fn timer_fired(&mut self, now: Moment, host: &mut impl TableHost) {
         self.idempotency_keys.remove_expired(now);
         while let Some((at, timer)) = self.timers.pop_due(now) {
@@ -90,7 +91,10 @@
         self.abandon(now, host, number, None, RefusalReason::CorrelationIdInUse);
     }
 
-    /// Nothing was reported in time. Whether the attempt ran is unknown, and no endpoint is blamed for it.
+    /// Ends a request whose decision was not reported on in time.
+    ///
+    /// Whether the attempt ran is unknown. It is reported as cancelled, which does not count against the
+    /// endpoint.
     fn lease_expired(
         &mut self,
         now: Moment,
@@ -105,10 +109,10 @@
         end_attempt(host, number, lease.decision.attempt_index, AttemptStatus::Cancelled, true);
         let pending_reply = self.requests.get(&number).and_then(|request| request.pending_reply);
         let reply = pending_reply.unwrap_or(CallReply::Failed(RefusalReason::NotReported));
-        self.finish(now, host, number, Ending { call: Some(lease.call), reply, result: None });
+        self.finish(now, host, number, Completion { call: Some(lease.call), reply, result: None });
     }
 
-    /// Ends a request for which nobody waits any more.
+    /// Ends a request that no client waits for any longer.
     fn abandon(
         &mut self,
         now: Moment,
@@ -118,10 +122,10 @@
         reason: RefusalReason,
     ) {
         host.request_abandoned(number);
-        self.finish(now, host, number, Ending { call, reply: CallReply::Failed(reason), result: None });
+        self.finish(now, host, number, Completion { call, reply: CallReply::Failed(reason), result: None });
     }
 
-    /// The router shuts down: every call gets its final reply now.
+    /// Shuts down the table: ends every request and sends the final reply to every open call.
     pub fn shut_down(&mut self, now: Moment, host: &mut impl TableHost) {
         while let Some((&number, request)) = self.requests.first_key_value() {
             let (call, decision) = match request.progress {
--- a/crates/external-requests/src/table/finish.rs
+++ b/crates/external-requests/src/table/finish.rs
@@ -1,4 +1,4 @@
-//! The end of a request.
+//! Completion of requests: final replies, and what is stored for later calls.
 
 use tindoor::time::Moment;
 
@@ -7,25 +7,25 @@
 use crate::idempotency_keys::KeyState;
 use crate::{CallId, CallReply, RefusalReason, RequestNumber, StoredResult, TableHost};
 
-/// How a request ends.
+/// How a request is completed.
 #[derive(Clone, Copy)]
-pub struct Ending {
-    /// The call that gets the reply, if one waits.
+pub struct Completion {
+    /// The call that gets the reply. `None` if no call waits for it.
     pub call: Option<CallId>,
     pub reply: CallReply,
-    /// Set where the request was served.
+    /// The result to store and replay. `None` if the request was not served.
     pub result: Option<StoredResult>,
 }
 
 impl ExternalRequestTable {
-    /// Ends a request: replies to its call and to those that wait for its idempotency key, and stores what
-    /// later calls may ask for.
+    /// Completes a request: replies to its call and to the calls that wait for its idempotency key, and
+    /// stores the reply and the state of the key for later calls.
     pub(super) fn finish(
         &mut self,
         now: Moment,
         host: &mut impl TableHost,
         number: RequestNumber,
-        ending: Ending,
+        completion: Completion,
     ) {
         let Some(request) = self.requests.remove(&number) else { return };
         if let Some(at) = request.timer {
@@ -34,20 +34,21 @@
         if self.correlation_ids.get(&request.call.correlation_id) == Some(&number) {
             self.correlation_ids.remove(&request.call.correlation_id);
         }
-        if let Some(call) = ending.call {
+        if let Some(call) = completion.call {
             self.calls.remove(&call);
-            host.reply(call, ending.reply);
+            host.reply(call, completion.reply);
         }
-        self.store_finished(now, &request, &ending);
-        self.settle_key(now, &request, ending.result);
-        self.reply_to_waiters(host, request.waiters, &ending);
+        self.store_finished(now, &request, &completion);
+        self.store_or_release_key(now, &request, completion.result);
+        self.reply_to_waiters(host, request.waiters, &completion);
         host.request_finished(number);
     }
 
-    /// Stores the reply for later calls with the correlation id, for as long as the client would wait.
-    fn store_finished(&mut self, now: Moment, request: &Request, ending: &Ending) {
+    /// Stores the reply to later calls with the same correlation id, for as long as the client may still make
+    /// them.
+    fn store_finished(&mut self, now: Moment, request: &Request, completion: &Completion) {
         let until = request.deadline.max(now) + self.limits.retry_window;
-        let reply = match (ending.reply, ending.result) {
+        let reply = match (completion.reply, completion.result) {
             (CallReply::PassThrough, Some(result)) if request.call.idempotency_key.is_some() => {
                 CallReply::Replayed(result)
             }
@@ -59,23 +60,23 @@
         self.timers.schedule(until, Timer::FinishedRequest(correlation_id));
     }
 
-    fn settle_key(&mut self, now: Moment, request: &Request, result: Option<StoredResult>) {
+    fn store_or_release_key(&mut self, now: Moment, request: &Request, result: Option<StoredResult>) {
         let Some(key) = self.reserved_key(&request.call) else { return };
         let state = match (result, request.first_ran) {
             (Some(result), _) => KeyState::Done(result),
             (None, Some((at, endpoint))) => KeyState::MayHaveRun(at, endpoint),
             (None, None) => return self.idempotency_keys.release(key),
         };
-        // A write must not run again after its window either: its key is stored for as long as a client may
-        // retry.
+        // A write must not run again after the idempotency window either, so its key is stored for as long as
+        // the client may retry.
         let expires_at = now + self.limits.idempotency_window + self.limits.max_request_time;
         self.idempotency_keys.store(key, state, expires_at);
     }
 
-    fn reply_to_waiters(&mut self, host: &mut impl TableHost, waiters: Vec<CallId>, ending: &Ending) {
-        let reply = match (ending.result, ending.reply) {
+    fn reply_to_waiters(&mut self, host: &mut impl TableHost, waiters: Vec<CallId>, completion: &Completion) {
+        let reply = match (completion.result, completion.reply) {
             (Some(result), _) => CallReply::Replayed(result),
-            (None, CallReply::Rejected(..) | CallReply::Failed(RefusalReason::GaveUp)) => ending.reply,
+            (None, CallReply::Rejected(..) | CallReply::Failed(RefusalReason::GaveUp)) => completion.reply,
             (None, _) => CallReply::Failed(RefusalReason::IdempotencyKeyInUse),
         };
         for call in waiters {
--- a/crates/external-requests/src/table/mod.rs
+++ b/crates/external-requests/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! The table of externally processed requests: one method for each event.
+//! The table of externally processed requests, with one method for each event.
 
 mod admission;
 mod decisions;
@@ -18,7 +18,7 @@
 use crate::{CallId, Counters, EnabledChecks, ExternalRequest, Limits, RequestNumber, TableHost};
 use request::{FinishedRequest, Progress, Request, Timer, Waiter};
 
-/// Requests in flight, requests that finished lately, and idempotency keys.
+/// Requests in flight, requests that finished recently, and idempotency keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ExternalRequestTable {
     limits: Limits,
@@ -26,22 +26,22 @@
     started_at: Moment,
     last_number: u64,
     requests: BTreeMap<RequestNumber, Request>,
-    /// Requests in flight by their correlation ids.
+    /// Requests in flight, by correlation id.
     correlation_ids: BTreeMap<u64, RequestNumber>,
-    /// Requests that finished lately by their correlation ids.
+    /// Requests that finished recently, by correlation id.
     finished: BTreeMap<u64, FinishedRequest>,
     /// The calls of requests in flight.
     calls: BTreeMap<CallId, RequestNumber>,
-    /// Calls that wait for the end of another request with their idempotency key.
+    /// Calls that wait for the end of another request with the same idempotency key.
     waiters: BTreeMap<CallId, Waiter>,
     idempotency_keys: IdempotencyKeys,
     timers: Timers<Timer>,
-    /// What happened so far.
+    /// The number of events of each kind so far.
     pub counters: Counters,
 }
 
 impl ExternalRequestTable {
-    /// An empty table.
+    /// Creates an empty table. `now` is the time at which the router started.
     pub fn new(limits: Limits, checks: EnabledChecks, now: Moment) -> Self {
         Self {
             limits,
@@ -59,17 +59,18 @@
         }
     }
 
-    /// How many requests are in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request of this correlation id is in flight.
+    /// Whether a request with this correlation id is in flight.
     pub fn contains(&self, correlation_id: u64) -> bool {
         self.correlation_ids.contains_key(&correlation_id)
     }
 
-    /// Whether the decision of that call is in flight for a request of this correlation id.
+    /// Whether the call holds a decision that has not been reported on, for a request with this correlation
+    /// id.
     pub fn awaits_report(&self, call: CallId, correlation_id: u64) -> bool {
         let request = self.calls.get(&call).and_then(|number| self.requests.get(number));
         request.is_some_and(|request| {
@@ -78,17 +79,17 @@
         })
     }
 
-    /// The idempotency keys that are stored.
+    /// Returns the store of idempotency keys.
     pub fn idempotency_keys(&self) -> &IdempotencyKeys {
         &self.idempotency_keys
     }
 
-    /// When [`timer_fired`](Self::timer_fired) is to be called next.
+    /// Returns when [`timer_fired`](Self::timer_fired) must be called next. `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Moment> {
         self.timers.next().into_iter().chain(self.idempotency_keys.next_expiry()).min()
     }
 
-    /// Sets or clears the one timer of a request.
+    /// Sets or clears the timer of a request. Each request has at most one.
     fn set_timer(&mut self, number: RequestNumber, at: Option<Moment>) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         if let Some(previous) = std::mem::replace(&mut request.timer, at) {
@@ -99,7 +100,8 @@
         }
     }
 
-    /// The idempotency key that a request reserves: none for requests that are not authorized.
+    /// Returns the idempotency key that a request reserves. `None` if the request has no key or is not
+    /// authorized.
     fn reserved_key(&self, request: &ExternalRequest) -> Option<u128> {
         request.idempotency_key.filter(|_| self.checks.idempotency_keys && is_granted(request))
     }
@@ -109,7 +111,7 @@
     request.authorization == Authorization::Granted
 }
 
-/// Reports the end of an attempt of which the endpoint said nothing.
+/// Reports the end of an attempt about which the endpoint reported nothing.
 fn end_attempt(
     host: &mut impl TableHost,
     number: RequestNumber,
--- a/crates/external-requests/src/table/reports.rs
+++ b/crates/external-requests/src/table/reports.rs
@@ -1,15 +1,18 @@
-//! Ends of attempts and requests: a proxy reports, or the routing engine gives the request up.
+//! The end of attempts and requests, by a proxy's report or because the routing engine rejects or fails the
+//! request.
 
 use tindoor::host::AttemptStatus;
 use tindoor::time::{Moment, Span};
 
-use super::finish::Ending;
+use super::finish::Completion;
 use super::request::{DecisionLease, Progress};
 use super::{ExternalRequestTable, end_attempt};
 use crate::{CallId, CallReply, RefusalReason, Report, RequestNumber, TableHost};
 
 impl ExternalRequestTable {
-    /// A proxy reports on a call how its attempt ended; `correlation_id` where it names the request again.
+    /// Handles a proxy's report on how the attempt of a call ended.
+    ///
+    /// `correlation_id` is set if the report names the request; it must match the request of the call.
     pub fn report_received(
         &mut self,
         now: Moment,
@@ -26,21 +29,22 @@
         self.count_late_use(&report);
         let Report { outcome, stored_result, .. } = report;
         let Some(request) = self.requests.get_mut(&number) else { return };
-        if surely_never_ran(outcome.status) {
+        if certainly_did_not_run(outcome.status) {
             request.clear_first_run(&lease);
         }
         let attempt_index = lease.decision.attempt_index;
         let result = (outcome.status == AttemptStatus::Served).then_some(stored_result);
         if let Some(reply) = request.pending_reply.or(result.map(|_| CallReply::PassThrough)) {
             host.attempt_ended(number, attempt_index, outcome, true);
-            return self.finish(now, host, number, Ending { call: Some(call), reply, result });
+            return self.finish(now, host, number, Completion { call: Some(call), reply, result });
         }
         request.progress = Progress::AwaitingRetryDecision(call);
         self.set_timer(number, None);
         host.attempt_ended(number, attempt_index, outcome, false);
     }
 
-    /// The lease that a report on this call belongs to.
+    /// Returns the request and the lease that a report on this call belongs to. `None` if the call has no
+    /// decision in flight, or if its request has another correlation id.
     fn issued_lease(
         &self,
         call: CallId,
@@ -49,8 +53,8 @@
         let number = *self.calls.get(&call)?;
         let request = self.requests.get(&number)?;
         let Progress::DecisionIssued(lease) = request.progress else { return None };
-        let is_named = correlation_id.is_none_or(|id| id == request.call.correlation_id);
-        is_named.then_some((number, lease))
+        let is_same_request = correlation_id.is_none_or(|id| id == request.call.correlation_id);
+        is_same_request.then_some((number, lease))
     }
 
     fn count_late_use(&mut self, report: &Report) {
@@ -58,7 +62,8 @@
         self.counters.used_late += u64::from(is_late);
     }
 
-    /// The routing engine rejects the request: a retry is harmless, best after `retry_after`.
+    /// Handles the rejection of a request by the routing engine. The client can retry it safely, preferably
+    /// after `retry_after`, if it is given.
     pub fn request_rejected(
         &mut self,
         now: Moment,
@@ -66,15 +71,23 @@
         number: RequestNumber,
         retry_after: Option<Span>,
     ) {
-        self.give_up(now, host, number, CallReply::Rejected(retry_after, RefusalReason::GaveUp));
+        self.finish_unserved(now, host, number, CallReply::Rejected(retry_after, RefusalReason::GaveUp));
     }
 
-    /// The routing engine fails the request.
+    /// Handles the failure of a request, as decided by the routing engine.
     pub fn request_failed(&mut self, now: Moment, host: &mut impl TableHost, number: RequestNumber) {
-        self.give_up(now, host, number, CallReply::Failed(RefusalReason::GaveUp));
+        self.finish_unserved(now, host, number, CallReply::Failed(RefusalReason::GaveUp));
     }
 
-    fn give_up(&mut self, now: Moment, host: &mut impl TableHost, number: RequestNumber, reply: CallReply) {
+    /// Completes a request without a result. If a decision of it may be in use, keeps `reply` until that attempt
+    /// ends.
+    fn finish_unserved(
+        &mut self,
+        now: Moment,
+        host: &mut impl TableHost,
+        number: RequestNumber,
+        reply: CallReply,
+    ) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         let call = match request.progress {
             Progress::AwaitingDecision(call) | Progress::AwaitingRetryDecision(call) => Some(call),
@@ -88,18 +101,19 @@
                 end_attempt(host, number, lease.decision.attempt_index, AttemptStatus::Superseded, true);
                 Some(lease.call)
             }
-            // A reply is only possible in answer to the report.
+            // The proxy already has its decision. It can only get another reply when it reports.
             Progress::DecisionIssued(_) | Progress::CallLost { .. } => {
                 request.pending_reply = Some(reply);
                 return;
             }
         };
-        self.finish(now, host, number, Ending { call, reply, result: None });
+        self.finish(now, host, number, Completion { call, reply, result: None });
     }
 }
 
-/// Whether an attempt that ended so never ran. What an earlier attempt may have done is not undone by that.
-fn surely_never_ran(status: AttemptStatus) -> bool {
+/// Whether an attempt with this status certainly did not run. This says nothing about earlier attempts of the
+/// same request.
+fn certainly_did_not_run(status: AttemptStatus) -> bool {
     matches!(
         status,
         AttemptStatus::Overloaded
--- a/crates/external-requests/src/table/request.rs
+++ b/crates/external-requests/src/table/request.rs
@@ -10,14 +10,14 @@
 pub struct DecisionLease {
     pub decision: RoutingDecision,
     pub issued_at: Moment,
-    /// When it ends, reported or not.
+    /// When the decision expires if no report arrives before.
     pub expires_at: Moment,
     pub call: CallId,
-    /// Whether it was sent to the proxy: it can't be withdrawn then.
+    /// Whether the decision was sent to the proxy. A sent decision can't be withdrawn.
     pub is_sent: bool,
 }
 
-/// Where a request stands with its proxy.
+/// The progress of a request between the proxy and the routing engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
     /// A call waits for the routing engine's decision.
@@ -26,75 +26,83 @@
     DecisionIssued(DecisionLease),
     /// A failure was reported on this call, which waits for the routing engine to decide on a retry.
     AwaitingRetryDecision(CallId),
-    /// The routing engine ordered a retry, and the next call has not come yet; kept until then.
+    /// The routing engine decided on a retry, and the next call has not arrived yet. The decision is kept
+    /// until `until`.
     RetryReady { decision: RoutingDecision, until: Moment },
-    /// The call ended after its decision without a report. The end of the attempt is reported with the next
-    /// call, or at this time.
+    /// The call ended after its decision, without a report. The end of the attempt is reported to the routing
+    /// engine when the next call arrives, or at `until`.
     CallLost { lease: DecisionLease, until: Moment },
-    /// The call ended before its decision; the next one may come until then.
+    /// The call ended before its decision, or the decision that was kept for the next call was withdrawn. The
+    /// next call is accepted until `until`.
     AwaitingNextCall { until: Moment },
 }
 
 /// A request in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// As its first call asked.
+    /// The request as given in its first call.
     pub call: ExternalRequest,
-    /// The latest attempt that the proxy counted.
+    /// The latest attempt number received from the proxy.
     pub attempt: u32,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Moment,
     pub progress: Progress,
-    /// When and where it first may have run.
+    /// When and where the request may first have run. `None` if it has certainly not run.
     pub first_ran: Option<(Moment, EndpointId)>,
-    /// The final reply, where the routing engine gave the request up while a decision was in flight; sent
-    /// with the report.
+    /// The final reply, if the routing engine rejected or failed the request while a decision was in flight.
+    /// Sent in reply to the report, to the next call, or when the decision expires.
     pub pending_reply: Option<CallReply>,
-    /// Other calls with its idempotency key that wait for its end.
+    /// Other calls with the same idempotency key that wait for the end of this request.
     pub waiters: Vec<CallId>,
+    /// When the request's timer fires. `None` if it is not set.
     pub timer: Option<Moment>,
 }
 
 impl Request {
-    /// Whether a call with the same correlation id is a later attempt of this request, from somebody entitled
-    /// to it.
+    /// Whether a call with the same correlation id is a later attempt of this request and is authorized to
+    /// continue it.
     pub fn accepts_retry(&self, retry: &ExternalRequest) -> bool {
         let target = |call: &ExternalRequest| (call.class, call.object, call.part, call.idempotency_key);
         retry.attempt > self.attempt && target(retry) == target(&self.call) && may_resume(retry)
     }
 
-    /// The attempt of this lease surely never ran: where it was the first that might have, none has.
+    /// Records that the attempt of this lease certainly did not run. If it was the first attempt that may
+    /// have run, clears `first_ran`.
     pub fn clear_first_run(&mut self, lease: &DecisionLease) {
         let run = (lease.issued_at, lease.decision.endpoint);
         self.first_ran = self.first_ran.filter(|first_ran| *first_ran != run);
     }
 }
 
-/// Whether a call may join a request that is known. A signed URL that expired between two attempts was valid
-/// when the request began; one that never was is somebody else's.
+/// Whether a call is authorized to continue a known request or to see its reply. A signed URL that expired
+/// between two attempts was valid when the request began. A call whose URL was never valid does not come from
+/// the client of that request.
 pub fn may_resume(call: &ExternalRequest) -> bool {
     matches!(call.authorization, Authorization::Granted | Authorization::Expired)
 }
 
-/// A request that finished, and the reply to later calls with its correlation id.
+/// The reply to later calls with the correlation id of a finished request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FinishedRequest {
     pub reply: CallReply,
+    /// When the reply is discarded.
     pub until: Moment,
 }
 
-/// A call that waits for the end of another request with its idempotency key.
+/// A call that waits for the end of another request with the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Waiter {
+    /// The request that the call waits for.
     pub number: RequestNumber,
+    /// When the call stops waiting.
     pub until: Moment,
 }
 
-/// What a timer is for.
+/// The event that a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
     Request(RequestNumber),
-    /// By the correlation id.
+    /// A finished request, by correlation id.
     FinishedRequest(u64),
     Waiter(CallId),
 }
--- a/crates/external-requests/src/table/retries.rs
+++ b/crates/external-requests/src/table/retries.rs
@@ -1,18 +1,19 @@
-//! A further call of a request in flight.
+//! Further calls for a request in flight.
 
 use std::mem;
 
 use tindoor::host::AttemptStatus;
 use tindoor::time::Moment;
 
-use super::finish::Ending;
+use super::finish::Completion;
 use super::request::Progress;
 use super::{ExternalRequestTable, end_attempt};
 use crate::{CallId, CallReply, ExternalRequest, RefusalReason, RequestNumber, TableHost};
 
 impl ExternalRequestTable {
-    /// A call with the correlation id of a request in flight. A later attempt is the proxy's word that it has
-    /// given the earlier one up.
+    /// Handles a call with the correlation id of a request in flight.
+    ///
+    /// A call for a later attempt means that the proxy has given up the earlier attempt.
     pub(super) fn retry_received(
         &mut self,
         now: Moment,
@@ -56,8 +57,8 @@
         host.reply(previous, CallReply::Failed(RefusalReason::Superseded));
     }
 
-    /// Cancels the attempt in flight. Where the routing engine has given the request up meanwhile, the retry
-    /// gets the final reply.
+    /// Cancels the attempt in flight, to make way for a retry. If the routing engine has meanwhile rejected
+    /// or failed the request, the retry gets the final reply.
     fn cancel_for_retry(
         &mut self,
         now: Moment,
@@ -69,7 +70,7 @@
         let pending_reply = self.requests.get(&number).and_then(|request| request.pending_reply);
         end_attempt(host, number, attempt_index, AttemptStatus::Cancelled, pending_reply.is_some());
         if let Some(reply) = pending_reply {
-            self.finish(now, host, number, Ending { call: Some(call), reply, result: None });
+            self.finish(now, host, number, Completion { call: Some(call), reply, result: None });
         }
     }
 }
--- a/crates/external-requests/src/timers.rs
+++ b/crates/external-requests/src/timers.rs
@@ -1,10 +1,11 @@
-//! Timers in the order of their time.
+//! A set of timers, ordered by due time.
 
 use std::collections::BTreeSet;
 
 use tindoor::time::Moment;
 
-/// Timers, each named by an event. Whoever pops a timer checks that it still holds.
+/// A set of timers, each identified by its due time and an event. The caller of [`pop_due`](Self::pop_due)
+/// checks that the timer is still valid.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Timers<T: Ord>(BTreeSet<(Moment, T)>);
 
@@ -23,12 +24,12 @@
         self.0.remove(&(at, event));
     }
 
-    /// When the first timer is due.
+    /// Returns when the first timer is due. `None` if there are no timers.
     pub fn next(&self) -> Option<Moment> {
         self.0.first().map(|first| first.0)
     }
 
-    /// Removes the first timer that is due by now.
+    /// Removes and returns the first timer that is due at `now`. `None` if no timer is due.
     pub fn pop_due(&mut self, now: Moment) -> Option<(Moment, T)> {
         let due = self.0.first().is_some_and(|first| first.0 <= now);
         if due { self.0.pop_first() } else { None }
