--- a/crates/external-requests/benches/table.rs
+++ b/crates/external-requests/benches/table.rs
@@ -1,5 +1,5 @@
-//! What one call takes in the table, empty and with a million idempotency keys stored, and the memory of
-//! those.
+//! Measures the time that the table takes for one request, with no idempotency keys and with a million
+//! stored, and the memory that a million keys take.
 
 use std::hint::black_box;
 
@@ -8,6 +8,7 @@
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::*;
 
+/// A host that ignores all calls.
 struct DiscardingHost;
 
 impl TableHost for DiscardingHost {
@@ -38,7 +39,7 @@
     ExternalRequestTable::new(limits, EnabledChecks::default(), Moment::default())
 }
 
-/// Runs one request from its call to its report.
+/// Runs one request, from its call to its report.
 fn run_request(table: &mut ExternalRequestTable, index: u64, idempotency_key: Option<u128>) {
     let now = Moment::at_micros(100_000_000 + index * 20);
     let time_remaining = Span::millis(3000);
@@ -73,6 +74,7 @@
     table.report_received(now, host, call, None, report);
 }
 
+/// Returns the resident memory of this process in kB, or 0 if it can't be read.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap_or_default();
@@ -92,7 +94,7 @@
 fn bench_million_keys(criterion: &mut Criterion) {
     let (mut table, before) = (table(), resident_kb());
     for index in 1..=1_000_000u64 {
-        // All within a window, so that none expires yet.
+        // All requests fall within one idempotency window, so that no key expires.
         let key = u128::from(index).wrapping_mul(0x9E37_79B9_7F4A_7C15_F39C_C060_5CED_C834);
         run_request(&mut table, index, Some(key));
     }
--- a/crates/external-requests/tests/model.rs
+++ b/crates/external-requests/tests/model.rs
@@ -1,6 +1,8 @@
-//! Checks every order of events with a model checker, for two proxies and one idempotency key: calls and
-//! retries, reports that are lost, late or duplicate, calls that end, changes of the endpoint list, and a
-//! routing engine that decides freely.
+//! Checks the table with a model checker, in every order of events up to a bounded depth.
+//!
+//! The model has two proxies and one idempotency key. Its events are calls and retries, reports that are
+//! lost, late or duplicate, calls that end, changes of the endpoint list, and any decision of the routing
+//! engine.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +11,27 @@
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::*;
 
-/// The routing engine and the fronts: requests in flight, and the replies to each call.
+/// A model of the routing engine and the fronts: the requests in flight and the replies to each call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Host {
-    /// The attempts that are not reported, by request; and how many there were.
+    /// The index of the attempt whose end has not been reported, by request.
     in_flight: BTreeMap<RequestNumber, Option<u16>>,
+    /// The number of attempts issued so far, by request.
     attempts: BTreeMap<RequestNumber, u16>,
+    /// The idempotency keys of the requests in flight.
     idempotency_keys: BTreeMap<RequestNumber, u128>,
-    /// Whether a request waits for the routing engine's decision.
+    /// Whether the request waits for a decision of the routing engine.
     awaits_engine: BTreeMap<RequestNumber, bool>,
-    /// The reply that waits for each call, and the replies that each was sent.
+    /// The reply that is to be sent to each call next.
     unsent: BTreeMap<CallId, CallReply>,
+    /// The replies that were sent to each call, in order.
     sent: BTreeMap<CallId, Vec<ReplyKind>>,
-    /// An attempt ended twice or was never ordered, or a request finished twice.
+    /// Whether an attempt ended that was not in flight, or a request finished that was not in flight.
     has_fault: bool,
-    done: u8,
-    replayed_before_done: bool,
+    /// The number of attempts that were served.
+    served_count: u8,
+    /// Whether a result was replayed before any attempt was served.
+    replayed_before_served: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -49,21 +56,21 @@
     fn attempt_ended(&mut self, number: RequestNumber, attempt_index: u16, outcome: Outcome, last: bool) {
         let in_flight = self.in_flight.get_mut(&number).and_then(Option::take);
         self.has_fault |= in_flight != Some(attempt_index);
-        self.done += u8::from(outcome.status == AttemptStatus::Served);
+        self.served_count += u8::from(outcome.status == AttemptStatus::Served);
         self.awaits_engine.insert(number, !last);
     }
     fn request_abandoned(&mut self, number: RequestNumber) {
         self.awaits_engine.insert(number, false);
     }
     fn request_finished(&mut self, number: RequestNumber) {
-        // The router reports the attempts that were ordered and never issued; the table must leave no others
-        // in flight.
+        // The router itself reports the attempts that were decided on but never issued. The table must report
+        // all others before the request finishes.
         self.has_fault |= self.in_flight.remove(&number).is_none();
         self.awaits_engine.remove(&number);
         self.idempotency_keys.remove(&number);
     }
     fn reply(&mut self, call: CallId, reply: CallReply) {
-        self.replayed_before_done |= matches!(reply, CallReply::Replayed(_)) && self.done == 0;
+        self.replayed_before_served |= matches!(reply, CallReply::Replayed(_)) && self.served_count == 0;
         self.unsent.insert(call, reply);
     }
     fn retry_after(&mut self) -> Option<Span> {
@@ -75,10 +82,13 @@
 struct State {
     table: ExternalRequestTable,
     host: Host,
-    now: u64,
+    /// The current time, in milliseconds.
+    now_ms: u64,
+    /// The number of calls so far.
     calls: u64,
-    /// By proxy, its attempt and its call, if one is open.
+    /// The attempt number of each proxy, and its call if one is open.
     proxies: [(u32, Option<CallId>); 2],
+    /// The number of endpoint list changes so far.
     changes: u8,
 }
 
@@ -94,12 +104,15 @@
     Timer,
 }
 
-/// Two proxies, which carry one request, or each its own with the same idempotency key.
+/// A model with two proxies.
 struct TwoProxies {
-    is_one_request: bool,
+    /// Whether both proxies call for the same request. Otherwise each proxy has its own request, and both
+    /// requests have the same idempotency key.
+    is_shared_request: bool,
     checks: EnabledChecks,
 }
 
+/// The maximum number of attempts of one request.
 const MAX_ATTEMPTS: u16 = 3;
 
 impl Model for TwoProxies {
@@ -121,7 +134,7 @@
         };
         let table = ExternalRequestTable::new(limits, self.checks, Moment::default());
         let proxies = [(0, None); 2];
-        vec![State { table, host: Host::default(), now: 100_000, calls: 0, proxies, changes: 0 }]
+        vec![State { table, host: Host::default(), now_ms: 100_000, calls: 0, proxies, changes: 0 }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Event>) {
@@ -141,8 +154,8 @@
             }
         }
         actions.extend(state.host.unsent.keys().map(|call| Event::Send(*call)));
-        for (number, waits) in &state.host.awaits_engine {
-            if *waits && state.host.in_flight[number].is_none() {
+        for (number, awaits_engine) in &state.host.awaits_engine {
+            if *awaits_engine && state.host.in_flight[number].is_none() {
                 if state.host.attempts[number] < MAX_ATTEMPTS {
                     actions.push(Event::Decide(*number));
                 }
@@ -160,7 +173,7 @@
     fn next_state(&self, previous: &State, event: Event) -> Option<State> {
         let mut state = previous.clone();
         match event {
-            Event::Call(proxy) => state.call(proxy, self.is_one_request),
+            Event::Call(proxy) => state.call(proxy, self.is_shared_request),
             Event::Send(call) => state.send(call)?,
             Event::Decide(number) => state.decide(number),
             Event::Reject(number) => state.reject(number),
@@ -174,11 +187,12 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("one final answer a call", |_, state| {
-                let finals =
+            Property::<Self>::always("a call gets at most one decision and two other replies", |_, state| {
+                let other_replies =
                     |sent: &Vec<ReplyKind>| sent.iter().filter(|kind| **kind != ReplyKind::Decision).count();
-                // Each duplicate report is replied to; here there is one report for each decision.
-                state.host.sent.values().all(|sent| finals(sent) <= 2)
+                // A duplicate report gets a reply of its own. In this model a proxy makes no more reports
+                // after a reply to one was sent, so a call gets at most two replies besides its decision.
+                state.host.sent.values().all(|sent| other_replies(sent) <= 2)
                     && state
                         .host
                         .sent
@@ -186,31 +200,34 @@
                         .all(|sent| sent.iter().filter(|kind| **kind == ReplyKind::Decision).count() <= 1)
             }),
             Property::<Self>::always("each attempt ends once", |_, state| !state.host.has_fault),
-            Property::<Self>::always("one request of an idempotency key at a time", |_, state| {
+            Property::<Self>::always("at most one request per idempotency key is in flight", |_, state| {
                 state.host.idempotency_keys.len() <= 1
             }),
-            Property::<Self>::always("replayed only once done", |_, state| !state.host.replayed_before_done),
-            Property::<Self>::always("done at most once by an idempotency key", |_, state| {
-                state.host.done <= 1
+            Property::<Self>::always("a write is replayed only after it was served", |_, state| {
+                !state.host.replayed_before_served
             }),
-            Property::<Self>::always("every request has an end", |_, state| {
-                // A request that no proxy waits for ends by a timer.
-                let waits = state.proxies.iter().any(|proxy| proxy.1.is_some());
-                state.table.in_flight() == 0 || waits || state.table.next_timer().is_some()
+            Property::<Self>::always("a write is served at most once per idempotency key", |_, state| {
+                state.host.served_count <= 1
             }),
-            Property::<Self>::sometimes("a write is done", |_, state| state.host.done == 1),
+            Property::<Self>::always("every request ends", |_, state| {
+                // A request that no proxy waits for is ended by a timer.
+                let has_open_call = state.proxies.iter().any(|proxy| proxy.1.is_some());
+                state.table.in_flight() == 0 || has_open_call || state.table.next_timer().is_some()
+            }),
+            Property::<Self>::sometimes("a write is served", |_, state| state.host.served_count == 1),
             Property::<Self>::sometimes("a decision is withdrawn", |_, state| {
                 state.table.counters.withdrawn > 0
             }),
-            Property::<Self>::sometimes("an attempt supersedes another", |_, state| {
+            Property::<Self>::sometimes("a later attempt supersedes an earlier one", |_, state| {
                 state.table.counters.superseded > 0
             }),
         ]
     }
 
     fn within_boundary(&self, state: &State) -> bool {
-        // A client retries within its longest wait; after that and the idempotency window its key is evicted.
-        state.now < 100_000 + 29
+        // A client retries for at most `max_request_time`, 9 ms. After that and the idempotency window of 20
+        // ms, its key expires, and a write may be served again.
+        state.now_ms < 100_000 + 29
             && state.calls <= 3
             && state.host.attempts.values().all(|count| *count <= MAX_ATTEMPTS)
     }
@@ -218,18 +235,18 @@
 
 /// One method for each event.
 impl State {
-    fn at(&self) -> Moment {
-        Moment::at_micros(self.now * 1000)
+    fn now(&self) -> Moment {
+        Moment::at_micros(self.now_ms * 1000)
     }
 
-    fn call(&mut self, proxy: usize, is_one_request: bool) {
-        let at = self.at();
+    fn call(&mut self, proxy: usize, is_shared_request: bool) {
+        let now = self.now();
         self.calls += 1;
         let call = CallId(self.calls);
         let attempt = self.proxies[proxy].0 + 1;
         self.proxies[proxy] = (attempt, Some(call));
         let (correlation_id, attempt) =
-            if is_one_request { (1, attempt * 2 + proxy as u32) } else { (proxy as u64, attempt) };
+            if is_shared_request { (1, attempt * 2 + proxy as u32) } else { (proxy as u64, attempt) };
         let request = ExternalRequest {
             correlation_id,
             attempt,
@@ -242,7 +259,7 @@
             time_remaining: Span::millis(5),
             authorization: Authorization::Granted,
         };
-        self.table.call_received(at, &mut self.host, call, request);
+        self.table.call_received(now, &mut self.host, call, request);
     }
 
     fn send(&mut self, call: CallId) -> Option<()> {
@@ -268,30 +285,30 @@
             directives: None,
             timeout: Span::millis(3),
         };
-        let at = self.at();
-        self.table.decision_made(at, &mut self.host, number, decision);
+        let now = self.now();
+        self.table.decision_made(now, &mut self.host, number, decision);
     }
 
     fn reject(&mut self, number: RequestNumber) {
         self.host.awaits_engine.insert(number, false);
-        let at = self.at();
-        self.table.request_rejected(at, &mut self.host, number, None);
+        let now = self.now();
+        self.table.request_rejected(now, &mut self.host, number, None);
     }
 
     fn report(&mut self, proxy: usize, status: AttemptStatus) -> Option<()> {
         let stored_result = StoredResult { status: 200, version: 0 };
         let outcome = Outcome::new(status, OutcomeDetail::Unknown);
         let report = Report { outcome, stored_result, used_after: None };
-        let (at, call) = (self.at(), self.proxies[proxy].1?);
-        self.table.report_received(at, &mut self.host, call, None, report);
+        let (now, call) = (self.now(), self.proxies[proxy].1?);
+        self.table.report_received(now, &mut self.host, call, None, report);
         Some(())
     }
 
     fn end_call(&mut self, proxy: usize) -> Option<()> {
         let call = self.proxies[proxy].1.take()?;
         self.host.unsent.remove(&call);
-        let at = self.at();
-        self.table.call_ended(at, call);
+        let now = self.now();
+        self.table.call_ended(now, call);
         Some(())
     }
 
@@ -302,39 +319,43 @@
 
     fn fire_timer(&mut self) -> Option<()> {
         let next = self.table.next_timer()?;
-        self.now = self.now.max(next.as_micros().div_ceil(1000));
-        let at = self.at();
-        self.table.timer_fired(at, &mut self.host);
+        self.now_ms = self.now_ms.max(next.as_micros().div_ceil(1000));
+        let now = self.now();
+        self.table.timer_fired(now, &mut self.host);
         Some(())
     }
 }
 
-fn check(is_one_request: bool, checks: EnabledChecks) -> Vec<&'static str> {
+/// Runs the model checker and returns the names of the properties that were violated.
+fn check_model(is_shared_request: bool, checks: EnabledChecks) -> Vec<&'static str> {
     let checker =
-        TwoProxies { is_one_request, checks }.checker().threads(4).target_max_depth(12).spawn_bfs().join();
+        TwoProxies { is_shared_request, checks }.checker().threads(4).target_max_depth(12).spawn_bfs().join();
     eprintln!("{} states", checker.unique_state_count());
-    let mut found: Vec<_> = checker.discoveries().into_keys().collect();
-    found.retain(|name| {
-        !["a write is done", "a decision is withdrawn", "an attempt supersedes another"].contains(name)
+    let mut violations: Vec<_> = checker.discoveries().into_keys().collect();
+    // Discoveries of the `sometimes` properties are examples, not violations.
+    violations.retain(|name| {
+        !["a write is served", "a decision is withdrawn", "a later attempt supersedes an earlier one"]
+            .contains(name)
     });
-    for (name, path) in checker.discoveries().into_iter().filter(|(name, _)| found.contains(name)) {
+    for (name, path) in checker.discoveries().into_iter().filter(|(name, _)| violations.contains(name)) {
         eprintln!("{name}: {:?}", path.into_actions());
     }
-    found
+    violations
 }
 
 #[test]
-fn two_requests_with_one_idempotency_key_keep_the_rules_in_every_order() {
-    assert_eq!(check(false, EnabledChecks::default()), [""; 0]);
+fn two_requests_with_the_same_idempotency_key_satisfy_all_properties_in_every_order() {
+    assert_eq!(check_model(false, EnabledChecks::default()), [""; 0]);
 }
 
 #[test]
-fn one_request_over_two_proxies_keeps_the_rules_in_every_order() {
-    assert_eq!(check(true, EnabledChecks::default()), [""; 0]);
+fn one_request_over_two_proxies_satisfies_all_properties_in_every_order() {
+    assert_eq!(check_model(true, EnabledChecks::default()), [""; 0]);
 }
 
 #[test]
-fn with_the_idempotency_key_check_disabled_a_write_that_runs_twice_is_detected() {
-    let found = check(false, EnabledChecks { idempotency_keys: false, ..EnabledChecks::default() });
-    assert!(found.contains(&"one request of an idempotency key at a time"), "{found:?}");
+fn without_the_idempotency_key_check_concurrent_requests_with_the_same_key_are_detected() {
+    let violations =
+        check_model(false, EnabledChecks { idempotency_keys: false, ..EnabledChecks::default() });
+    assert!(violations.contains(&"at most one request per idempotency key is in flight"), "{violations:?}");
 }
--- a/crates/external-requests/tests/table.rs
+++ b/crates/external-requests/tests/table.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request, for each thing that a proxy may do with a routing decision.
+//! Tests how a request ends, for everything that a proxy may do with a routing decision.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use tindoor::time::{Moment, Span};
 use tindoor_external_requests::*;
 
-/// What the table did, in order.
+/// A call that the table made to its host, other than a reply.
 #[derive(Clone, Debug, PartialEq)]
 enum HostCall {
     Started(RequestNumber, Option<(Moment, EndpointId)>),
@@ -16,6 +16,7 @@
 }
 
 #[derive(Default)]
+/// Records the calls of the table, in order.
 struct RecordingHost {
     calls: Vec<HostCall>,
     replies: BTreeMap<CallId, Vec<CallReply>>,
@@ -50,7 +51,8 @@
 struct Fixture {
     table: ExternalRequestTable,
     host: RecordingHost,
-    now: u64,
+    /// The current time, in milliseconds.
+    now_ms: u64,
 }
 
 const LIMITS: Limits = Limits {
@@ -66,9 +68,9 @@
 };
 
 fn fixture() -> Fixture {
-    // Long enough after the start that every key within the idempotency window would be known.
+    // 100 s after the start: late enough for the table to know all keys that clients may still retry with.
     let table = ExternalRequestTable::new(LIMITS, EnabledChecks::default(), Moment::at_micros(0));
-    Fixture { table, host: RecordingHost::default(), now: 100_000 }
+    Fixture { table, host: RecordingHost::default(), now_ms: 100_000 }
 }
 
 fn write(correlation_id: u64, attempt: u32, idempotency_key: u128) -> ExternalRequest {
@@ -96,11 +98,11 @@
 }
 
 impl Fixture {
-    fn at(&self) -> Moment {
-        Moment::at_micros(self.now * 1000)
+    fn now(&self) -> Moment {
+        Moment::at_micros(self.now_ms * 1000)
     }
     fn call(&mut self, call: u64, request: ExternalRequest) {
-        self.table.call_received(self.at(), &mut self.host, CallId(call), request);
+        self.table.call_received(self.now(), &mut self.host, CallId(call), request);
     }
     fn decide(&mut self, number: u64, attempt_index: u16, endpoint: u32) {
         let decision = RoutingDecision {
@@ -109,26 +111,26 @@
             directives: None,
             timeout: Span::millis(900),
         };
-        self.table.decision_made(self.at(), &mut self.host, RequestNumber(number), decision);
+        self.table.decision_made(self.now(), &mut self.host, RequestNumber(number), decision);
     }
     fn report(&mut self, call: u64, status: AttemptStatus) {
-        self.table.report_received(self.at(), &mut self.host, CallId(call), None, report(status));
+        self.table.report_received(self.now(), &mut self.host, CallId(call), None, report(status));
     }
     fn end_call(&mut self, call: u64) {
-        self.table.call_ended(self.at(), CallId(call));
+        self.table.call_ended(self.now(), CallId(call));
     }
     fn reject(&mut self, number: u64) {
-        self.table.request_rejected(self.at(), &mut self.host, RequestNumber(number), None);
+        self.table.request_rejected(self.now(), &mut self.host, RequestNumber(number), None);
     }
     fn advance(&mut self, millis: u64) {
-        self.now += millis;
-        self.table.timer_fired(self.at(), &mut self.host);
+        self.now_ms += millis;
+        self.table.timer_fired(self.now(), &mut self.host);
     }
-    fn reply(&self, call: u64) -> CallReply {
+    fn last_reply(&self, call: u64) -> CallReply {
         *self.host.replies[&CallId(call)].last().unwrap()
     }
     fn send(&mut self, call: u64) -> bool {
-        let reply = self.reply(call);
+        let reply = self.last_reply(call);
         self.table.confirm_send(CallId(call), &reply)
     }
     fn attempt_ends(&self) -> Vec<(u16, AttemptStatus, bool)> {
@@ -139,7 +141,7 @@
         self.host.calls.iter().filter_map(end).collect()
     }
     fn has_decision(&self, call: u64) -> bool {
-        matches!(self.reply(call), CallReply::Decision { .. })
+        matches!(self.last_reply(call), CallReply::Decision { .. })
     }
 }
 
@@ -148,11 +150,11 @@
     let mut fixture = fixture();
     fixture.call(1, read(5, 1));
     fixture.decide(1, 0, 2);
-    let CallReply::Decision { decision, use_within, .. } = fixture.reply(1) else { panic!() };
+    let CallReply::Decision { decision, use_within, .. } = fixture.last_reply(1) else { panic!() };
     assert_eq!((decision.endpoint, use_within), (EndpointId(2), Span::millis(200)));
     assert!(fixture.send(1));
     fixture.report(1, AttemptStatus::Served);
-    assert_eq!(fixture.reply(1), CallReply::PassThrough);
+    assert_eq!(fixture.last_reply(1), CallReply::PassThrough);
     assert_eq!(fixture.attempt_ends(), [(0, AttemptStatus::Served, true)]);
     assert_eq!(
         (fixture.host.calls.last(), fixture.table.in_flight()),
@@ -160,9 +162,9 @@
     );
     fixture.call(2, read(5, 2));
     assert_eq!(
-        fixture.reply(2),
+        fixture.last_reply(2),
         CallReply::Failed(RefusalReason::CorrelationIdInUse),
-        "a correlation id is served once"
+        "a request with a correlation id that was served is not run again"
     );
 }
 
@@ -173,27 +175,27 @@
     fixture.decide(1, 0, 2);
     fixture.report(1, AttemptStatus::Overloaded);
     fixture.decide(1, 1, 3);
-    assert_eq!(fixture.reply(1), CallReply::AwaitRetry);
+    assert_eq!(fixture.last_reply(1), CallReply::AwaitRetry);
     fixture.call(2, read(5, 2));
     assert!(fixture.has_decision(2));
     fixture.report(2, AttemptStatus::Incomplete);
     fixture.reject(1);
-    assert_eq!(fixture.reply(2), CallReply::Rejected(None, RefusalReason::GaveUp));
+    assert_eq!(fixture.last_reply(2), CallReply::Rejected(None, RefusalReason::GaveUp));
     assert_eq!(
         fixture.attempt_ends(),
         [(0, AttemptStatus::Overloaded, false), (1, AttemptStatus::Incomplete, false)]
     );
     fixture.call(3, read(5, 3));
     assert_eq!(
-        fixture.reply(3),
+        fixture.last_reply(3),
         CallReply::Rejected(None, RefusalReason::GaveUp),
-        "the same answer again, and no further attempt"
+        "a later call gets the same reply and no further attempt"
     );
     assert_eq!(fixture.table.in_flight(), 0);
 }
 
 #[test]
-fn a_call_that_ends_before_its_decision_is_superseded_and_after_it_cancelled() {
+fn an_attempt_is_superseded_if_its_call_ends_before_the_decision_and_cancelled_if_after() {
     let mut fixture = fixture();
     fixture.call(1, read(5, 1));
     fixture.end_call(1);
@@ -216,7 +218,10 @@
     fixture.decide(1, 0, 2);
     fixture.end_call(1);
     fixture.advance(100);
-    assert!(fixture.attempt_ends().is_empty(), "its end is reported with the next call, when more is known");
+    assert!(
+        fixture.attempt_ends().is_empty(),
+        "the end of the attempt is only reported when the next call arrives"
+    );
     fixture.call(2, read(5, 2));
     assert_eq!(fixture.attempt_ends(), [(0, AttemptStatus::Cancelled, false)]);
     fixture.decide(1, 1, 3);
@@ -224,67 +229,67 @@
 }
 
 #[test]
-fn a_later_attempt_supersedes_the_earlier_and_an_equal_one_is_refused() {
+fn a_call_for_a_later_attempt_supersedes_the_earlier_call_and_a_duplicate_attempt_is_refused() {
     let mut fixture = fixture();
     fixture.call(1, read(5, 1));
     fixture.decide(1, 0, 2);
     fixture.call(2, read(5, 1));
-    assert_eq!(fixture.reply(2), CallReply::Failed(RefusalReason::CorrelationIdInUse));
+    assert_eq!(fixture.last_reply(2), CallReply::Failed(RefusalReason::CorrelationIdInUse));
     fixture.call(3, ExternalRequest { object: 8, ..read(5, 2) });
     assert_eq!(
-        fixture.reply(3),
+        fixture.last_reply(3),
         CallReply::Failed(RefusalReason::CorrelationIdInUse),
-        "another object is not the same request"
+        "a call for another object is not a retry of the same request"
     );
     fixture.call(4, read(5, 2));
-    assert_eq!(fixture.reply(1), CallReply::Failed(RefusalReason::Superseded));
+    assert_eq!(fixture.last_reply(1), CallReply::Failed(RefusalReason::Superseded));
     assert_eq!(
         fixture.attempt_ends(),
         [(0, AttemptStatus::Cancelled, false)],
-        "one attempt in flight at a time"
+        "only one attempt may be in flight at a time"
     );
     fixture.report(1, AttemptStatus::Served);
     assert_eq!(
-        fixture.reply(1),
+        fixture.last_reply(1),
         CallReply::Failed(RefusalReason::UnknownDecision),
-        "its report comes too late"
+        "the report of a superseded call is too late"
     );
     assert_eq!(fixture.table.counters.unmatched_reports, 1);
 }
 
 #[test]
-fn an_unreported_decision_expires_and_blames_no_endpoint() {
+fn an_unreported_decision_expires_and_its_attempt_is_reported_as_cancelled() {
     let mut fixture = fixture();
     fixture.call(1, read(5, 1));
     fixture.decide(1, 0, 2);
     fixture.advance(1349);
     assert_eq!(fixture.table.in_flight(), 1);
     fixture.advance(1);
-    assert_eq!(fixture.reply(1), CallReply::Failed(RefusalReason::NotReported));
+    assert_eq!(fixture.last_reply(1), CallReply::Failed(RefusalReason::NotReported));
     assert_eq!(fixture.attempt_ends(), [(0, AttemptStatus::Cancelled, true)]);
     fixture.report(1, AttemptStatus::Served);
     assert_eq!(
-        (fixture.reply(1), fixture.attempt_ends().len()),
+        (fixture.last_reply(1), fixture.attempt_ends().len()),
         (CallReply::Failed(RefusalReason::UnknownDecision), 1)
     );
 }
 
 #[test]
-fn a_duplicate_report_or_one_for_another_request_changes_nothing() {
+fn a_duplicate_report_or_a_report_for_another_request_has_no_effect() {
     let mut fixture = fixture();
     for (call, correlation_id) in [(1, 5), (2, 6)] {
         fixture.call(call, read(correlation_id, 1));
         fixture.decide(call, 0, 2);
     }
     fixture.table.report_received(
-        fixture.at(),
+        fixture.now(),
         &mut fixture.host,
         CallId(2),
         Some(5),
         report(AttemptStatus::Served),
     );
     assert_eq!(
-        (fixture.reply(2), fixture.table.in_flight()),
+        (fixture.last_reply(2), fixture.table.in_flight()),
         (CallReply::Failed(RefusalReason::UnknownDecision), 2)
     );
     fixture.report(1, AttemptStatus::Served);
@@ -293,47 +298,50 @@
 }
 
 #[test]
-fn a_duplicate_write_waits_for_the_first_and_is_replayed_after_it() {
+fn a_duplicate_write_waits_for_the_first_write_and_gets_its_result() {
     let mut fixture = fixture();
     fixture.call(1, write(5, 1, 77));
     fixture.decide(1, 0, 2);
     fixture.call(2, write(6, 1, 77));
-    assert!(!fixture.host.replies.contains_key(&CallId(2)), "it waits");
+    assert!(!fixture.host.replies.contains_key(&CallId(2)), "the duplicate write must wait for the first");
     fixture.report(1, AttemptStatus::Served);
     let replayed = CallReply::Replayed(StoredResult { status: 200, version: 9 });
-    assert_eq!(fixture.reply(2), replayed);
+    assert_eq!(fixture.last_reply(2), replayed);
     fixture.advance(2999);
     fixture.call(3, write(7, 1, 77));
-    assert_eq!(fixture.reply(3), replayed);
+    assert_eq!(fixture.last_reply(3), replayed);
     let started = fixture.host.calls.iter().filter(|call| matches!(call, HostCall::Started(..))).count();
-    assert_eq!(started, 1, "one request, and one attempt, for one idempotency key");
+    assert_eq!(started, 1, "only one request may start for one idempotency key");
 }
 
 #[test]
-fn a_waiter_past_its_deadline_is_rejected_and_one_too_many_at_once() {
+fn a_waiting_call_is_rejected_at_its_deadline_and_a_call_beyond_the_limit_immediately() {
     let mut fixture = fixture();
     fixture.call(1, write(5, 1, 77));
     fixture.decide(1, 0, 2);
     fixture.call(2, ExternalRequest { time_remaining: Span::millis(50), ..write(6, 1, 77) });
     fixture.call(3, write(7, 1, 77));
     fixture.call(4, write(8, 1, 77));
-    assert_eq!(fixture.reply(4), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity));
+    assert_eq!(
+        fixture.last_reply(4),
+        CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity)
+    );
     fixture.advance(50);
     assert_eq!(
-        fixture.reply(2),
+        fixture.last_reply(2),
         CallReply::Rejected(Some(Span::millis(100)), RefusalReason::IdempotencyKeyInUse)
     );
     fixture.end_call(3);
     fixture.report(1, AttemptStatus::Served);
-    assert!(!fixture.host.replies.contains_key(&CallId(3)), "its call had ended");
+    assert!(!fixture.host.replies.contains_key(&CallId(3)), "a call that has ended gets no reply");
 }
 
 #[test]
-fn a_write_that_may_have_run_is_reported_with_the_next_request_of_its_key() {
+fn the_next_request_with_the_key_of_a_write_that_may_have_run_gets_its_first_run() {
     let mut fixture = fixture();
     fixture.call(1, write(5, 1, 77));
     fixture.decide(1, 0, 2);
-    let issued_at = fixture.at();
+    let issued_at = fixture.now();
     assert!(fixture.send(1));
     fixture.end_call(1);
     fixture.advance(250);
@@ -345,7 +353,7 @@
 }
 
 #[test]
-fn a_write_whose_decision_was_never_sent_has_not_run() {
+fn a_write_whose_decision_was_never_sent_is_known_not_to_have_run() {
     let mut fixture = fixture();
     fixture.call(1, write(5, 1, 77));
     fixture.decide(1, 0, 2);
@@ -356,7 +364,7 @@
 }
 
 #[test]
-fn a_write_that_was_rejected_by_its_endpoint_has_not_run() {
+fn a_write_that_its_endpoint_rejected_is_known_not_to_have_run() {
     let mut fixture = fixture();
     fixture.call(1, write(5, 1, 77));
     fixture.decide(1, 0, 2);
@@ -367,9 +375,9 @@
 }
 
 #[test]
-fn after_a_restart_a_retried_write_is_taken_to_have_run() {
+fn after_a_restart_a_retried_write_is_assumed_to_have_run() {
     let mut fixture = fixture();
-    fixture.now = 10;
+    fixture.now_ms = 10;
     fixture.call(1, ExternalRequest { client_retry: true, ..write(5, 1, 77) });
     assert!(
         fixture
@@ -380,44 +388,47 @@
     fixture.call(2, write(6, 1, 78));
     assert!(
         fixture.host.calls.contains(&HostCall::Started(RequestNumber(2), None)),
-        "a first attempt is taken for one"
+        "a first attempt is assumed not to have run before"
     );
     fixture.advance(63_000);
     fixture.call(3, ExternalRequest { client_retry: true, ..write(7, 1, 79) });
     assert!(
         fixture.host.calls.contains(&HostCall::Started(RequestNumber(3), None)),
-        "by now every key within the window is known"
+        "all keys that clients may still retry with are known by now"
     );
 }
 
 #[test]
-fn a_denied_request_learns_nothing_of_a_write_and_takes_over_no_request() {
+fn a_denied_request_can_neither_see_the_result_of_a_write_nor_continue_a_request() {
     let mut fixture = fixture();
     fixture.call(1, write(5, 1, 77));
     fixture.decide(1, 0, 2);
     fixture.call(2, ExternalRequest { authorization: Authorization::Denied, ..write(6, 1, 77) });
     assert!(
         fixture.host.calls.contains(&HostCall::Started(RequestNumber(2), None)),
-        "only the routing engine answers it"
+        "a denied request goes to the routing engine, not to the stored keys"
     );
     fixture.reject(2);
     fixture.call(3, ExternalRequest { authorization: Authorization::Denied, ..write(5, 2, 77) });
-    assert_eq!(fixture.reply(3), CallReply::Failed(RefusalReason::CorrelationIdInUse));
+    assert_eq!(fixture.last_reply(3), CallReply::Failed(RefusalReason::CorrelationIdInUse));
     fixture.call(4, ExternalRequest { authorization: Authorization::Expired, ..write(5, 3, 77) });
     assert_eq!(
-        fixture.reply(1),
+        fixture.last_reply(1),
         CallReply::Failed(RefusalReason::Superseded),
-        "it was valid when the request began"
+        "an expired URL may continue a request, as it was valid when the request began"
     );
     fixture.decide(1, 1, 2);
     fixture.report(4, AttemptStatus::Served);
     fixture.call(5, write(7, 1, 77));
-    assert!(matches!(fixture.reply(5), CallReply::Replayed(_)), "the denied one reserved no key");
+    assert!(
+        matches!(fixture.last_reply(5), CallReply::Replayed(_)),
+        "the denied request must not have reserved the key"
+    );
     fixture.call(6, ExternalRequest { authorization: Authorization::Denied, ..write(5, 4, 77) });
     assert_eq!(
-        fixture.reply(6),
+        fixture.last_reply(6),
         CallReply::Failed(RefusalReason::CorrelationIdInUse),
-        "nor does its correlation id disclose the result"
+        "the correlation id of a write must not disclose its result to a denied call"
     );
 }
 
@@ -429,32 +440,32 @@
     fixture.decide(1, 0, 2);
     fixture.decide(2, 0, 2);
     assert!(fixture.send(1));
-    let reply = fixture.reply(2);
+    let reply = fixture.last_reply(2);
     fixture
         .table
         .withdraw_stale_decisions(&mut fixture.host, |_, decision| decision.endpoint == EndpointId(2));
     assert_eq!(fixture.attempt_ends(), [(0, AttemptStatus::Superseded, false)]);
-    assert!(!fixture.table.confirm_send(CallId(2), &reply), "it must not be sent any more");
+    assert!(!fixture.table.confirm_send(CallId(2), &reply), "a withdrawn decision must not be sent");
     assert_eq!((fixture.table.counters.withdrawn, fixture.table.counters.stale), (1, 1));
     fixture.decide(2, 1, 3);
     assert!(fixture.has_decision(2) && fixture.send(2));
 }
 
 #[test]
-fn a_request_given_up_while_its_decision_is_in_flight_is_refused_with_the_report() {
+fn a_request_rejected_while_its_decision_is_in_flight_gets_the_rejection_in_reply_to_the_report() {
     let mut fixture = fixture();
     fixture.call(1, read(5, 1));
     fixture.decide(1, 0, 2);
     assert!(fixture.send(1));
     fixture.reject(1);
-    assert!(fixture.has_decision(1), "no reply is possible before the report");
+    assert!(fixture.has_decision(1), "the rejection must not be sent before the report");
     fixture.report(1, AttemptStatus::TimedOut);
-    assert_eq!(fixture.reply(1), CallReply::Rejected(None, RefusalReason::GaveUp));
+    assert_eq!(fixture.last_reply(1), CallReply::Rejected(None, RefusalReason::GaveUp));
     assert_eq!(fixture.attempt_ends(), [(0, AttemptStatus::TimedOut, true)]);
 }
 
 #[test]
-fn full_tables_reject_at_once_and_evict_no_key_early() {
+fn a_full_table_rejects_calls_immediately_and_evicts_no_key_early() {
     let mut fixture = fixture();
     for index in 1..=4 {
         fixture.call(index, write(index, 1, index.into()));
@@ -462,20 +473,26 @@
         fixture.report(index, AttemptStatus::Served);
     }
     fixture.call(5, write(5, 1, 5));
-    assert_eq!(fixture.reply(5), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity));
+    assert_eq!(
+        fixture.last_reply(5),
+        CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity)
+    );
     fixture.call(6, write(6, 1, 1));
-    assert!(matches!(fixture.reply(6), CallReply::Replayed(_)));
+    assert!(matches!(fixture.last_reply(6), CallReply::Replayed(_)));
     fixture.advance(63_000);
-    assert!(fixture.table.idempotency_keys().is_empty(), "each has its end");
+    assert!(fixture.table.idempotency_keys().is_empty(), "all keys must have expired");
     for index in 11..=14 {
         fixture.call(index, read(index, 1));
     }
     fixture.call(15, read(15, 1));
-    assert_eq!(fixture.reply(15), CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity));
+    assert_eq!(
+        fixture.last_reply(15),
+        CallReply::Rejected(Some(Span::millis(100)), RefusalReason::NoCapacity)
+    );
 }
 
 #[test]
-fn a_shutdown_answers_every_call_once() {
+fn a_shutdown_sends_one_final_reply_to_every_open_call() {
     let mut fixture = fixture();
     for index in 1..=3 {
         fixture.call(index, read(index, 1));
@@ -483,9 +500,9 @@
     fixture.decide(2, 0, 2);
     fixture.decide(3, 0, 2);
     fixture.end_call(3);
-    fixture.table.shut_down(fixture.at(), &mut fixture.host);
-    assert_eq!(fixture.reply(1), CallReply::Failed(RefusalReason::ShuttingDown));
-    assert_eq!(fixture.reply(2), CallReply::Failed(RefusalReason::ShuttingDown));
+    fixture.table.shut_down(fixture.now(), &mut fixture.host);
+    assert_eq!(fixture.last_reply(1), CallReply::Failed(RefusalReason::ShuttingDown));
+    assert_eq!(fixture.last_reply(2), CallReply::Failed(RefusalReason::ShuttingDown));
     assert_eq!((fixture.table.in_flight(), fixture.attempt_ends().len()), (0, 2));
-    assert_eq!(fixture.host.replies[&CallId(3)].len(), 1, "its call had ended");
+    assert_eq!(fixture.host.replies[&CallId(3)].len(), 1, "a call that has ended gets no final reply");
 }
