--- a/crates/external-requests/benches/table.rs
+++ b/crates/external-requests/benches/table.rs
@@ -94,8 +94,8 @@
 fn bench_million_keys(criterion: &mut Criterion) {
     let (mut table, before) = (table(), resident_kb());
     for index in 1..=1_000_000u64 {
-        // The requests cover 20 s, and a key is stored for 63 s (the idempotency window and the longest request
-        // time), so that no key expires.
+        // The requests cover 20 s, and a key is stored for 63 s (the idempotency window and the longest
+        // request time), so that no key expires.
         let key = u128::from(index).wrapping_mul(0x9E37_79B9_7F4A_7C15_F39C_C060_5CED_C834);
         run_request(&mut table, index, Some(key));
     }
--- a/crates/request-runtime/src/engine_handle.rs
+++ b/crates/request-runtime/src/engine_handle.rs
@@ -34,7 +34,7 @@
 
     /// Applies an event to the routing engine at the current time.
     ///
-    /// The engine stays borrowed while `event` runs, so `event` must not use this handle.
+    /// The engine stays borrowed while `event` runs, so `event` must not call back into this handle.
     pub fn with<T>(&self, event: impl FnOnce(&mut RoutingEngine<EngineHost>) -> T) -> T {
         let mut engine = self.engine.borrow_mut();
         engine.set_time(self.clock.now());
--- a/crates/request-runtime/src/lifecycle.rs
+++ b/crates/request-runtime/src/lifecycle.rs
@@ -147,8 +147,8 @@
     }
 
     fn abandon(&mut self) {
-        // The client receives this answer only if it still waits, because the router is shutting down or the
-        // connection is closing. The transport drops the answer of a cancelled call.
+        // The client receives this answer only if the router is shutting down or the connection is closing.
+        // The transport drops the answer of a call that the client cancelled.
         if !self.is_answered {
             self.transport.answer(FinalAnswer::Abandoned);
         }
