--- a/src/host.rs
+++ b/src/host.rs
@@ -1,52 +1,54 @@
-//! The interface between the routing engine and its caller: the [`Host`] trait that the engine acts through,
-//! and the plain types that pass between the two.
+//! The interface between the routing engine and its caller: the [`Host`] trait, whose methods the engine
+//! calls to carry out its decisions, and the plain types that the engine and its caller exchange.
 
 use crate::time::{Moment, Span};
 
 /// The slot of a request in the caller's request table.
 ///
-/// A slot may be used again once its request has its final answer and every attempt made for it has ended.
+/// A slot may be reused once its request has received its final answer and all attempts of the request have
+/// ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestSlot(pub u32);
 
 /// The index of an endpoint in the caller's endpoint table, assigned from 0 in the order in which endpoints
 /// are first listed.
 ///
-/// Caches, parents and origins share one table. The index of a removed endpoint may be assigned again once no
-/// request in flight was sent to it or names it as its source.
+/// Caches, parents and origins share one table. The index of a removed endpoint may be reused once no request
+/// in flight was sent to that endpoint or names it as its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
 /// The result of checking a request's signed URL or token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Authorization {
-    /// It is valid, or none is required.
+    /// The authorization is valid, or the request requires none.
     #[default]
     Granted,
-    /// It becomes valid after this time.
+    /// The authorization becomes valid after this time.
     NotYetValid(Span),
-    /// It was valid and has expired.
+    /// The authorization was valid and has expired.
     Expired,
-    /// It is invalid.
+    /// The authorization is invalid.
     Denied,
 }
 
-/// What a request asks for.
+/// The properties of a request that routing depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestMeta {
-    /// The object requested.
+    /// The id of the requested object.
     pub object: u64,
-    /// The index of the object's part, for objects that are requested in parts.
+    /// The index of the requested part, for objects that are requested in parts.
     pub part: u32,
-    /// The group that the object is purged with.
+    /// The id of the object's purge group: purging the group purges the object.
     pub group: u32,
     /// The index of the request class in the settings.
     pub class: u16,
-    /// The size of the response in kilobytes, where it is known.
+    /// The size of the response in kilobytes; `None` if unknown.
     pub size_kb: Option<f32>,
     /// Whether the client marked the request as a retry.
     pub client_retry: bool,
-    /// When and where an earlier request with the same idempotency key first may have run.
+    /// When and where an earlier request with the same idempotency key may first have run; `None` if no such
+    /// request is known.
     pub first_ran: Option<(Moment, EndpointId)>,
     /// The result of checking the request's authorization.
     pub authorization: Authorization,
@@ -57,49 +59,49 @@
 pub struct EndpointUpdate {
     /// The endpoint's index in the caller's table.
     pub endpoint: EndpointId,
-    /// An id that is the same at every router; rendezvous hashing uses it.
+    /// An id that is the same at every router, used for rendezvous hashing.
     pub stable_id: u64,
-    /// Whether the endpoint takes requests.
+    /// Whether the endpoint accepts requests.
     pub state: EndpointState,
-    /// When the endpoint last started; none if that is long past.
+    /// When the endpoint last started; `None` if that was long ago.
     pub started_at: Option<Moment>,
     /// The location of the endpoint.
     pub location: u8,
-    /// The endpoint's capacity in transfers at full speed, or a relative weight where capacities are not
-    /// known.
+    /// The number of full-speed transfers that the endpoint can run at once, or a relative weight if
+    /// capacities are unknown.
     pub capacity: f32,
-    /// The deployment's number for caches, parents or origins.
+    /// The number by which the deployment identifies caches, parents or origins.
     pub kind: u8,
-    /// The cell within the location.
+    /// The endpoint's cell within its location.
     pub cell: u16,
 }
 
-/// The stable id of a name, the same at every router: its FNV-1a hash.
+/// Returns the stable id of an endpoint name: its FNV-1a hash, which is the same at every router.
 pub fn stable_id(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes what it has in flight and takes nothing new.
+    /// The endpoint finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It is no longer listed.
+    /// The endpoint is no longer in the endpoint list.
     Removed,
 }
 
 /// What an endpoint list update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
-    /// The complete list: endpoints that are not in it were removed.
+    /// The complete list: endpoints that are not in the list were removed.
     Full,
     /// Only the entries that changed.
     Delta,
-    /// The list could not be fetched; the last one stays in force.
+    /// No entries: the list could not be fetched, and the previous list remains in effect.
     Failed,
 }
 
@@ -110,47 +112,48 @@
     Served,
     /// The endpoint answered with an error.
     Error,
-    /// The endpoint, or its source, rejected the request because it is overloaded; nothing ran.
+    /// The endpoint or its source was overloaded and rejected the request; the request did not run.
     Overloaded,
     /// No response came within the attempt timeout.
     TimedOut,
-    /// No connection could be made in time; nothing ran.
+    /// No connection could be established in time; the request did not run.
     Unreachable,
-    /// The connection broke while the attempt was in flight; it may have run.
+    /// The connection broke while the attempt was in flight; the request may have run.
     Incomplete,
     /// The router cancelled the attempt.
     Cancelled,
-    /// The attempt was dropped before it was sent, as its request was finished or a limit was reached;
-    /// nothing ran.
+    /// The attempt was dropped before it was sent, because its request was finished or a limit was reached;
+    /// the request did not run.
     Superseded,
-    /// Neither the endpoint nor a source that only gives what it holds had a suitable copy; nothing ran.
+    /// Neither the endpoint nor a source restricted to its own copies had a suitable copy; the request did
+    /// not run.
     Miss,
 }
 
-/// What an endpoint reported about how it came to its answer.
+/// How an endpoint reports that it produced its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OutcomeDetail {
-    /// Nothing was reported.
+    /// The endpoint reported nothing.
     Unknown,
     /// Answered from a fresh copy.
     Hit,
-    /// Filled from a copy that the source held.
+    /// Filled from a copy held by the source.
     FilledFromSource,
     /// Filled by the origin.
     FilledFromOrigin,
-    /// Answered by a fill that was already in flight; with a miss, that there is one.
+    /// Answered by joining a fill that was already in flight. On a miss: a fill of the object is in flight.
     JoinedFill,
-    /// Answered from a copy past its fresh time.
+    /// Answered from a copy that is no longer fresh.
     StaleHit,
-    /// The fill failed: its source is overloaded.
+    /// The fill failed: the source is overloaded.
     SourceOverloaded,
-    /// The fill failed: its source could not be reached, broke the connection or was too slow.
+    /// The fill failed: the source could not be reached, broke the connection or was too slow.
     SourceUnreachable,
-    /// The fill failed: its source holds no copy and may not fetch one.
+    /// The fill failed: the source holds no copy and is not allowed to fetch one.
     SourceMiss,
-    /// The cache has all its fills in flight.
+    /// The cache has reached its limit on fills in flight.
     NoFillSlot,
-    /// The fill failed: the origin failed its parent.
+    /// The fill failed: the origin failed to answer the parent.
     OriginFailed,
 }
 
@@ -164,47 +167,49 @@
 }
 
 impl Outcome {
-    /// An outcome of a status and what was reported with it.
+    /// Returns an outcome with this status and detail.
     pub const fn new(status: AttemptStatus, detail: OutcomeDetail) -> Self {
         Self { status, detail }
     }
 }
 
-/// How a cache is to treat an object that it may not hold.
+/// Instructions to a cache on which copies it may serve and how it fills a miss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FillDirectives {
     /// The endpoint that a miss is filled from.
     pub source: EndpointId,
-    /// The oldest copy that may be served; none for the request class's own fresh time.
+    /// The maximum age of a copy that may be served; `None` for the request class's own freshness lifetime.
     pub max_age: Option<Span>,
     /// Whether to wait for a fill of the same object that is already in flight.
     pub join_fill: bool,
-    /// Whether the source may only give what it holds.
+    /// Whether the source may answer only from the copies that it holds.
     pub only_if_cached: bool,
     /// Whether an ageing copy is refreshed while it is served.
     pub refresh: bool,
-    /// The rank at which the copy is retained; 0 retains none.
+    /// The rank with which the copy is retained; with rank 0 no copy is retained.
     pub retention_rank: u8,
 }
 
-/// What an attempt charges to the quotas that all routers of a fleet share.
+/// The charge of one attempt to the quotas that are shared by all routers of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaCharge {
-    /// The endpoint that the attempt is sent to, by its stable id.
+    /// The stable id of the endpoint that the attempt is sent to.
     pub endpoint: u64,
-    /// The request class.
+    /// The index of the request class in the settings.
     pub class: u16,
-    /// Whether the attempt is answered from a fresh copy or not at all.
+    /// Whether the attempt may be answered only from a fresh copy.
     pub cache_only: bool,
-    /// Whether the origin may be asked for a fill.
+    /// Whether the attempt may cause a fill from the origin.
     pub may_fill_from_origin: bool,
     /// Whether an earlier attempt of the request failed.
     pub is_retry: bool,
 }
 
-/// What the routing engine acts through. Every call takes effect at once, in the order made.
+/// The methods that the routing engine calls to carry out its decisions.
+///
+/// Every call takes effect immediately, in the order in which the engine makes the calls.
 pub trait Host {
-    /// Sends an attempt to an endpoint that answers from its own fresh copy only, or that runs the request
+    /// Sends an attempt to an endpoint that answers only from its own fresh copy, or that runs the request
     /// itself.
     fn send_cache_only(&mut self, slot: RequestSlot, endpoint: EndpointId, timeout: Span);
     /// Sends an attempt to an endpoint that may fill a miss.
@@ -215,30 +220,34 @@
         timeout: Span,
         directives: FillDirectives,
     );
-    /// Cancels the request's attempt of this index, counted from 0; its end is still reported to the engine.
+    /// Cancels the request's attempt with this index, counted from 0. The end of the attempt is still
+    /// reported to the engine.
     fn cancel(&mut self, slot: RequestSlot, index: u16);
-    /// Gives the final answer that the client may safely send the request again, best after `retry_after`.
+    /// Gives the final answer "rejected": the client may safely send the request again, preferably after
+    /// `retry_after`.
     fn reject(&mut self, slot: RequestSlot, retry_after: Option<Span>);
-    /// Gives the final answer that the request failed; whether it ran is not known.
+    /// Gives the final answer "failed": it is not known whether the request ran.
     fn fail(&mut self, slot: RequestSlot);
-    /// Sets the engine's one timer: [`timer_fired`](crate::engine::RoutingEngine::timer_fired) is due after
-    /// this time.
+    /// Sets the engine's only timer: [`timer_fired`](crate::engine::RoutingEngine::timer_fired) must be
+    /// called after `wait`.
     fn set_timer(&mut self, wait: Span);
     /// Subscribes to the endpoint list and its changes.
     fn watch_endpoints(&mut self);
 
-    /// Whether the shared quotas afford a fill by the origin now; always true where nothing is shared.
+    /// Returns whether the shared quotas currently allow a fill from the origin. Always true if the routers
+    /// share no quotas.
     fn can_afford_fill(&self, _class: u16) -> bool {
         true
     }
 
-    /// Charges the shared quotas for the next attempt of a request, which is sent only if this returns true.
+    /// Charges the shared quotas for the next attempt of a request. The attempt is sent only if this returns
+    /// true.
     fn charge_quota(&mut self, _slot: RequestSlot, _charge: QuotaCharge) -> bool {
         true
     }
 
-    /// This router's share of a warming cache's or parent's capacity; none where it is not divided by the
-    /// fleet.
+    /// Returns the fraction of a warming cache's or parent's capacity that this router may use; `None` if the
+    /// fleet does not divide that capacity among its routers.
     fn slow_start_share(&self, _stable_id: u64, _is_parent: bool) -> Option<f64> {
         None
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,8 @@
-//! tindoor decides where objects are served, kept and filled from.
+//! The decision engine of tindoor, a router that decides where cached objects are served, kept and filled
+//! from.
 //!
-//! [`engine::RoutingEngine`] holds every decision; [`host::Host`] is what it acts through.
+//! [`engine::RoutingEngine`] makes all decisions and carries them out by calling methods of a
+//! [`host::Host`], which the caller implements.
 //!
 //! ```
 //! use tindoor::{engine::RoutingEngine, host::*, settings::*, time::*};
@@ -12,7 +14,7 @@
 //!     fn send_with_fill(
 //!         &mut self, request: RequestSlot, endpoint: EndpointId, _: Span, fill: FillDirectives,
 //!     ) {
-//!         println!("{request:?} to {endpoint:?}, a miss from {:?}", fill.source)
+//!         println!("{request:?} to {endpoint:?}, filling a miss from {:?}", fill.source)
 //!     }
 //!     fn cancel(&mut self, _: RequestSlot, _: u16) {}
 //!     fn reject(&mut self, request: RequestSlot, _: Option<Span>) { println!("{request:?} rejected") }
@@ -28,7 +30,7 @@
 //! let (object, part, group, class) = (5, 0, 0, 0);
 //! let meta =
 //!     RequestMeta { object, part, group, class, size_kb, client_retry, first_ran, authorization };
-//! engine.request_received(RequestSlot(0), meta, Span::millis(900)); // no endpoint is listed: rejected
+//! engine.request_received(RequestSlot(0), meta, Span::millis(900)); // rejected: no endpoint listed
 //! ```
 
 pub mod engine;
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,59 +1,59 @@
-//! Points in time and lengths of time, with the resolution of a microsecond.
+//! Points in time and durations, with microsecond resolution.
 //!
 //! Arithmetic saturates: a span is never negative, and no moment lies before the clock's origin.
 
 use std::ops::{Add, Mul, Sub};
 
-/// A point on the caller's monotonic clock.
+/// A point in time on the caller's monotonic clock, in microseconds after the clock's origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(u64);
 
-/// A length of time, never negative.
+/// A non-negative duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(u64);
 
 impl Moment {
-    /// The moment that many microseconds after the clock's origin.
+    /// Returns the moment `micros` microseconds after the clock's origin.
     pub const fn at_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// The microseconds since the clock's origin.
+    /// Returns the number of microseconds since the clock's origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time since `earlier`; zero if it lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is the later moment.
     pub const fn since(self, earlier: Self) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// The span of zero length.
     pub const ZERO: Self = Self(0);
 
-    /// A span of this many microseconds.
+    /// Returns a span of `micros` microseconds.
     pub const fn micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A span of this many milliseconds.
+    /// Returns a span of `millis` milliseconds.
     pub const fn millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// A span of this many seconds; a negative number or NaN gives zero.
+    /// Returns a span of `secs` seconds; a negative number or NaN gives zero.
     pub fn secs(secs: f64) -> Self {
         Self((secs * 1e6) as u64)
     }
 
-    /// The span in microseconds.
+    /// Returns the span in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -89,7 +89,7 @@
 
 impl Mul<f64> for Span {
     type Output = Span;
-    fn mul(self, times: f64) -> Span {
-        Span((self.0 as f64 * times) as u64)
+    fn mul(self, factor: f64) -> Span {
+        Span((self.0 as f64 * factor) as u64)
     }
 }
