--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -1,4 +1,12 @@
-//! Attempts: the one place that sends, where the five rules of the service are kept.
+//! Sending of attempts. Every attempt passes through this module, which enforces the five rules of the
+//! service:
+//!
+//! 1. No attempt is sent for a request that has its final answer or too little time left for an answer.
+//! 2. A request that may have run is sent again only where a second run does no harm, and has only one
+//!    attempt in flight unless hedged requests are permitted.
+//! 3. Draining and removed endpoints get no new attempts.
+//! 4. Warming endpoints are not overloaded.
+//! 5. Copies from before a purge are not served.
 
 use crate::host::{AttemptStatus, EndpointId, FillDirectives, Host, QuotaCharge, RequestSlot};
 use crate::settings::{Idempotency, RetryScope};
@@ -10,18 +18,18 @@
 use super::routing::CONGESTED;
 use super::slow_start::AttemptId;
 
-/// The least time that must remain for an attempt to be worth making.
+/// The minimum time before the deadline at which an attempt is still sent.
 pub(super) const MIN_TIME_REMAINING: Span = Span::millis(10);
-/// Time by which an attempt must precede the end of the retry window, for it to arrive within.
+/// How long before the end of the retry window an attempt must be sent, so that it arrives within the window.
 const RETRY_WINDOW_MARGIN: Span = Span::millis(20);
-/// The least age limit after a purge, as an age of zero would mean any age.
+/// The minimum age limit after a purge; a limit of zero would mean any age.
 const MIN_MAX_AGE: Span = Span::micros(1);
 
-/// Where an attempt is sent, and how a miss is treated.
+/// The endpoint, source and fill mode of an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptPlan {
     pub(super) endpoint: EndpointId,
-    /// The source of a fill; none where the endpoint fills nothing.
+    /// The source of a fill; `None` if the endpoint fills no misses.
     pub(super) source: Option<EndpointId>,
     pub(super) fill_mode: FillMode,
 }
@@ -32,15 +40,17 @@
     }
 }
 
-/// What copies an attempt may be answered from.
+/// The copies from which an attempt may be answered.
 struct Freshness {
+    /// The maximum age of a copy; `None` for the request class's own freshness lifetime.
     max_age: Option<Span>,
+    /// Whether an ageing copy is refreshed while it is served.
     refresh: bool,
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// Sends an attempt of a request if all rules permit it, else gives the request up. Every send passes
-    /// here.
+    /// Sends an attempt of a request if all rules permit it; otherwise gives the request up. Every attempt is
+    /// sent by this method.
     pub(super) fn send(&mut self, slot: RequestSlot, plan: AttemptPlan) {
         let Some(request) = self.requests.get(slot).filter(|request| rule_1_is_unanswered(request)) else {
             return;
@@ -78,7 +88,7 @@
         self.schedule_request(self.now + silence_timeout, slot);
     }
 
-    /// Whether the rules and the limit on attempts permit an attempt.
+    /// Returns whether the rules and the maximum number of attempts permit an attempt.
     fn permits(&self, request: &Request, plan: AttemptPlan) -> bool {
         self.rule_1_leaves_time(request)
             && request.attempts.len() < self.settings.attempts.max_attempts()
@@ -88,7 +98,7 @@
             && self.rule_4_permits_load(request, plan)
     }
 
-    /// Rule 1: an answer in time is still possible.
+    /// Rule 1: enough time remains for an answer before the deadline.
     fn rule_1_leaves_time(&self, request: &Request) -> bool {
         request.deadline.since(self.now) >= MIN_TIME_REMAINING
     }
@@ -119,7 +129,7 @@
         }
     }
 
-    /// Rule 2: one attempt in flight at a time, unless the deployment permits hedged requests.
+    /// Rule 2: a request has only one attempt in flight, unless the deployment permits hedged requests.
     fn rule_2_permits_concurrency(&self, request: &Request) -> bool {
         let is_idempotent = self.class(request.meta.class).idempotency == Idempotency::Idempotent;
         match request.in_flight().count() {
@@ -129,25 +139,26 @@
         }
     }
 
-    /// Rule 3: a draining or removed endpoint gets nothing new, neither as endpoint nor as source.
+    /// Rule 3: a draining or removed endpoint gets no new attempts, neither as endpoint nor as source.
     fn rule_3_permits_endpoints(&self, plan: AttemptPlan) -> bool {
         plan.endpoints().all(|id| self.endpoints[id].is_ready())
     }
 
-    /// Rule 4: a warming endpoint or source is not overloaded.
+    /// Rule 4: the attempt does not overload a warming endpoint or source.
     fn rule_4_permits_load(&self, request: &Request, plan: AttemptPlan) -> bool {
         let work = self.mean_work(request.meta.class);
         plan.endpoints().all(|id| self.can_absorb(&self.endpoints[id], work, request.admission_draw))
     }
 
-    /// Rule 5: the time since the newest purge that covers the request, if there was one.
+    /// Rule 5: the maximum age of a copy, which is the time since the newest purge that covers the request;
+    /// `None` if there was no such purge.
     fn rule_5_max_age(&self, request: &Request) -> Option<Span> {
         let purged_at = self.purges.newest_for(&request.meta)?;
         Some(self.now.since(purged_at).max(MIN_MAX_AGE))
     }
 
-    /// What copies may be served. Stale ones, which are worth less, only for retries and while fills are
-    /// congested.
+    /// Returns which copies may be served. Stale copies, which are worth less, are allowed only for retries
+    /// and while fills are congested.
     fn freshness(&self, request: &Request, plan: AttemptPlan, is_retry: bool) -> Freshness {
         let since_purge = self.rule_5_max_age(request);
         let class = self.class(request.meta.class);
@@ -181,7 +192,7 @@
         }
     }
 
-    /// Accounts for an attempt that was just sent.
+    /// Records an attempt that was just sent in the request, the endpoints and the load statistics.
     fn record_sent(&mut self, slot: RequestSlot, plan: AttemptPlan, class: u16, id: AttemptId) {
         let AttemptPlan { endpoint, source, fill_mode } = plan;
         self.charge_slow_start(endpoint, class, Some(id));
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint table, its tiers, and the rendezvous ranking of endpoints.
+//! The endpoint table, its tiers, and the ranking of endpoints by weighted rendezvous hashing.
 
 use std::collections::VecDeque;
 use std::ops::{Index, IndexMut, Range};
@@ -15,25 +15,25 @@
 use super::samples::Samples;
 use super::slow_start::SlowStartCharge;
 
-/// The pause after which a list that could not be fetched is asked for again, in seconds.
+/// The range from which the delay before a failed fetch of the endpoint list is retried is drawn, in seconds.
 const LIST_RETRY_SECS: Range<f64> = 0.5..1.5;
-/// How many outcomes an outcome window holds.
+/// The number of outcomes in an outcome window.
 const OUTCOME_WINDOW: usize = 16;
-/// How many gaps between responses are kept for each endpoint.
+/// The number of gaps between responses that are kept for each endpoint.
 const GAP_WINDOW: usize = 16;
-/// The least capacity that is counted, which keeps divisors above 0.
+/// The minimum capacity used in calculations, which keeps divisors above 0.
 const MIN_CAPACITY: f64 = 1e-3;
 
-/// What an endpoint is to this router.
+/// The role of an endpoint from the point of view of this router.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Tier {
     /// A cache of the router's own location.
     Cache,
-    /// A parent of caches in any location.
+    /// A parent, which fills caches in any location.
     Parent,
     /// The origin.
     Origin,
-    /// A cache of another location, which gets nothing from this router.
+    /// A cache of another location, to which this router sends no requests.
     Remote,
 }
 
@@ -48,24 +48,24 @@
     }
 }
 
-/// A cache, a parent or the origin, as this router knows it.
+/// This router's state for one cache, parent or origin.
 pub(super) struct Endpoint {
-    /// Its newest entry in the endpoint list.
+    /// The newest entry for the endpoint in the endpoint list.
     pub(super) entry: EndpointUpdate,
     pub(super) tier: Tier,
-    /// Outcome window: whether its last attempts succeeded.
+    /// The outcome window: for each of the most recent attempts, whether it succeeded.
     pub(super) outcomes: Samples<bool, OUTCOME_WINDOW>,
     pub(super) loads: LoadSamples,
-    /// Attempts of this router in flight there.
+    /// The number of attempts of this router in flight at the endpoint.
     pub(super) in_flight: u32,
-    /// When it last answered, or last was sent an attempt with none in flight.
+    /// When the endpoint last answered, or was last sent an attempt while it had none in flight.
     pub(super) last_active: Moment,
-    /// Times between its answers while attempts were in flight.
+    /// The times between answers of the endpoint while attempts were in flight.
     pub(super) response_gaps: Samples<Span, GAP_WINDOW>,
-    /// Set while it is ejected; trial requests are sent to it after that moment.
+    /// The moment after which trial requests are sent to the ejected endpoint; `None` if it is not ejected.
     pub(super) ejected_until: Option<Moment>,
     pub(super) ejection_count: i32,
-    /// Work sent to it, or wanted of it, while it was warming up; oldest first.
+    /// The slow start charges of the endpoint while it warms up, oldest first.
     pub(super) slow_start_charges: VecDeque<SlowStartCharge>,
 }
 
@@ -97,7 +97,7 @@
         f64::from(self.entry.capacity)
     }
 
-    /// Whether an update is about the same process that was listed before, in the same role.
+    /// Returns whether an update refers to the process that was listed before, in the same tier.
     fn is_same_process(&self, update: &EndpointUpdate, tier: Tier) -> bool {
         self.entry.started_at == update.started_at
             && self.entry.stable_id == update.stable_id
@@ -105,7 +105,7 @@
     }
 }
 
-/// All endpoints ever listed, by their ids.
+/// All endpoints that were ever listed, indexed by id.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     endpoints: Vec<Endpoint>,
@@ -138,7 +138,7 @@
             return;
         };
         if update.state == EndpointState::Removed {
-            // Its capacity and tier still tell how the load was divided.
+            // The capacity and tier are kept: they still show how the load was divided among endpoints.
             known.entry.state = update.state;
         } else if known.is_same_process(update, tier) {
             known.entry = *update;
@@ -162,18 +162,18 @@
         self.tier(tier).filter(|endpoint| endpoint.is_ready())
     }
 
-    /// The capacity of a tier's ready endpoints.
+    /// Returns the total capacity of a tier's ready endpoints.
     pub(super) fn ready_capacity(&self, tier: Tier) -> f64 {
         self.ready(tier).map(Endpoint::capacity).sum::<f64>().max(MIN_CAPACITY)
     }
 
-    /// The capacity of a tier's endpoints that are ready or have been active since that moment.
+    /// Returns the total capacity of a tier's endpoints that are ready or have been active since `since`.
     pub(super) fn capacity_active_since(&self, tier: Tier, since: Moment) -> f64 {
         let counted = |endpoint: &&Endpoint| endpoint.is_ready() || endpoint.last_active >= since;
         self.tier(tier).filter(counted).map(Endpoint::capacity).sum::<f64>().max(MIN_CAPACITY)
     }
 
-    /// A tier's ready endpoints in the order of weighted rendezvous hashing, best first.
+    /// Returns a tier's ready endpoints in the order of weighted rendezvous hashing, best first.
     pub(super) fn rank(&self, hash: u64, tier: Tier) -> Vec<EndpointId> {
         let score = |endpoint: &Endpoint| {
             -unit_interval(mix(endpoint.entry.stable_id, hash)).ln()
@@ -186,14 +186,14 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// The endpoint list changed, or could not be fetched.
+    /// Handles an update of the endpoint list, or a failure to fetch the list.
     pub fn endpoints_changed(&mut self, kind: ListUpdateKind, updates: &[EndpointUpdate]) {
         match kind {
             ListUpdateKind::Failed => {
-                let pause = Span::secs(self.rng.random_range(LIST_RETRY_SECS));
-                self.schedule_list_request(pause);
+                let delay = Span::secs(self.rng.random_range(LIST_RETRY_SECS));
+                self.schedule_list_request(delay);
             }
-            // What the list still names is set below.
+            // Endpoints that are still in the list are updated below.
             ListUpdateKind::Full => self.endpoints.mark_all_removed(),
             ListUpdateKind::Delta => {}
         }
--- a/src/engine/load.rs
+++ b/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load samples, service time, and the estimate of fills in flight.
+//! Load statistics: load samples, service times, and the estimated number of fills in flight.
 
 use crate::host::{Host, RequestMeta};
 use crate::time::{Moment, Span};
@@ -7,31 +7,32 @@
 use super::requests::FillMode;
 use super::samples::Samples;
 
-/// How many hits or fills a window of load samples holds.
+/// The number of hits or fills in a window of load samples.
 pub(super) const LOAD_WINDOW: usize = 40;
-/// How many service times are kept for each request class.
+/// The number of service times kept for each request class.
 const SERVICE_TIME_WINDOW: usize = 64;
-/// How many responses are kept.
+/// The number of responses kept.
 const RESPONSE_WINDOW: usize = 64;
-/// Load samples count for this many times the longest deadline, ever less.
+/// The age at which load samples no longer have any weight, as a multiple of the longest deadline.
 const SAMPLE_LIFETIME_DEADLINES: f64 = 2.0;
-/// Service times needed before their mean is used.
+/// The minimum number of service times of which the mean is used.
 const MIN_SERVICE_TIMES: usize = 4;
-/// The least response time that hits count for in all, in seconds, which keeps the divisor above 0.
+/// The initial value of the sum of hit response times, in seconds, which keeps the divisor above 0.
 const MIN_HIT_SECS: f64 = 0.001;
 
 /// The most recent load samples of an endpoint or a path.
 pub(super) type LoadSamples = Samples<LoadSample, LOAD_WINDOW>;
 
-/// A completed hit or fill as a measure of load.
+/// A completed hit or fill, which serves as a measure of load.
 #[derive(Clone, Copy)]
 pub(super) struct LoadSample {
     pub(super) at: Moment,
-    /// How many like it were in flight when it was sent, itself included.
+    /// The number of attempts at the endpoint, or of fills of the path, that were in flight when the attempt
+    /// was sent, including itself.
     pub(super) in_flight: f64,
-    /// Its service time, in seconds.
+    /// The service time of the request, in seconds.
     pub(super) work: f64,
-    /// Its latency objective, in seconds.
+    /// The latency objective of the request, in seconds.
     pub(super) objective: f64,
     pub(super) took: Span,
 }
@@ -39,7 +40,7 @@
 /// Where a fill comes from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum FillPath {
-    /// From a copy that the source holds.
+    /// From a copy held by the source.
     Source,
     /// From the origin, through the source if there is one.
     Origin,
@@ -53,14 +54,14 @@
     Fill(FillPath),
 }
 
-/// A response to an attempt that fills misses.
+/// A response to an attempt with [`FillMode::OnMiss`].
 #[derive(Clone, Copy)]
 pub(super) struct ResponseSample {
     pub(super) path: ResponsePath,
     pub(super) took: Span,
 }
 
-/// Numbers of fills by their path.
+/// The number of fills of each path.
 #[derive(Clone, Copy)]
 pub(super) struct FillCounts {
     from_source: f64,
@@ -76,7 +77,7 @@
     }
 }
 
-/// Attempts in flight by how they treat a miss.
+/// The number of attempts in flight of each fill mode.
 #[derive(Default)]
 pub(super) struct FillModeCounts {
     on_miss: f64,
@@ -96,24 +97,24 @@
     }
 }
 
-/// What this router has measured of its load.
+/// The load that this router has measured.
 #[derive(Default)]
 pub(super) struct LoadStatistics {
-    /// By request class, the times of hits at endpoints with little else in flight.
+    /// For each request class, the response times of hits at endpoints with few other attempts in flight.
     service_times: Vec<Samples<Span, SERVICE_TIME_WINDOW>>,
-    /// The last hits of all caches.
+    /// The most recent hits of all endpoints.
     pub(super) hits: LoadSamples,
     source_fills: LoadSamples,
     origin_fills: LoadSamples,
-    /// The last responses to attempts that fill misses as they occur.
+    /// The most recent responses to attempts with [`FillMode::OnMiss`].
     pub(super) responses: Samples<ResponseSample, RESPONSE_WINDOW>,
     pub(super) in_flight: FillModeCounts,
-    /// How long load samples count, ever less.
+    /// The age at which load samples no longer have any weight; until then the weight declines linearly.
     pub(super) sample_lifetime: Span,
 }
 
 impl LoadStatistics {
-    /// Prepares for that many request classes with that longest deadline.
+    /// Applies the number of request classes and their longest deadline.
     pub(super) fn configure(&mut self, class_count: usize, longest_deadline: Span) {
         self.sample_lifetime = longest_deadline * SAMPLE_LIFETIME_DEADLINES;
         self.service_times.resize_with(class_count, Samples::default);
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Fills in flight by estimate. Attempts that fill misses as they occur count by the share of their time
-    /// that recently went to fills.
+    /// Returns the estimated number of fills of a path in flight. An attempt with [`FillMode::OnMiss`] is
+    /// counted with the share of recent response time that was spent on fills of that path.
     pub(super) fn fills_in_flight(&self, path: FillPath) -> f64 {
         let (mut hit_secs, mut source_secs, mut origin_secs) = (MIN_HIT_SECS, 0.0, 0.0);
         for response in self.responses.iter() {
@@ -170,7 +171,8 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// The service time of a request in seconds: by its size where that is known, else by its request class.
+    /// Returns the service time of a request in seconds, computed from its size if that is known, otherwise
+    /// the mean of its request class.
     pub(super) fn work(&self, meta: &RequestMeta) -> f64 {
         let client_kb_per_s = self.settings.topology.client_kb_per_s;
         meta.size_kb
@@ -179,10 +181,11 @@
             .unwrap_or_else(|| self.mean_work(meta.class))
     }
 
-    /// The mean service time of a request class in seconds.
+    /// Returns the mean service time of a request class in seconds.
     ///
-    /// It is never above the latency objective, which also stands in for it until there are samples: under
-    /// load from the start no sample shows the service time alone.
+    /// The mean is capped at the latency objective, which is also used until there are enough samples. If
+    /// there is load from the start, response times include queueing, and no sample shows the service time
+    /// alone.
     pub(super) fn mean_work(&self, class: u16) -> f64 {
         let service_times = &self.load.service_times[usize::from(class)];
         let objective = self.class(class).latency_objective.as_secs();
@@ -193,7 +196,7 @@
         (total / service_times.len() as f64).min(objective)
     }
 
-    /// The latency objective of a request of that service time, in seconds.
+    /// Returns the latency objective, in seconds, of a request with a service time of `work` seconds.
     pub(super) fn objective(&self, class: u16, work: f64) -> f64 {
         self.class(class).objective_for(work)
     }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,11 +1,11 @@
-//! The routing engine: all decisions about where a request is sent, where a miss is filled from, and when a
-//! request is given up.
+//! The routing engine: decides where a request is sent, where a miss is filled from, and when a request is
+//! given up.
 //!
-//! A caller builds one [`RoutingEngine`] with a [`Host`], the settings of its deployment, a seed and the
-//! time. When something happens it sets the time with [`set_time`](RoutingEngine::set_time) and calls the
-//! method named for the event, like [`request_received`](RoutingEngine::request_received). The engine acts by
-//! calling its host; trait and types are in [`crate::host`]. It does no I/O and reads no clock: the same
-//! calls give the same decisions.
+//! A caller builds one [`RoutingEngine`] from a [`Host`], the settings of its deployment, a seed and the
+//! current time. For each event, the caller sets the time with [`set_time`](RoutingEngine::set_time) and
+//! calls the method named after the event, such as [`request_received`](RoutingEngine::request_received).
+//! The engine acts by calling its host; the trait and its types are in [`crate::host`]. The engine does no
+//! I/O and reads no clock, so the same sequence of calls gives the same decisions.
 
 mod attempts;
 mod congestion;
@@ -40,8 +40,8 @@
 use slow_start::Throughput;
 use timers::Timers;
 
-/// How many attempts of all requests tell the share of retries.
-const RECENT_ATTEMPTS: usize = 64;
+/// The number of most recent attempts, of all requests, among which retries are counted.
+const RECENT_ATTEMPT_WINDOW: usize = 64;
 
 /// Makes the decisions of one router.
 pub struct RoutingEngine<H: Host> {
@@ -53,14 +53,14 @@
     requests: RequestTable,
     load: LoadStatistics,
     throughput: Throughput,
-    /// Of the last attempts of all requests, whether they were retries.
-    recent_attempts: Samples<bool, RECENT_ATTEMPTS>,
+    /// For each of the most recent attempts of all requests, whether it was a retry.
+    recent_attempts: Samples<bool, RECENT_ATTEMPT_WINDOW>,
     purges: Purges,
     timers: Timers,
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// An engine that knows its settings and no endpoint yet.
+    /// Returns an engine with these settings and an empty endpoint list.
     pub fn start(host: H, settings: Settings, seed: u64, now: Moment) -> Self {
         let mut engine = Self {
             host,
@@ -82,18 +82,19 @@
         engine
     }
 
-    /// Applies these settings to requests that are received from now on.
+    /// Applies new settings. Requests in flight keep their settings unless
+    /// [`follows_new_settings`](crate::settings::AttemptSettings::follows_new_settings) is set.
     pub fn apply_settings(&mut self, settings: Settings) {
         self.load.configure(settings.classes.len(), settings.longest_deadline());
         self.settings = Arc::new(settings);
     }
 
-    /// The host that the engine acts through.
+    /// Returns the host that the engine calls.
     pub fn host(&mut self) -> &mut H {
         &mut self.host
     }
 
-    /// Sets the time of all events that follow.
+    /// Sets the current time, which applies to all following events.
     pub fn set_time(&mut self, now: Moment) {
         self.now = now;
     }
--- a/src/engine/purges.rs
+++ b/src/engine/purges.rs
@@ -1,4 +1,4 @@
-//! Purges of objects and groups, which bound the age of copies that may be served (rule 5).
+//! Purges of objects and groups, which limit the age of copies that may be served (rule 5).
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 
 use super::RoutingEngine;
 
-/// What a purge removes the copies of.
+/// The object or group whose copies a purge removes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum PurgeScope {
     Object(u64),
@@ -30,7 +30,8 @@
         self.newest.entry(scope).and_modify(|newest| *newest = at.max(*newest)).or_insert(at);
     }
 
-    /// Removes purges from before which no copy can be left, at most once per `retention`.
+    /// Removes purges older than `retention`, after which no copy from before the purge can be left. Does so
+    /// at most once per `retention`.
     fn remove_expired(&mut self, now: Moment, retention: Span) {
         if now.since(self.cleaned_at) > retention {
             self.newest.retain(|_, at| now.since(*at) <= retention);
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The newest purge of a request's object or group.
+    /// Returns the time of the newest purge of a request's object or group.
     pub(super) fn newest_for(&self, meta: &RequestMeta) -> Option<Moment> {
         let scopes = [PurgeScope::Object(meta.object), PurgeScope::Group(meta.group)];
         scopes.iter().filter_map(|scope| self.newest.get(scope)).max().copied()
@@ -46,7 +47,8 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// An object or, without one, a whole group was purged this long ago.
+    /// Handles the purge of an object or, if `object` is `None`, of a whole group. `ago` is the time since
+    /// the purge.
     pub fn purged(&mut self, object: Option<u64>, group: u32, ago: Span) {
         let scope = object.map_or(PurgeScope::Group(group), PurgeScope::Object);
         self.purges.record(scope, self.now - ago);
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -13,10 +13,10 @@
 use super::RoutingEngine;
 use super::load::FillCounts;
 
-/// Time kept back from the client's deadline for the answer to reach it.
+/// The time before the client's deadline that is reserved for the answer to reach the client.
 const ANSWER_MARGIN: Span = Span::millis(6);
 
-/// An error of which the endpoint reported no cause: either the endpoint or the request is at fault.
+/// An error for which the endpoint reported no cause: either the endpoint or the request may be at fault.
 pub(super) const UNEXPLAINED_ERROR: Outcome = Outcome::new(AttemptStatus::Error, OutcomeDetail::Unknown);
 
 /// How an attempt treats a miss.
@@ -24,11 +24,11 @@
 pub(super) enum FillMode {
     /// A miss is filled.
     OnMiss,
-    /// Nothing is filled: only a fresh copy is served.
+    /// A miss is not filled: only a fresh copy is served.
     CacheOnly,
-    /// A miss is filled only from a copy that the source holds.
+    /// A miss is filled only from a copy held by the source.
     OnlyIfCached,
-    /// A miss, which an earlier attempt found, is filled.
+    /// A miss is filled; an earlier attempt of the request has already found the miss.
     KnownMiss,
 }
 
@@ -38,17 +38,18 @@
     pub(super) endpoint: EndpointId,
     pub(super) source: Option<EndpointId>,
     pub(super) sent_at: Moment,
-    /// Attempts of this router in flight at the endpoint then, this one included.
+    /// The number of attempts of this router in flight at the endpoint when this attempt was sent, including
+    /// this attempt.
     pub(super) endpoint_in_flight: f64,
     pub(super) fill_mode: FillMode,
-    /// Estimated fills in flight then.
+    /// The estimated numbers of fills in flight when this attempt was sent.
     pub(super) fills_in_flight: FillCounts,
     pub(super) cancelled: bool,
     pub(super) outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Whether a miss is filled by all means.
+    /// Returns whether a miss is filled even if the source holds no copy.
     pub(super) fn fills_misses(&self) -> bool {
         matches!(self.fill_mode, FillMode::OnMiss | FillMode::KnownMiss)
     }
@@ -61,14 +62,14 @@
         self.outcome.is_some_and(|outcome| outcome.status == status)
     }
 
-    /// Whether it is known that the request did not run. It may run while the attempt is in flight.
+    /// Returns whether the attempt is known not to have run the request. An attempt in flight may run it.
     fn did_not_run(&self) -> bool {
         use AttemptStatus::{Miss, Overloaded, Superseded, Unreachable};
         self.outcome
             .is_some_and(|outcome| matches!(outcome.status, Overloaded | Unreachable | Superseded | Miss))
     }
 
-    /// Whether the fill failed at the attempt's source.
+    /// Returns whether the fill failed at the attempt's source.
     fn source_failed(&self) -> bool {
         use OutcomeDetail::{OriginFailed, SourceMiss, SourceOverloaded, SourceUnreachable};
         self.outcome.is_some_and(|outcome| {
@@ -77,33 +78,33 @@
     }
 }
 
-/// Where and when a request first may have run.
+/// Where and when a request may first have run.
 #[derive(Clone, Copy)]
 pub(super) struct FirstRun {
     pub(super) at: Moment,
     pub(super) endpoint: EndpointId,
 }
 
-/// Identifies a request over the life of the engine; slots are used again. Counted from 1.
+/// Identifies a request over the lifetime of the engine, unlike its slot, which is reused. Counted from 1.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RequestId(u64);
 
 /// A request in flight.
 pub(super) struct Request {
-    /// The settings under which it was received.
+    /// The settings under which the request was received.
     pub(super) settings: Arc<Settings>,
     pub(super) id: RequestId,
-    /// Decides whether the request is admitted where only some are; drawn at random.
+    /// A random number that decides whether the request is admitted when only some requests are.
     pub(super) admission_draw: u64,
     pub(super) meta: RequestMeta,
     pub(super) deadline: Moment,
     pub(super) attempts: Vec<Attempt>,
-    /// It has its final answer, or its response has begun: nothing more is sent for it.
+    /// Whether the request has its final answer or its response has begun; if so, no further attempt is sent.
     pub(super) finished: bool,
 }
 
 impl Request {
-    /// When and where the request first may have run.
+    /// Returns when and where the request may first have run; `None` if it is known not to have run.
     pub(super) fn first_run(&self) -> Option<FirstRun> {
         let earlier = self.meta.first_ran.map(|(at, endpoint)| FirstRun { at, endpoint });
         earlier.or_else(|| {
@@ -112,31 +113,31 @@
         })
     }
 
-    /// Attempts in flight, with their indices.
+    /// Iterates over the attempts in flight, with their indices.
     pub(super) fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_in_flight())
     }
 
-    /// Attempts that ended in an error without a reported cause.
+    /// Iterates over the attempts that ended in an error without a reported cause.
     pub(super) fn unexplained_errors(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.outcome == Some(UNEXPLAINED_ERROR))
     }
 
-    /// Whether an attempt was sent to that endpoint in vain, and not through the fault of a source.
+    /// Returns whether an attempt at this endpoint failed for a reason other than a failure of the source.
     pub(super) fn failed_at_endpoint(&self, endpoint: EndpointId) -> bool {
-        let through_source = |attempt: &Attempt| attempt.source.is_some_and(|id| self.failed_at_source(id));
+        let by_source = |attempt: &Attempt| attempt.source.is_some_and(|id| self.failed_at_source(id));
         self.attempts
             .iter()
-            .any(|attempt| attempt.endpoint == endpoint && attempt.fills_misses() && !through_source(attempt))
+            .any(|attempt| attempt.endpoint == endpoint && attempt.fills_misses() && !by_source(attempt))
     }
 
-    /// Whether a fill of this request failed at that source.
+    /// Returns whether a fill of this request failed at this source.
     pub(super) fn failed_at_source(&self, source: EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.source == Some(source) && attempt.source_failed())
     }
 }
 
-/// Requests in flight by their slots.
+/// The requests in flight, indexed by slot.
 #[derive(Default)]
 pub(super) struct RequestTable {
     slots: Vec<Option<Request>>,
@@ -169,7 +170,7 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// A request was received whose client waits this long for its answer.
+    /// Handles a new request whose client waits for the answer for `time_remaining`.
     pub fn request_received(&mut self, slot: RequestSlot, meta: RequestMeta, time_remaining: Span) {
         if !self.load.has_class(meta.class) {
             return self.host.fail(slot);
@@ -192,7 +193,7 @@
         self.authorize(slot, meta.authorization);
     }
 
-    /// Routes a request that is authorized; answers any other without sending it.
+    /// Routes an authorized request, or rejects or fails an unauthorized request without sending it.
     fn authorize(&mut self, slot: RequestSlot, authorization: Authorization) {
         match authorization {
             Authorization::Granted => return self.route(slot),
@@ -206,14 +207,15 @@
         self.request_abandoned(slot);
     }
 
-    /// The response of a request is being streamed to the client: no other attempt may take its place.
+    /// Handles the start of streaming a response to the client: no further attempt of the request is sent.
     pub fn streaming_started(&mut self, slot: RequestSlot) {
         if let Some(request) = self.requests.get_mut(slot) {
             request.finished = true;
         }
     }
 
-    /// Nobody waits for this request any more: it has its final answer, or its client has gone.
+    /// Handles a request that no client waits for any more, because it has its final answer or its client has
+    /// disconnected.
     pub fn request_abandoned(&mut self, slot: RequestSlot) {
         let Some(request) = self.requests.get_mut(slot) else { return };
         request.finished = true;
@@ -222,7 +224,8 @@
         }
     }
 
-    /// Runs `action` under the settings with which that request was received.
+    /// Runs `action` with the settings under which this request was received, or with the newest settings if
+    /// requests follow new settings.
     pub(super) fn with_settings_of(&mut self, slot: RequestSlot, action: impl FnOnce(&mut Self)) {
         let newest = Arc::clone(&self.settings);
         let pinned = self.requests.get(slot).filter(|_| !self.settings.attempts.follows_new_settings);
--- a/src/engine/samples.rs
+++ b/src/engine/samples.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-/// The last `SIZE` samples, oldest first.
+/// The most recent `SIZE` samples, oldest first.
 pub(super) struct Samples<T, const SIZE: usize>(VecDeque<T>);
 
 impl<T, const SIZE: usize> Default for Samples<T, SIZE> {
@@ -12,7 +12,7 @@
 }
 
 impl<T: Copy, const SIZE: usize> Samples<T, SIZE> {
-    /// Adds a sample; the oldest one leaves a full window.
+    /// Adds a sample; if the window is full, the oldest sample is removed first.
     pub(super) fn add(&mut self, sample: T) {
         if self.0.len() == SIZE {
             self.0.pop_front();
@@ -36,12 +36,13 @@
         self.0.back()
     }
 
-    /// All samples, oldest first.
+    /// Iterates over all samples, oldest first.
     pub(super) fn iter(&self) -> impl DoubleEndedIterator<Item = &T> {
         self.0.iter()
     }
 
-    /// The quantile of the samples' keys, with `fraction` from 0 up to, but not including, 1.
+    /// Returns the quantile of the samples' keys; `None` if there are no samples. `fraction` is at least 0
+    /// and less than 1.
     pub(super) fn quantile<K: Copy + PartialOrd>(&self, fraction: f64, key: impl Fn(&T) -> K) -> Option<K> {
         let mut sorted: Vec<K> = self.0.iter().map(key).collect();
         sorted.sort_by(|a, b| a.partial_cmp(b).expect("samples are numbers"));
--- a/src/engine/slow_start.rs
+++ b/src/engine/slow_start.rs
@@ -1,7 +1,8 @@
-//! Slow start: how much work is sent to endpoints that warm up after a start (rule 4).
+//! Slow start: limits the work that is sent to endpoints while they warm up after a start (rule 4).
 //!
-//! All routers together must not overload a warming endpoint, so each keeps to its share of what the endpoint
-//! surely can take. Objects come back to a restarted endpoint one by one, the same ones at every router.
+//! All routers together must not overload a warming endpoint. Each router therefore uses only its share of
+//! the capacity that the endpoint is certain to have. Objects return to a restarted endpoint gradually, in
+//! the same order at every router.
 
 use crate::host::{EndpointId, Host};
 use crate::settings::Ramp;
@@ -15,33 +16,34 @@
 
 /// The shortest ramp, in seconds, which keeps divisors above 0.
 const MIN_RAMP_SECS: f64 = 0.001;
-/// The ramp duration assumed of caches where none is set.
+/// The ramp duration of caches if the settings contain none.
 const DEFAULT_RAMP_DURATION: Span = Span::millis(15_000);
-/// Removed endpoints still count for the division of work this many ramp durations after they were active.
+/// The time after its last activity during which a removed endpoint is still included when work is divided
+/// among endpoints, in ramp durations.
 const ACTIVE_WITHIN_RAMPS: f64 = 2.0;
-/// Samples needed before a rate of work is computed.
+/// The minimum number of samples from which a rate of work is computed.
 const MIN_RATE_SAMPLES: usize = 12;
-/// The shortest time over which a rate of work is computed, in seconds.
+/// The minimum time over which a rate of work is computed, in seconds.
 const MIN_RATE_SECS: f64 = 0.5;
-/// How many arrivals are kept.
+/// The number of arrivals kept.
 const ARRIVAL_WINDOW: usize = 128;
-/// How many responses of warm caches are kept.
+/// The number of responses of warm caches kept.
 const RESPONSE_WINDOW: usize = 256;
-/// How many fills by warm parents are kept.
+/// The number of fills by warm parents kept.
 const FILL_WINDOW: usize = 128;
-/// The least capacity assumed of all parents, as a share of the work that arrives here.
+/// The minimum capacity assumed for all parents together, as a share of the work that arrives at this router.
 const PARENT_SHARE_OF_ARRIVALS: f64 = 0.05;
-/// The least capacity assumed of all caches, as a share of the work that arrives here.
+/// The minimum capacity assumed for all caches together, as a share of the work that arrives at this router.
 const CACHE_SHARE_OF_ARRIVALS: f64 = 0.5;
-/// The share of a warming endpoint's budget that is used, as a margin for chance.
+/// The share of a warming endpoint's budget that is used; the rest is a margin for random fluctuation.
 const BUDGET_MARGIN: f64 = 0.7;
-/// Where the budget is less than one request, the share of it that is passed by random draw.
+/// The share of a budget of less than one request that is used by requests admitted by random draw.
 const DRAW_MARGIN: f64 = 0.7;
-/// Demand is averaged over this many slow start windows.
+/// The time over which demand is averaged, in slow start windows.
 const DEMAND_WINDOWS: f64 = 4.0;
-/// The demand of the last window alone counts for this share, as a burst shows there first.
+/// The minimum demand, as a share of the demand in the last window alone, which shows a burst first.
 const BURST_SHARE: f64 = 0.5;
-/// Requests in the first window where nothing is known of the demand.
+/// The number of requests assumed in the first window if the arrival rate is unknown.
 const ASSUMED_REQUESTS_PER_WINDOW: f64 = 4.0;
 
 /// Identifies an attempt over the life of the engine.
@@ -51,46 +53,47 @@
     pub(super) index: u16,
 }
 
-/// Work wanted of a warming endpoint.
+/// The work of one request that was sent to a warming endpoint, or that would have been sent there if the
+/// endpoint could absorb it.
 pub(super) struct SlowStartCharge {
     at: Moment,
     /// In seconds of service time.
     work: f64,
-    /// The attempt that brought it there; none where it was sent elsewhere instead, or took no work after
-    /// all.
+    /// The attempt that was sent to the endpoint; `None` if the request was not sent there, or if the attempt
+    /// turned out to need no work from the endpoint.
     sent: Option<AttemptId>,
 }
 
-/// When a request of which class arrived or was served.
+/// The time at which a request arrived or was served, and its request class.
 #[derive(Clone, Copy)]
 pub(super) struct ClassSample {
     at: Moment,
     class: u16,
 }
 
-/// The work that this router was lately asked for, and that warm endpoints did for it.
+/// The recent work that arrived at this router, and that warm endpoints did for this router.
 #[derive(Default)]
 pub(super) struct Throughput {
-    /// First attempts of clients.
+    /// Requests that arrived, without retries of clients.
     pub(super) arrivals: Samples<ClassSample, ARRIVAL_WINDOW>,
     /// Requests served by warm caches of the location.
     pub(super) cache_responses: Samples<ClassSample, RESPONSE_WINDOW>,
-    /// Fills given by warm parents.
+    /// Fills from warm parents.
     pub(super) parent_fills: Samples<ClassSample, FILL_WINDOW>,
 }
 
 impl Endpoint {
-    /// Work wanted of the endpoint within the last `span`.
+    /// Iterates over the charges of the last `span`.
     fn charges_within(&self, span: Span, now: Moment) -> impl Iterator<Item = &SlowStartCharge> {
         self.slow_start_charges.iter().filter(move |charge| now.since(charge.at) <= span)
     }
 
-    /// All the work wanted of the endpoint within the last `span`, sent or not.
+    /// Returns the work charged within the last `span`, whether sent or not, in seconds of service time.
     fn demand_within(&self, span: Span, now: Moment) -> f64 {
         self.charges_within(span, now).map(|charge| charge.work).sum::<f64>()
     }
 
-    /// Takes back what an attempt was charged that needed nothing from this endpoint.
+    /// Marks the charge of an attempt that needed no work from this endpoint as not sent.
     pub(super) fn refund(&mut self, attempt: AttemptId) {
         for charge in &mut self.slow_start_charges {
             if charge.sent == Some(attempt) {
@@ -101,7 +104,7 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// A sample of that request class, taken now.
+    /// Returns a sample of this request class at the current time.
     pub(super) fn class_sample(&self, class: u16) -> ClassSample {
         ClassSample { at: self.now, class }
     }
@@ -113,7 +116,7 @@
         }
     }
 
-    /// The share of its capacity that an endpoint surely has by now: 1 once it is warm.
+    /// Returns the share of its full capacity that an endpoint is certain to have by now; 1 once it is warm.
     pub(super) fn warm_share(&self, endpoint: &Endpoint) -> f64 {
         let started_at = endpoint.entry.started_at.filter(|_| endpoint.tier != Tier::Origin);
         let Some(started_at) = started_at else { return 1.0 };
@@ -128,7 +131,8 @@
         self.warm_share(&self.endpoints[id]) >= 1.0
     }
 
-    /// The work per second that the samples stand for; 0 where there are few.
+    /// Returns the work per second that the samples show, in seconds of service time; 0 if there are too few
+    /// samples.
     fn work_rate<const SIZE: usize>(&self, samples: &Samples<ClassSample, SIZE>) -> f64 {
         let ends = samples.first().zip(samples.last());
         let Some((first, last)) = ends.filter(|_| samples.len() >= MIN_RATE_SAMPLES) else { return 0.0 };
@@ -136,19 +140,20 @@
         work / last.at.since(first.at).as_secs().max(MIN_RATE_SECS)
     }
 
-    /// The share of its tier's capacity that an endpoint has. Endpoints that were lately active count too, as
-    /// one of several that are restarted together may be listed first.
+    /// Returns an endpoint's share of the capacity of its tier. That capacity includes recently active
+    /// endpoints: if several endpoints are restarted together, one of them may be listed first.
     fn tier_share(&self, endpoint: &Endpoint) -> f64 {
         let ramp_duration = self.settings.slow_start.caches.duration.unwrap_or(DEFAULT_RAMP_DURATION);
         let since = self.now - ramp_duration * ACTIVE_WITHIN_RAMPS;
         endpoint.capacity() / self.endpoints.capacity_active_since(endpoint.tier, since)
     }
 
-    /// The work per second that this router may send to an endpoint once it is warm.
+    /// Returns the work per second that this router may send to an endpoint once it is warm, in seconds of
+    /// service time.
     ///
-    /// Where capacities are known it is this router's share of the endpoint's; else it follows from what warm
-    /// endpoints did, and from first attempts for a router that has just started. Retries of clients do not
-    /// count, as they multiply after an outage.
+    /// If capacities are known, this is the router's share of the endpoint's capacity. Otherwise it is
+    /// estimated from the work that warm endpoints did and, for a router that has just started, from the
+    /// arrival rate. Retries of clients are not included in that rate, because they multiply after an outage.
     fn warm_capacity(&self, endpoint: &Endpoint, arrival_rate: f64, tier_share: f64) -> f64 {
         let topology = &self.settings.topology;
         let is_parent = endpoint.tier == Tier::Parent;
@@ -160,19 +165,19 @@
                 None => endpoint.capacity() / routers,
             };
         }
-        let (served, least) = if is_parent {
+        let (served_rate, min_rate) = if is_parent {
             (self.work_rate(&self.throughput.parent_fills), arrival_rate * PARENT_SHARE_OF_ARRIVALS)
         } else {
             (self.work_rate(&self.throughput.cache_responses), arrival_rate * CACHE_SHARE_OF_ARRIVALS)
         };
-        served.max(least) * tier_share
+        served_rate.max(min_rate) * tier_share
     }
 
-    /// Whether an endpoint can absorb this work without being overloaded (rule 4).
+    /// Returns whether an endpoint can take this work without being overloaded (rule 4).
     ///
-    /// A warming endpoint has a budget for each sliding window: what it surely has, times the multiple that
-    /// it takes, times the window. Where the budget is less than one request, requests pass by their
-    /// admission draw, at most one a window.
+    /// A warming endpoint has a budget for each sliding window: the capacity that it is certain to have,
+    /// times its overload multiple, times the length of the window. If the budget is less than one request,
+    /// requests are admitted by their admission draw, at most one per window.
     pub(super) fn can_absorb(&self, endpoint: &Endpoint, work: f64, admission_draw: u64) -> bool {
         let warm_share = self.warm_share(endpoint);
         if warm_share >= 1.0 {
@@ -195,22 +200,25 @@
         spent == 0.0 && draw * demand < budget * DRAW_MARGIN
     }
 
-    /// The work wanted of a warming endpoint in one window, this work included.
+    /// Returns the demand on a warming endpoint in one window, including this work, in seconds of service
+    /// time.
     ///
-    /// At first it is the endpoint's share of all requests, as routers that ejected the other endpoints send
-    /// it more than the objects of a warm one; then what was seen.
+    /// Right after the start it is the endpoint's share of all requests, because routers that have ejected
+    /// the other endpoints send more than the objects that a warm endpoint would get. Later it is the
+    /// observed demand.
     fn demand(&self, endpoint: &Endpoint, work: f64, expected_rate: Option<f64>) -> f64 {
         let window = self.settings.slow_start.window();
         let expected_rate =
             expected_rate.unwrap_or_else(|| ASSUMED_REQUESTS_PER_WINDOW * work / window.as_secs());
-        let up_for = self.now.since(endpoint.entry.started_at.unwrap_or_default());
-        let seen_for = up_for.min(window * DEMAND_WINDOWS);
-        let seen = endpoint.demand_within(seen_for, self.now) + work;
-        let mean = seen / (seen_for.as_secs() + work / expected_rate) * window.as_secs();
+        let uptime = self.now.since(endpoint.entry.started_at.unwrap_or_default());
+        let observation_time = uptime.min(window * DEMAND_WINDOWS);
+        let observed = endpoint.demand_within(observation_time, self.now) + work;
+        let mean = observed / (observation_time.as_secs() + work / expected_rate) * window.as_secs();
         mean.max(BURST_SHARE * (endpoint.demand_within(window, self.now) + work))
     }
 
-    /// Charges a warming endpoint with the work of a request, and the attempt that is sent there, if one is.
+    /// Charges a warming endpoint with the work of a request. `sent` is the attempt sent to the endpoint;
+    /// `None` if the request was not sent there.
     pub(super) fn charge_slow_start(&mut self, id: EndpointId, class: u16, sent: Option<AttemptId>) {
         let (now, work, is_warm) = (self.now, self.mean_work(class), self.is_warm(id));
         let retention = self.settings.slow_start.window() * DEMAND_WINDOWS;
--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of requests and of the endpoint list, multiplexed onto the host's one timer.
+//! The timers of requests and of the endpoint list, multiplexed onto the single timer of the host.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,7 +9,7 @@
 use super::RoutingEngine;
 use super::requests::{Request, RequestId};
 
-/// What a timer is for. At the same moment the endpoint list comes first, then requests by age.
+/// What a timer is for. Of timers due at the same moment the endpoint list is first, then the oldest request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerTarget {
     EndpointList,
@@ -36,7 +36,7 @@
         Some(next)
     }
 
-    /// The moment for which the host's timer has to be set now, if it has to.
+    /// Returns the moment for which the host's timer must now be set; `None` if it need not be changed.
     fn rearm(&mut self) -> Option<Moment> {
         let due = self.pending.peek()?.0.due;
         if self.host_timer.is_some_and(|set| due >= set) {
@@ -48,7 +48,7 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// The time asked for by [`Host::set_timer`] has passed.
+    /// Handles the expiry of the timer set by [`Host::set_timer`].
     pub fn timer_fired(&mut self) {
         self.timers.host_timer = None;
         while let Some(timer) = self.timers.pop_due(self.now) {
@@ -65,9 +65,9 @@
         self.set_host_timer();
     }
 
-    /// Asks for the endpoint list again after a pause.
-    pub(super) fn schedule_list_request(&mut self, pause: Span) {
-        self.schedule(self.now + pause, TimerTarget::EndpointList);
+    /// Schedules another request for the endpoint list after a delay.
+    pub(super) fn schedule_list_request(&mut self, delay: Span) {
+        self.schedule(self.now + delay, TimerTarget::EndpointList);
     }
 
     /// Schedules [`request_timer_due`](Self::request_timer_due) for a request.
