--- a/src/engine/outcomes.rs
+++ b/src/engine/outcomes.rs
@@ -1,4 +1,5 @@
-//! The end of an attempt: what it tells about load and health, and what follows for its request.
+//! Handling of ended attempts: records the load and health that the outcome shows, then finishes, reroutes
+//! or retries the request.
 
 use crate::host::{AttemptStatus, Host, Outcome, OutcomeDetail, RequestMeta, RequestSlot};
 use crate::time::Span;
@@ -9,12 +10,13 @@
 use super::requests::{Attempt, FillMode, Request, UNEXPLAINED_ERROR};
 use super::slow_start::AttemptId;
 
-/// The most attempts in flight at an endpoint with which a hit still shows the service time.
+/// The maximum number of attempts in flight at an endpoint for a hit to be a sample of the service time.
 const MAX_IN_FLIGHT_FOR_SERVICE_TIME: f64 = 3.0;
-/// The lateness of all hits up to which a hit shows the service time; above it something slows all endpoints.
+/// The lateness of recent hits below which a hit is a sample of the service time. A higher lateness means
+/// that something slows down all endpoints.
 const MAX_LATENESS_FOR_SERVICE_TIME: f64 = 0.6;
 
-/// An attempt that has ended.
+/// An attempt that has ended, with its outcome.
 struct EndedAttempt {
     id: AttemptId,
     meta: RequestMeta,
@@ -24,7 +26,8 @@
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// An attempt ended; `is_last` tells that the request has its final answer.
+    /// Handles the end of the request's attempt with this index, which took the time `took`. `is_last` is
+    /// true if the request has its final answer.
     pub fn attempt_ended(
         &mut self,
         slot: RequestSlot,
@@ -41,7 +44,8 @@
         });
     }
 
-    /// Takes an attempt out of those in flight; none if it was not among them.
+    /// Records the outcome of an attempt, which is then no longer in flight; `None` if the attempt was not in
+    /// flight.
     fn close_attempt(
         &mut self,
         slot: RequestSlot,
@@ -66,9 +70,10 @@
         Some(EndedAttempt { id, meta, attempt, outcome, took })
     }
 
-    /// Whether the fill of an attempt did not come in time.
+    /// Returns whether the fill of an attempt did not complete in time.
     ///
-    /// Where endpoints report how misses were filled, a timeout without a report may be just a lost answer.
+    /// If endpoints report how misses were filled, a timeout without a report may only mean that the answer
+    /// was lost, and is not counted as a late fill.
     fn is_fill_late(&self, ended: &EndedAttempt) -> bool {
         let Outcome { status, detail } = ended.outcome;
         let is_unreported = !self.settings.topology.fill_details_reported;
@@ -76,6 +81,7 @@
         has_timed_out && is_unreported || detail == OutcomeDetail::SourceUnreachable
     }
 
+    /// Returns where the response of an attempt came from.
     fn response_path(&self, detail: OutcomeDetail, is_fill_late: bool) -> ResponsePath {
         match detail {
             OutcomeDetail::FilledFromSource => ResponsePath::Fill(FillPath::Source),
@@ -88,7 +94,8 @@
         }
     }
 
-    /// Records what the end of an attempt tells about load and service time.
+    /// Adds the load and service time samples that an ended attempt provides, and refunds the source's slow
+    /// start charge if the attempt caused no new fill.
     fn record_load(&mut self, ended: &EndedAttempt) {
         let EndedAttempt { id, ref meta, ref attempt, outcome, took } = *ended;
         let work = self.work(meta);
@@ -129,16 +136,16 @@
         endpoint.loads.add(sample);
         let is_cache = endpoint.tier == Tier::Cache;
         self.load.hits.add(sample);
-        let is_calm = self.usual_hit_lateness() < MAX_LATENESS_FOR_SERVICE_TIME;
-        if sample.in_flight <= MAX_IN_FLIGHT_FOR_SERVICE_TIME && is_calm && is_cache {
+        let is_hit_lateness_low = self.recent_hit_lateness() < MAX_LATENESS_FOR_SERVICE_TIME;
+        if sample.in_flight <= MAX_IN_FLIGHT_FOR_SERVICE_TIME && is_hit_lateness_low && is_cache {
             self.load.add_service_time(ended.meta.class, ended.took);
         }
     }
 
-    /// Records what the end of an attempt tells about the health of endpoints.
+    /// Records success or failure of an ended attempt in the outcome windows of its endpoint and source.
     ///
-    /// A bad request is an error at every endpoint and says nothing about them, so errors without a reported
-    /// cause count only once another attempt of the request is served.
+    /// A bad request causes an error at every endpoint, which says nothing about their health. Errors without
+    /// a reported cause are therefore recorded only once another attempt of the request is served.
     fn record_attempt_health(&mut self, slot: RequestSlot, ended: &EndedAttempt) {
         if ended.outcome.status == AttemptStatus::Served {
             let request = self.requests.get(slot);
@@ -153,7 +160,7 @@
         }
     }
 
-    /// Ends the request, sends it on after a miss, or retries it.
+    /// Finishes the request, routes it again after a miss, or retries it.
     fn continue_request(&mut self, slot: RequestSlot, ended: &EndedAttempt, is_last: bool) {
         let status = ended.outcome.status;
         if is_last || self.requests.get(slot).is_none_or(|request| request.finished) {
--- a/src/engine/outliers.rs
+++ b/src/engine/outliers.rs
@@ -1,57 +1,57 @@
-//! Outcome windows, outlier ejection, trial requests, and the health weight of parents.
+//! Outlier detection: outcome windows, ejection, trial requests, and the health weight of parents.
 
 use crate::host::{AttemptStatus, EndpointId, Host, Outcome, OutcomeDetail, RequestMeta};
 use crate::time::Span;
 
 use super::RoutingEngine;
-use super::congestion::CALM_LATENESS;
+use super::congestion::UNCONGESTED_LATENESS;
 use super::endpoints::{Endpoint, Tier};
 
-/// Failures in the outcome window without which an endpoint is not ejected.
+/// The minimum number of failures in the outcome window for an endpoint to be ejected.
 const MIN_FAILURES: usize = 3;
-/// The share of failures above which an endpoint is an outlier if its peers have none.
+/// The share of failures above which an endpoint is an outlier if its peers have no failures.
 const FAILURE_SHARE: f64 = 0.3;
-/// How many times its peers' share of failures that limit is raised by.
+/// The increase of that limit, as a multiple of the share of failures among the endpoint's peers.
 const PEER_FAILURE_MULTIPLE: f64 = 1.5;
-/// Successes after which an ejected endpoint on trial is taken back.
+/// The number of successes after which an ejected endpoint on trial is reinstated.
 const TRIAL_SUCCESSES: usize = 3;
 /// The duration of an endpoint's first ejection.
 const EJECTION_BASE: Span = Span::millis(1000);
-/// How many times longer each further ejection is.
+/// The factor by which each further ejection of an endpoint is longer.
 const EJECTION_GROWTH: f64 = 1.5;
-/// Ejections after which the duration no longer grows.
+/// The number of ejections after which the duration no longer grows.
 const MAX_EJECTION_GROWTH_STEPS: i32 = 5;
-/// The largest share of a tier's ready capacity that may be ejected.
+/// The maximum share of a tier's ready capacity that may be ejected.
 const MAX_EJECTED_SHARE: f64 = 0.6;
-/// A parent is slow if its lateness is this many times that of the best one.
+/// The lateness above which a parent is slow, as a multiple of the lateness of the best parent.
 const SLOW_PARENT_MULTIPLE: f64 = 2.0;
-/// The share of its objects that a slow parent keeps at least, so that its recovery is noticed.
+/// The minimum share of its objects that a slow parent keeps, so that its recovery is noticed.
 const MIN_HEALTH_WEIGHT: f64 = 0.1;
 
 impl<H: Host> RoutingEngine<H> {
-    /// The share of its objects that an endpoint keeps: less for a parent whose fills take longer than the
-    /// best one's, so not where all are slow.
+    /// Returns the share of its objects that an endpoint keeps. It is below 1 only for a parent whose fills
+    /// take longer than those of the best parent; if all parents are slow, they keep their objects.
     pub(super) fn health_weight(&self, endpoint: &Endpoint) -> f64 {
         if endpoint.tier != Tier::Parent {
             return 1.0;
         }
-        let usual = self.usual_fill_lateness();
-        let own = self.parent_lateness(endpoint, usual);
-        if own <= CALM_LATENESS {
+        let prior_lateness = self.recent_fill_lateness();
+        let own = self.parent_lateness(endpoint, prior_lateness);
+        if own <= UNCONGESTED_LATENESS {
             return 1.0;
         }
         let ready = self.endpoints.ready(endpoint.tier);
-        let best = ready.map(|parent| self.parent_lateness(parent, usual)).fold(own, f64::min);
+        let best = ready.map(|parent| self.parent_lateness(parent, prior_lateness)).fold(own, f64::min);
         if own > SLOW_PARENT_MULTIPLE * best { (best / own).max(MIN_HEALTH_WEIGHT) } else { 1.0 }
     }
 
-    /// Whether an endpoint is ejected and not due for a trial request.
+    /// Returns whether an endpoint is ejected and not due for a trial request.
     pub(super) fn is_ejected(&self, endpoint: &Endpoint) -> bool {
         endpoint.ejected_until.is_some_and(|until| until > self.now || endpoint.in_flight > 0)
     }
 
-    /// Ejects an endpoint for a time that grows with each ejection, unless too little of its tier would be
-    /// left.
+    /// Ejects an endpoint for a duration that grows with each ejection, unless too little capacity of its
+    /// tier would be left.
     pub(super) fn eject(&mut self, id: EndpointId) {
         let endpoint = &self.endpoints[id];
         let capacity = self.endpoints.ready_capacity(endpoint.tier);
@@ -70,7 +70,8 @@
         endpoint.outcomes.clear();
     }
 
-    /// The share of failures in the outcome windows of an endpoint's peers that are not ejected.
+    /// Returns the share of failures in the outcome windows of those peers of an endpoint that are not
+    /// ejected.
     fn peer_failure_share(&self, endpoint: &Endpoint) -> f64 {
         let peers = self.endpoints.ready(endpoint.tier);
         let peers = peers.filter(|peer| peer.ejected_until.is_none() && peer.id() != endpoint.id());
@@ -82,7 +83,8 @@
         failures as f64 / count.max(1) as f64
     }
 
-    /// Adds to an endpoint's outcome window, and ejects it or takes it back as the window shows.
+    /// Adds an outcome to an endpoint's outcome window, then ejects or reinstates the endpoint if the window
+    /// calls for it.
     fn record_outcome(&mut self, id: EndpointId, succeeded: bool) {
         self.endpoints[id].outcomes.add(succeeded);
         let endpoint = &self.endpoints[id];
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Records what the end of an attempt tells about its endpoint and its source.
+    /// Records the outcome of an attempt in the outcome windows of its endpoint and its source.
     pub(super) fn record_health(
         &mut self,
         endpoint: EndpointId,
@@ -151,8 +153,8 @@
         let is_unexplained = detail == OutcomeDetail::Unknown && status != AttemptStatus::Unreachable;
         let Some(source) = source.filter(|_| by_source || is_unexplained) else { return };
         self.record_outcome(source, false);
-        // The source was not there at all. It may restart before the endpoint list shows it, so it is treated
-        // as warming up from now on, lest all routers flood it once it answers.
+        // The source was not running. It may restart before the endpoint list shows the restart, so it is
+        // treated as warming up from now on. Otherwise all routers could overload it as soon as it answers.
         if status == AttemptStatus::Overloaded {
             self.endpoints[source].entry.started_at = Some(self.now);
         }
--- a/src/engine/routing.rs
+++ b/src/engine/routing.rs
@@ -1,62 +1,63 @@
 //! The choice of endpoint, source and fill mode for a request.
 //!
-//! Requests for one object meet at one cache, which joins the fill in flight for it, and the fills of all
-//! locations meet at one parent. Everything else here is an exception for endpoints that fail, warm up or are
-//! congested.
+//! All requests of a location for one object go to the same cache, so that they join a fill in flight, and
+//! the fills of that object from all locations go to the same parent. The rest of this module handles the
+//! exceptions: endpoints that fail, warm up or are congested.
 
 use crate::host::{EndpointId, Host, RequestSlot};
 
 use super::RoutingEngine;
 use super::attempts::AttemptPlan;
-use super::congestion::CALM_LATENESS;
+use super::congestion::UNCONGESTED_LATENESS;
 use super::endpoints::{Endpoint, Tier};
 use super::hashing::{mix, unit_interval};
 use super::load::FillPath;
 use super::requests::{FillMode, Request};
 
-/// Attempts in flight at a cache that are never too many for its fair share.
+/// The number of attempts in flight at a cache that is always allowed in addition to its fair share.
 const FAIR_SHARE_ALLOWANCE: f64 = 4.0;
-/// Attempts in flight at a cache, over its share by capacity, beyond which a hot object goes to the next
-/// cache.
+/// The fair share of attempts in flight at a cache, as a multiple of its share by capacity. Beyond the fair
+/// share, requests for a hot object go to the next cache.
 const FAIR_SHARE_MULTIPLE: f64 = 1.5;
-/// Congestion of fills from which on a request is first sent without one.
+/// The congestion of fills above which a request is first sent with a restricted fill mode.
 const NEAR_CONGESTION: f64 = 0.8;
-/// Congestion of fills from which on none is started.
+/// The congestion of fills at which no further fill is started.
 pub(super) const CONGESTED: f64 = 1.0;
 
-/// How little an endpoint suits a request. What stands first weighs most; the default suits best.
+/// Reasons against sending a request to an endpoint, in order of decreasing weight. An endpoint without any
+/// of them is preferred.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Misfit {
+struct Penalties {
     is_ejected: bool,
-    /// An attempt of the request failed there.
+    /// An attempt of the request failed at the endpoint.
     has_failed: bool,
-    /// The object has moved away while the endpoint warms up or is slow.
+    /// The object is assigned to another endpoint while this endpoint warms up or is slow.
     is_displaced: bool,
     is_congested: bool,
 }
 
-/// An endpoint that could take a request.
+/// An endpoint to which a request could be sent.
 #[derive(Clone, Copy)]
 struct Candidate {
     id: EndpointId,
-    misfit: Misfit,
+    penalties: Penalties,
 }
 
 impl Candidate {
     fn is_healthy(&self) -> bool {
-        !self.misfit.is_ejected && !self.misfit.has_failed
+        !self.penalties.is_ejected && !self.penalties.has_failed
     }
 }
 
-/// The result of a search through one tier.
+/// The result of the selection among the endpoints of one tier.
 struct Selection {
     best: Option<Candidate>,
-    /// Endpoints that suit better and can't absorb the request while they warm up.
-    spared: Vec<EndpointId>,
+    /// Endpoints that rank higher than `best` but cannot absorb the request because they are warming up.
+    skipped: Vec<EndpointId>,
 }
 
 impl<H: Host> RoutingEngine<H> {
-    /// Sends a request to the endpoint that suits it best, or gives it up.
+    /// Sends a request to the most suitable endpoint, or gives the request up.
     pub(super) fn route(&mut self, slot: RequestSlot) {
         let Some(request) = self.requests.get(slot) else { return };
         let class = request.meta.class;
@@ -73,7 +74,7 @@
         let Some(fill_mode) = self.choose_fill_mode(request, endpoint, source) else {
             return self.give_up(slot);
         };
-        for id in parents.spared.into_iter().chain(caches.spared) {
+        for id in parents.skipped.into_iter().chain(caches.skipped) {
             self.charge_slow_start(id, class, None);
         }
         let Some(endpoint) = endpoint else { return self.give_up(slot) };
@@ -81,34 +82,36 @@
         self.send(slot, AttemptPlan { endpoint, source, fill_mode });
     }
 
-    /// Searches a tier for the endpoint that suits a request best. Among equals the rendezvous ranking
-    /// decides.
+    /// Selects the most suitable endpoint of a tier for a request. Among equally suitable endpoints the
+    /// rendezvous ranking decides.
     fn select(&self, request: &Request, tier: Tier, hash: u64) -> Selection {
         let work = self.mean_work(request.meta.class);
         let in_flight: u32 = self.endpoints.tier(tier).map(|endpoint| endpoint.in_flight).sum();
         let fair_share = FAIR_SHARE_MULTIPLE * f64::from(in_flight) / self.endpoints.ready_capacity(tier);
-        let usual_lateness = self.usual_hit_lateness();
+        let prior_lateness = self.recent_hit_lateness();
         let candidate = |id: EndpointId| {
             let endpoint = &self.endpoints[id];
             let is_congested = tier == Tier::Cache
                 && (exceeds_fair_share(endpoint, fair_share)
-                    || self.would_be_late(endpoint, request, usual_lateness));
-            Candidate { id, misfit: self.misfit(endpoint, request, hash, is_congested) }
+                    || self.would_be_late(endpoint, request, prior_lateness));
+            Candidate { id, penalties: self.penalties(endpoint, request, hash, is_congested) }
         };
         let mut ranked: Vec<_> = self.endpoints.rank(hash, tier).into_iter().map(candidate).collect();
-        ranked.sort_by_key(|candidate| candidate.misfit);
+        ranked.sort_by_key(|candidate| candidate.penalties);
         let can_absorb = |candidate: &Candidate| {
             self.can_absorb(&self.endpoints[candidate.id], work, request.admission_draw)
         };
         let best = ranked.iter().position(can_absorb);
-        let spared = ranked[..best.unwrap_or(ranked.len())].iter().map(|candidate| candidate.id).collect();
-        Selection { best: best.map(|index| ranked[index]), spared }
+        let skipped = ranked[..best.unwrap_or(ranked.len())].iter().map(|candidate| candidate.id).collect();
+        Selection { best: best.map(|index| ranked[index]), skipped }
     }
 
-    fn misfit(&self, endpoint: &Endpoint, request: &Request, hash: u64, is_congested: bool) -> Misfit {
-        // A hash of its own, so that objects leave a parent evenly, and the same ones at every router.
+    /// Returns the reasons against sending a request to an endpoint.
+    fn penalties(&self, endpoint: &Endpoint, request: &Request, hash: u64, is_congested: bool) -> Penalties {
+        // This hash differs from the one of the ranking, so that a parent loses an even share of its objects,
+        // and the same objects at every router.
         let draw = unit_interval(mix(hash, endpoint.entry.stable_id.rotate_left(32)));
-        Misfit {
+        Penalties {
             is_ejected: self.is_ejected(endpoint),
             has_failed: if endpoint.tier == Tier::Parent {
                 request.failed_at_source(endpoint.id())
@@ -120,8 +123,8 @@
         }
     }
 
-    /// The source of a fill: the best parent, or the origin where every parent is ejected or failed the
-    /// request.
+    /// Returns the source of a fill: the best parent, or the origin if every parent is ejected or has failed
+    /// the request.
     fn choose_source(
         &self,
         class: u16,
@@ -138,8 +141,8 @@
         }
     }
 
-    /// The endpoint that answers: the best cache, or the source itself where no cache can take the request,
-    /// or where the cache would be late and the source is calm.
+    /// Returns the endpoint that answers: the best cache, or the source itself if no cache can take the
+    /// request, or if the cache would be late and the source answers in time.
     fn choose_endpoint(
         &self,
         request: &Request,
@@ -150,17 +153,18 @@
             self.settings.topology.may_bypass() && !self.class(request.meta.class).runs_at_origin;
         let bypass = source.filter(|_| may_bypass);
         let Some(cache) = cache else { return bypass };
-        if !self.would_be_late(&self.endpoints[cache.id], request, self.usual_hit_lateness()) {
+        if !self.would_be_late(&self.endpoints[cache.id], request, self.recent_hit_lateness()) {
             return Some(cache.id);
         }
-        bypass.filter(|id| self.is_calm(&self.endpoints[*id]))
+        bypass.filter(|id| self.answers_in_time(&self.endpoints[*id]))
     }
 
-    /// How an attempt treats a miss; none where the request has to be given up.
+    /// Returns how an attempt treats a miss; `None` if the request has to be given up.
     ///
-    /// While fills are congested a request is first sent without one, or with only what the source holds
-    /// where just the origin's fills are. Hits are served as ever; what surely misses is filled up to the
-    /// limit or given up.
+    /// While fills are congested, a request is first sent without a fill or, if only fills by the origin are
+    /// congested, with a fill only from a copy held by the source. Hits are thus still served. A request that
+    /// was found to miss is sent again with a fill while the congestion is below the limit, and is given up
+    /// otherwise.
     fn choose_fill_mode(
         &self,
         request: &Request,
@@ -193,19 +197,20 @@
         }
     }
 
-    /// Where sources' and origin's fills are not reported apart, whether half of all being quick shows that
-    /// only those by the origin are late.
+    /// Returns whether only fills by the origin are late, judged by whether at least half of all fills are
+    /// quick. This is used only if endpoints do not report which fills came from the origin.
     fn shows_only_origin_late(&self) -> bool {
         if self.settings.topology.fill_details_reported {
             return false;
         }
         let fills = self.load.fills(FillPath::Source);
         let median = fills.quantile(0.5, |load| load.took.as_secs() / load.objective);
-        median.is_some_and(|median| median < CALM_LATENESS)
+        median.is_some_and(|median| median < UNCONGESTED_LATENESS)
     }
 }
 
-/// Whether so much is in flight at a cache that a hot object must have outgrown it.
+/// Returns whether so many attempts are in flight at a cache that it must hold a hot object whose requests
+/// exceed the cache's fair share.
 fn exceeds_fair_share(cache: &Endpoint, fair_share: f64) -> bool {
     f64::from(cache.in_flight) > FAIR_SHARE_ALLOWANCE + fair_share * cache.capacity()
 }
