--- a/tests/congestion.rs
+++ b/tests/congestion.rs
@@ -1,4 +1,4 @@
-//! Lateness, congestion and what is rejected or sent elsewhere because of it.
+//! Lateness and congestion, and the requests that are rejected or diverted because of them.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use tindoor::host::*;
 
 #[test]
-fn in_a_location_of_many_routers_lateness_alone_makes_requests_rejected() {
+fn with_many_routers_in_a_location_lateness_alone_causes_rejections() {
     let rejected = |routers: f64| {
         let mut router =
             start_router(&endpoint_list(), &[("routers_in_location", routers), ("bypass_allowed", 0.0)]);
@@ -14,7 +14,7 @@
         for object in 0..120 {
             let actions = router.request(0, object);
             if matches!(actions[..], [Action::SendWithFill { .. }]) {
-                // Five times the objective, and nothing else is in flight.
+                // 1500 ms is five times the objective; no other request is in flight.
                 router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 1500);
             }
             rejected += usize::from(matches!(actions[..], [Action::Reject(..)]) && object >= 40);
@@ -23,11 +23,11 @@
         rejected
     };
     assert_eq!(rejected(1.0), 0);
-    assert!(rejected(12.0) > 40, "{} of 80", rejected(12.0));
+    assert!(rejected(12.0) > 40, "{} of 80 requests rejected", rejected(12.0));
 }
 
 #[test]
-fn load_from_the_start_is_not_mistaken_for_service_time() {
+fn queueing_under_load_from_the_start_is_not_counted_as_service_time() {
     let mut router =
         start_router(&endpoint_list(), &[("routers_in_location", 12.0), ("bypass_allowed", 0.0)]);
     let mut rejected = 0;
@@ -35,20 +35,20 @@
         let actions = router.request(0, object);
         match actions[..] {
             [Action::SendWithFill { .. }] => {
-                // Three times the base objective.
+                // 1000 ms is more than three times the base objective.
                 router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 1000);
             }
             _ => rejected += 1,
         }
         router.advance(30);
     }
-    assert!(rejected > 60, "{rejected} of 200");
+    assert!(rejected > 60, "{rejected} of 200 requests rejected");
 }
 
 #[test]
-fn lost_answers_are_not_mistaken_for_a_slow_origin_where_fill_details_are_reported() {
+fn unreported_timeouts_do_not_count_as_late_origin_fills_if_fill_details_are_reported() {
     let mut router = start_router(&endpoint_list(), &[("routers_in_location", 12.0)]);
-    router.serve_quietly(60, OutcomeDetail::FilledFromOrigin, 30);
+    router.serve_sequentially(60, OutcomeDetail::FilledFromOrigin, 30);
     let mut filled = 0;
     for object in 100..180 {
         filled += usize::from(matches!(
@@ -67,7 +67,7 @@
 #[test]
 fn a_few_timeouts_do_not_stop_admission_once_fills_are_quick_again() {
     let mut router = start_router(&endpoint_list(), &[("routers_in_location", 12.0)]);
-    router.serve_quietly(40, OutcomeDetail::FilledFromSource, 30);
+    router.serve_sequentially(40, OutcomeDetail::FilledFromSource, 30);
     for object in 100..106 {
         router.request_within(0, object, 30);
         router.advance(20);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn without_fill_details_parents_still_fill_what_they_hold_if_half_the_fills_are_quick() {
+fn without_fill_details_parents_still_fill_from_their_copies_if_half_of_the_fills_are_quick() {
     let mut router =
         start_router(&endpoint_list(), &[("routers_in_location", 12.0), ("fill_details_reported", 0.0)]);
     let mut only_if_cached = 0;
@@ -100,11 +100,11 @@
         );
         router.advance(60);
     }
-    assert!(only_if_cached > 60, "{only_if_cached} of 200 asked for only what is cached");
+    assert!(only_if_cached > 60, "{only_if_cached} of 200 attempts sent with only_if_cached");
 }
 
 #[test]
-fn a_calm_parent_answers_where_a_cache_would_be_late() {
+fn requests_bypass_late_caches_while_the_parents_answer_in_time() {
     let mut router = start_router(&endpoint_list(), &[("routers_in_location", 12.0)]);
     let mut bypassed = [0, 0];
     for object in 0..300 {
@@ -112,20 +112,23 @@
         if let [Action::SendWithFill { endpoint, .. }] = actions[..] {
             let by_parent = endpoint >= 4;
             bypassed[usize::from(object >= 150)] += usize::from(by_parent);
-            // Caches are late all the time, the parents from the middle on.
+            // Caches are late all the time, parents only in the second half.
             let millis = if by_parent && object < 150 { 30 } else { 1500 };
             router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, millis);
         }
         router.advance(30);
     }
-    assert!(bypassed[0] > 40 && bypassed[1] < bypassed[0] / 2, "{bypassed:?} of 150 each");
+    assert!(
+        bypassed[0] > 40 && bypassed[1] < bypassed[0] / 2,
+        "{bypassed:?} of 150 requests each bypassed the caches"
+    );
 }
 
 #[test]
-fn the_few_requests_admitted_after_a_burst_outweigh_the_burst() {
+fn admission_recovers_after_a_burst_from_the_few_requests_admitted() {
     let mut router =
         start_router(&endpoint_list(), &[("routers_in_location", 12.0), ("bypass_allowed", 0.0)]);
-    router.serve_quietly(40, OutcomeDetail::Hit, 30);
+    router.serve_sequentially(40, OutcomeDetail::Hit, 30);
     let mut rejected = [0; 3];
     for object in 0..400 {
         let burst = object < 200;
@@ -141,13 +144,16 @@
         }
         router.advance(if burst { 10 } else { 60 });
     }
-    assert!(rejected[0] > 100 && rejected[1] < 33 && rejected[2] < 5, "{rejected:?}");
+    assert!(
+        rejected[0] > 100 && rejected[1] < 33 && rejected[2] < 5,
+        "{rejected:?} rejected of 200 in the burst, of the next 100 and of the last 100"
+    );
 }
 
 #[test]
 fn while_fills_are_late_misses_are_rejected_and_hits_are_served() {
     let mut router = start_router(&endpoint_list(), &[]);
-    router.serve_quietly(100, OutcomeDetail::Hit, 20);
+    router.serve_sequentially(100, OutcomeDetail::Hit, 20);
     (100..160).for_each(|object| drop(router.request(0, object)));
     router.advance(1500);
     for slot in 101..=160 {
@@ -157,19 +163,19 @@
     let mut rejected = 0;
     for object in 300..310 {
         let (cache, source) = sent_to(&router.request(0, object));
-        assert_eq!(cache, source, "a cache-only read");
+        assert_eq!(cache, source, "the attempt should be cache-only");
         let actions = router.end_attempt(0, AttemptStatus::Miss, OutcomeDetail::Unknown, 2);
         rejected += usize::from(matches!(actions[..], [Action::Reject(..)]));
     }
-    assert!(rejected >= 8, "{rejected} rejected");
+    assert!(rejected >= 8, "{rejected} of 10 misses rejected");
     sent_to(&router.request(0, 999));
     assert_eq!(router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 20), []);
 }
 
 #[test]
-fn while_only_the_origin_is_slow_parents_still_fill_what_they_hold() {
+fn while_only_the_origin_is_slow_parents_still_fill_from_their_copies() {
     let mut router = start_router(&endpoint_list(), &[]);
-    router.serve_quietly(100, OutcomeDetail::Hit, 20);
+    router.serve_sequentially(100, OutcomeDetail::Hit, 20);
     (100..140).for_each(|object| drop(router.request(0, object)));
     router.advance(1500);
     for slot in 101..=140 {
@@ -188,7 +194,7 @@
 #[test]
 fn a_cache_whose_hits_are_late_gets_fewer_requests() {
     let mut router = start_router(&endpoint_list(), &[]);
-    router.serve_quietly(100, OutcomeDetail::Hit, 20);
+    router.serve_sequentially(100, OutcomeDetail::Hit, 20);
     let slow = sent_to(&router.request(0, 1)).0;
     let mut in_flight = Vec::new();
     for object in 0..400 {
@@ -205,14 +211,14 @@
             router.end_attempt_of(in_flight.remove(0), 0, AttemptStatus::Served, OutcomeDetail::Hit, 900);
         }
     }
-    assert!(in_flight.len() < 4, "{} in flight", in_flight.len());
+    assert!(in_flight.len() < 4, "{} attempts in flight at the slow cache", in_flight.len());
 }
 
 #[test]
 fn requests_known_to_be_huge_are_rejected_first() {
     let mut router = start_router(&endpoint_list(), &[("client_kb_per_s", 1000.0), ("bypass_allowed", 0.0)]);
     router.size_kb = Some(50.0);
-    router.serve_quietly(100, OutcomeDetail::Hit, 55);
+    router.serve_sequentially(100, OutcomeDetail::Hit, 55);
     (100..180).for_each(|object| drop(router.request(0, object)));
     router.advance(390);
     for slot in 101..=180 {
@@ -228,6 +234,6 @@
     let small = admitted(50.0);
     assert!(
         huge > 8 && huge < 60 && small > huge / 3,
-        "{huge} huge ones and then {small} small ones admitted"
+        "{huge} huge requests and then {small} small requests admitted, of 80 each"
     );
 }
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_hung_cache_is_ejected_before_its_attempts_time_out() {
     let mut router = start_router(&endpoint_list(), &[]);
-    router.serve_quietly(100, OutcomeDetail::Hit, 20);
+    router.serve_sequentially(100, OutcomeDetail::Hit, 20);
     let hung = sent_to(&router.request(0, 1)).0;
     let (mut cancelled, mut late) = (0, 0);
     for object in 0..150 {
@@ -28,22 +28,25 @@
             }
         }
     }
-    assert!(cancelled > 3 && late < 4, "{cancelled} cancelled, {late} sent to it later");
+    assert!(
+        cancelled > 3 && late < 4,
+        "{cancelled} attempts cancelled, {late} requests sent to the hung cache after 2 s"
+    );
 }
 
 #[test]
-fn a_failing_cache_is_ejected_and_taken_back_after_trial_requests() {
+fn a_failing_cache_is_ejected_and_reinstated_after_trial_requests() {
     let mut router = start_router(&endpoint_list(), &[]);
-    let bad = sent_to(&router.request(0, 1)).0;
+    let faulty = sent_to(&router.request(0, 1)).0;
     router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 20);
-    let round = |router: &mut TestRouter, failing: bool| {
+    let serve_round = |router: &mut TestRouter, failing: bool| {
         let mut count = 0;
         for object in 0..200 {
             let actions = router.request(0, object);
             let mut cache = sent_to(&actions).0;
-            count += usize::from(cache == bad);
+            count += usize::from(cache == faulty);
             let mut index = 0;
-            while cache == bad && failing {
+            while cache == faulty && failing {
                 router.end_attempt(index, AttemptStatus::Error, OutcomeDetail::Unknown, 1);
                 cache = sent_to(&router.advance(200)).0;
                 index += 1;
@@ -53,20 +56,20 @@
         }
         count
     };
-    let failing = round(&mut router, true);
-    assert!(failing < 12, "{failing} sent to the failing cache");
+    let failing = serve_round(&mut router, true);
+    assert!(failing < 12, "{failing} of 200 requests sent to the failing cache");
     router.advance(8000);
-    let healthy = round(&mut router, false);
+    let healthy = serve_round(&mut router, false);
     assert_eq!(
         [sent_to(&router.request(0, 1)).0, sent_to(&router.request(0, 1)).0],
-        [bad, bad],
+        [faulty, faulty],
         "no longer on trial"
     );
-    assert!(healthy > 30, "{healthy} sent to it once it was healthy again");
+    assert!(healthy > 30, "{healthy} of 200 requests sent to the cache after its recovery");
 }
 
 #[test]
-fn the_only_cache_left_is_used_however_often_it_fails() {
+fn the_only_cache_is_used_however_often_it_fails() {
     let list: Vec<EndpointUpdate> =
         endpoint_list().into_iter().filter(|entry| entry.endpoint.0 == 0 || entry.kind != 0).collect();
     let list: Vec<EndpointUpdate> = list
@@ -89,12 +92,12 @@
 }
 
 #[test]
-fn a_request_that_fails_everywhere_is_given_up_and_keeps_no_cache_ejected() {
+fn a_request_that_fails_everywhere_is_given_up_and_does_not_keep_a_cache_ejected() {
     let mut router = start_router(&endpoint_list(), &[]);
-    let bad = sent_to(&router.request(0, 1)).0;
+    let faulty = sent_to(&router.request(0, 1)).0;
     router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 20);
     let serve = |router: &mut TestRouter, object, failing: bool| {
-        let failing = sent_to(&router.request(0, object)).0 == bad && failing;
+        let failing = sent_to(&router.request(0, object)).0 == faulty && failing;
         if failing {
             router.end_attempt(0, AttemptStatus::Unreachable, OutcomeDetail::Unknown, 1);
         }
@@ -104,7 +107,7 @@
     (0..100).for_each(|object| serve(&mut router, object, true));
     router.advance(8000);
     for object in 0..200 {
-        // A bad request, which is an error at every cache, comes first among the cache's trial requests.
+        // A bad request, which causes an error at every cache, is the first of the cache's trial requests.
         let (mut actions, mut index) = (router.request(0, 1), 0);
         while !matches!(actions[..], [Action::Reject(..)]) {
             let at_once = router.end_attempt(index, AttemptStatus::Error, OutcomeDetail::Unknown, 1);
@@ -116,32 +119,32 @@
     }
     assert_eq!(
         [sent_to(&router.request(0, 1)).0, sent_to(&router.request(0, 1)).0],
-        [bad, bad],
+        [faulty, faulty],
         "no longer on trial"
     );
 }
 
 #[test]
-fn a_new_cache_under_the_id_of_a_removed_one_starts_with_an_empty_outcome_window() {
+fn a_new_cache_that_reuses_the_id_of_a_removed_one_starts_with_an_empty_outcome_window() {
     let mut router = start_router(&endpoint_list(), &[]);
-    let bad = sent_to(&router.request(0, 1)).0;
+    let faulty = sent_to(&router.request(0, 1)).0;
     for object in 0..200 {
-        let failing = sent_to(&router.request(0, object)).0 == bad;
+        let failing = sent_to(&router.request(0, object)).0 == faulty;
         if failing {
             router.end_attempt(0, AttemptStatus::Unreachable, OutcomeDetail::Unknown, 1);
         }
         router.end_attempt(u16::from(failing), AttemptStatus::Served, OutcomeDetail::Hit, 20);
         router.advance(10);
     }
-    let removed = EndpointUpdate { state: EndpointState::Removed, ..endpoint_list()[bad as usize] };
+    let removed = EndpointUpdate { state: EndpointState::Removed, ..endpoint_list()[faulty as usize] };
     router.engine.endpoints_changed(ListUpdateKind::Delta, &[removed]);
-    router.engine.endpoints_changed(ListUpdateKind::Delta, &[entry(bad, 77, 0, None)]);
-    let count = (0..200).filter(|object| sent_to(&router.request(0, 5000 + object)).0 == bad).count();
-    assert!(count > 20, "{count} requests for the new cache");
+    router.engine.endpoints_changed(ListUpdateKind::Delta, &[entry(faulty, 77, 0, None)]);
+    let count = (0..200).filter(|object| sent_to(&router.request(0, 5000 + object)).0 == faulty).count();
+    assert!(count > 20, "{count} of 200 requests sent to the new cache");
 }
 
 #[test]
-fn never_so_many_are_ejected_that_the_rest_would_be_overloaded() {
+fn ejection_leaves_enough_caches_to_carry_the_load() {
     let mut router = start_router(&endpoint_list(), &[]);
     let mut count = [0; 4];
     for object in 0..400 {
@@ -158,13 +161,13 @@
         router.advance(5);
     }
     count.sort_unstable();
-    assert!(count[0] < 20 && count[1] < 20 && count[2] > 40, "{count:?}");
+    assert!(count[0] < 20 && count[1] < 20 && count[2] > 40, "{count:?} requests per cache, sorted");
 }
 
 #[test]
-fn a_slow_parent_keeps_fewer_objects_and_gets_them_back() {
+fn a_slow_parent_loses_objects_and_regains_them_after_recovery() {
     let mut router = start_router(&endpoint_list(), &[]);
-    let round = |router: &mut TestRouter, slow: u64| {
+    let serve_round = |router: &mut TestRouter, slow: u64| {
         let mut count = 0;
         for object in 0..100 {
             let source = sent_to(&router.request(0, object)).1;
@@ -179,7 +182,10 @@
         }
         count
     };
-    let (healthy, slow) = (round(&mut router, 30), round(&mut router, 600));
-    let again = (0..5).map(|_| round(&mut router, 30)).last().unwrap();
-    assert!(slow < healthy * 2 / 3 && again > healthy - 3, "{healthy}, {slow} while slow, {again} after");
+    let (healthy, slow) = (serve_round(&mut router, 30), serve_round(&mut router, 600));
+    let again = (0..5).map(|_| serve_round(&mut router, 30)).last().unwrap();
+    assert!(
+        slow < healthy * 2 / 3 && again > healthy - 3,
+        "of 100 fills from the parent: {healthy} while healthy, {slow} while slow, {again} after recovery"
+    );
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries, deadlines, and giving up.
+//! Retries, deadlines and giving up requests.
 
 mod support;
 
@@ -26,7 +26,7 @@
     assert_eq!(router.advance(100), [Action::SendCacheOnly(1, 6)]);
     router.advance(2900);
     router.end_attempt(1, AttemptStatus::Incomplete, OutcomeDetail::Unknown, 10);
-    assert_eq!(router.advance(100).len(), 1, "rejected, not sent");
+    assert_eq!(router.advance(100).len(), 1, "expected one action, a rejection");
     router.request(2, 2);
     assert_eq!(router.advance(3100), []);
     router.end_attempt(0, AttemptStatus::Incomplete, OutcomeDetail::Unknown, 10);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_overloaded_location_is_not_retried_over_and_over() {
+fn a_request_is_rejected_after_two_caches_were_overloaded() {
     let mut router = start_router(&endpoint_list(), &[]);
     let first = sent_to(&router.request(0, 1)).0;
     assert_ne!(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_failed_fill_is_retried_at_the_other_parent_and_joined_requests_spread_out() {
+fn a_failed_fill_is_retried_at_the_other_parent_and_retries_of_joined_requests_are_spread_out() {
     let mut router = start_router(&endpoint_list(), &[]);
     let (cache, source) = sent_to(&router.request(0, 1));
     router.end_attempt(0, AttemptStatus::Error, OutcomeDetail::SourceUnreachable, 5);
@@ -71,14 +71,14 @@
         }
     }
     times.dedup();
-    assert!(times.len() > 2, "{times:?}");
+    assert!(times.len() > 2, "retries sent only at {times:?} ms");
 }
 
 #[test]
-fn a_request_that_every_parent_failed_is_filled_by_the_origin() {
+fn a_request_that_failed_at_every_parent_is_filled_by_the_origin() {
     let mut router = start_router(&endpoint_list(), &[]);
     let (cache, _) = sent_to(&router.request(0, 1));
-    // A cache that could not reach its source is not overloaded, and is used again.
+    // A cache that could not reach its source is not overloaded itself, so it is used again.
     assert_eq!(
         sent_to(&router.end_attempt(0, AttemptStatus::Overloaded, OutcomeDetail::SourceUnreachable, 9)).0,
         cache
@@ -97,14 +97,14 @@
     assert!(matches!(actions[..], [Action::Reject(1, _)]), "{actions:?}");
     assert_eq!(router.end_attempt(0, AttemptStatus::TimedOut, OutcomeDetail::Unknown, 800), []);
     assert_eq!(router.advance(3000), []);
-    // A request with too little time remaining is answered at once.
+    // A request with too little time remaining is rejected immediately.
     assert!(matches!(router.request_within(0, 1, 3)[..], [Action::Reject(2, _)]));
 }
 
 #[test]
-fn one_attempt_is_in_flight_at_a_time_until_a_cancelled_one_has_ended() {
+fn no_other_attempt_is_sent_until_a_cancelled_one_has_ended() {
     let mut router = start_router(&endpoint_list(), &[]);
-    router.serve_quietly(60, OutcomeDetail::Hit, 20);
+    router.serve_sequentially(60, OutcomeDetail::Hit, 20);
     (0..4).for_each(|_| drop(router.request(0, 1)));
     let actions = router.advance(1500);
     assert!(actions.iter().any(|action| matches!(action, Action::Cancel(..))));
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of endpoint and source, endpoint list updates, purges and authorization.
+//! The choice of endpoint and source, endpoint list updates, purges and authorization.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use tindoor::time::Span;
 
 #[test]
-fn requests_for_one_object_go_to_one_cache_and_one_parent_whatever_their_ids() {
+fn requests_for_one_object_go_to_one_cache_and_one_parent_whatever_the_endpoint_ids() {
     let mut reversed: Vec<EndpointUpdate> = endpoint_list().into_iter().rev().collect();
     reversed.iter_mut().zip(0..).for_each(|(entry, id)| entry.endpoint = EndpointId(id));
     let (mut one, mut other) = (start_router(&endpoint_list(), &[]), start_router(&reversed, &[]));
@@ -21,7 +21,7 @@
         one.end_attempt_of(one.last_slot - 1, 0, AttemptStatus::Served, OutcomeDetail::Hit, 50);
         other.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 50);
     }
-    assert!(used[..4].iter().all(|used| *used > 3), "{used:?}");
+    assert!(used[..4].iter().all(|used| *used > 3), "{used:?} requests per cache");
     assert!(matches!(
         one.request(0, 5)[..],
         [Action::SendWithFill { join_fill: true, retention_rank: 1, .. }]
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn requests_run_at_the_origin_bypass_caches_or_are_not_stored_there() {
+fn requests_that_run_at_the_origin_bypass_caches_or_are_not_stored_by_them() {
     let mut router = start_router(&endpoint_list(), &[]);
     assert_eq!(router.request(2, 1), [Action::SendCacheOnly(1, 6)]);
     let mut router = start_router(&endpoint_list(), &[("bypass_allowed", 0.0)]);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_draining_or_removed_endpoint_gets_nothing_more_as_cache_or_as_source() {
+fn a_draining_or_removed_endpoint_gets_no_new_attempts_as_cache_or_as_source() {
     let mut router = start_router(&endpoint_list(), &[]);
     let (cache, source) = sent_to(&router.request(0, 1));
     let mut entries = endpoint_list();
@@ -53,19 +53,20 @@
         assert!(new_cache != cache && new_source != source);
         router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 30);
     }
-    // A full list without them has the same effect, and one without any cache leaves the parents.
+    // A full list without these endpoints has the same effect. This list contains no cache at all, so the
+    // parents answer.
     router.engine.endpoints_changed(ListUpdateKind::Full, &entries[4..]);
     let (cache, _) = sent_to(&router.request(0, 1));
     assert!(cache >= 4);
 }
 
 #[test]
-fn after_a_purge_only_younger_copies_are_served() {
+fn after_a_purge_only_newer_copies_are_served() {
     let mut router = start_router(&endpoint_list(), &[]);
     assert!(matches!(router.request(0, 1)[..], [Action::SendWithFill { max_age: None, .. }]));
     router.engine.purged(None, 9, Span::ZERO);
-    let least = Some(Span::micros(1)); // zero would mean any age
-    assert!(matches!(&router.request(0, 1)[..], [Action::SendWithFill { max_age, .. }] if *max_age == least));
+    let limit = Some(Span::micros(1)); // a limit of zero would mean any age
+    assert!(matches!(&router.request(0, 1)[..], [Action::SendWithFill { max_age, .. }] if *max_age == limit));
     router.advance(700);
     let since = Some(Span::millis(700));
     assert!(matches!(&router.request(1, 2)[..], [Action::SendWithFill { max_age, .. }] if *max_age == since));
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_list_that_is_repeated_empty_or_of_other_endpoints_is_applied_as_it_comes() {
+fn repeated_empty_and_unrelated_endpoint_lists_are_applied() {
     let mut router = start_router(
         &endpoint_list(),
         &[("routers_in_location", 0.0), ("routers", 0.0), ("client_kb_per_s", 0.0)],
@@ -93,22 +94,22 @@
     router.engine.endpoints_changed(ListUpdateKind::Full, &many);
     for object in 0..300 {
         let (cache, source) = sent_to(&router.request(0, object));
-        assert!(cache <= 250 && source > 250, "{cache} filled from {source}");
+        assert!(cache <= 250 && source > 250, "cache {cache} filled from source {source}");
         router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::FilledFromSource, 20);
     }
 }
 
 #[test]
-fn requests_for_a_hot_object_beyond_a_fair_share_go_to_the_next_cache_in_its_ranking() {
+fn requests_for_a_hot_object_beyond_a_fair_share_go_to_the_next_cache_in_the_ranking() {
     let mut router = start_router(&endpoint_list(), &[]);
     let caches: Vec<u32> = (0..24).map(|_| sent_to(&router.request(0, 1)).0).collect();
     let count = |cache: u32| caches.iter().filter(|used| **used == cache).count();
-    let (home, next) = (caches[0], *caches.iter().find(|cache| **cache != caches[0]).unwrap());
-    assert!(count(home) > 5 && count(home) < 20 && count(home) + count(next) == 24, "{caches:?}");
+    let (first, next) = (caches[0], *caches.iter().find(|cache| **cache != caches[0]).unwrap());
+    assert!(count(first) > 5 && count(first) < 20 && count(first) + count(next) == 24, "{caches:?}");
 }
 
 #[test]
-fn an_unauthorized_request_reaches_no_cache_and_an_early_one_gets_a_retry_after() {
+fn unauthorized_requests_are_not_sent_and_early_requests_get_a_retry_after() {
     let mut router = start_router(&endpoint_list(), &[("retry_after_sent", 1.0), ("max_retry_after", 5e5)]);
     for (authorization, expected) in [
         (Authorization::Denied, "failed"),
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start of caches and parents, seen by single routers and by many.
+//! Slow start of caches and parents, with a single router and with many routers.
 
 mod support;
 
@@ -9,8 +9,8 @@
 #[test]
 fn a_warming_location_is_not_overloaded_even_when_clients_retry() {
     let mut router = start_router(&endpoint_list(), &[("bypass_allowed", 0.0)]);
-    // 100 requests a second of 20 ms: each cache does half a transfer a second.
-    router.serve_quietly(200, OutcomeDetail::Hit, 20);
+    // 100 requests per second of 20 ms each: on average each of the four caches runs half a transfer.
+    router.serve_sequentially(200, OutcomeDetail::Hit, 20);
     let warming: Vec<EndpointUpdate> =
         (0..4).map(|id| entry(id, 1000 + u64::from(id), 0, Some(router.millis))).collect();
     router.engine.endpoints_changed(ListUpdateKind::Delta, &warming);
@@ -24,8 +24,9 @@
         }
         router.advance(2);
     }
-    // At most 0.29 of half a transfer, four times, times 2.5, in 2 s: 2.9 s of work or 140 requests.
-    assert!((20..110).contains(&sent), "{sent} sent");
+    // The budget is at most 0.29 times half a transfer, times four caches, times 2.5, times 2 s: 2.9 s of
+    // work or 140 requests.
+    assert!((20..110).contains(&sent), "{sent} of 800 requests sent");
 }
 
 #[test]
@@ -48,32 +49,35 @@
             [Action::SendWithFill { source: 4, .. }]
         ));
     }
-    // A tenth of 20 transfers, twice, for two seconds: 8 s of work, or 26 requests before any service time is
-    // sampled.
+    // The budget is a tenth of 20 transfers, times 2, times 2 s: 8 s of work, or 26 requests as long as there
+    // are no samples of the service time.
     assert!((1..26).contains(&filled), "{filled} fills from one warming parent");
 }
 
 #[test]
-fn an_unreachable_parent_is_treated_as_warming_up_before_the_list_shows_it() {
+fn an_unreachable_parent_is_treated_as_warming_up_before_the_list_shows_its_restart() {
     let mut router = start_router(&endpoint_list(), &[]);
-    router.serve_quietly(100, OutcomeDetail::FilledFromSource, 30);
-    let missing = sent_to(&router.request(0, 7)).1;
+    router.serve_sequentially(100, OutcomeDetail::FilledFromSource, 30);
+    let unreachable = sent_to(&router.request(0, 7)).1;
     router.end_attempt(0, AttemptStatus::Overloaded, OutcomeDetail::SourceUnreachable, 5);
     let mut sent_there = || {
         let requests = (200..300).filter(|object| {
             let source = sent_to(&router.request(0, *object)).1;
             router.advance(2);
             router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 20);
-            source == missing
+            source == unreachable
         });
         (requests.count(), router.advance(21_000).len()).0
     };
-    let (soon, late) = (sent_there(), sent_there());
-    assert!(soon < 20 && late > 35, "{soon} of 100 at first, {late} once it is warm");
+    let (while_warming, once_warm) = (sent_there(), sent_there());
+    assert!(
+        while_warming < 20 && once_warm > 35,
+        "{while_warming} of 100 fills at first, {once_warm} once the parent is warm"
+    );
 }
 
 #[test]
-fn a_hundred_routers_that_ejected_all_other_parents_do_not_overload_a_warming_one() {
+fn a_hundred_routers_that_ejected_the_other_parent_do_not_overload_a_warming_one() {
     let list: Vec<EndpointUpdate> =
         endpoint_list().into_iter().map(|entry| EndpointUpdate { capacity: 20.0, ..entry }).collect();
     let settings = |seed| [("capacity_known", 1.0), ("routers", 100.0), ("seed", f64::from(seed))];
@@ -81,7 +85,7 @@
     let warming = [EndpointUpdate { capacity: 20.0, ..entry(4, 1004, PARENT, Some(9000)) }];
     let mut filled = 0;
     for router in &mut routers {
-        router.serve_quietly(100, OutcomeDetail::Hit, 200);
+        router.serve_sequentially(100, OutcomeDetail::Hit, 200);
         router.advance(9000 - router.millis);
         router.engine.endpoints_changed(ListUpdateKind::Delta, &warming);
         for object in 0..40 {
@@ -102,7 +106,8 @@
             router.advance(25);
         }
     }
-    // A tenth of 20 transfers and a little more, twice, for two seconds: about 10 s of work, or 50 requests.
+    // The budget is a little more than a tenth of 20 transfers, times 2, times 2 s: about 10 s of work, or 50
+    // requests.
     assert!((1..40).contains(&filled), "{filled} fills from a warming parent");
 }
 
@@ -122,7 +127,7 @@
         }
         router.advance(10);
     }
-    assert!((50..300).contains(&sent), "{sent} sent");
+    assert!((50..300).contains(&sent), "{sent} of 500 requests sent");
 }
 
 #[test]
@@ -143,26 +148,29 @@
     assert_eq!(count_sent(&mut router), 0);
     router.engine.endpoints_changed(ListUpdateKind::Delta, &[entry(0, 1000, 0, Some(router.millis))]);
     let sent = count_sent(&mut router);
-    assert!((1..15).contains(&sent), "{sent} sent");
+    assert!((1..15).contains(&sent), "{sent} of 100 requests sent");
 }
 
 #[test]
-fn objects_return_to_a_restarted_parent_one_by_one() {
+fn objects_return_to_a_restarted_parent_gradually() {
     let mut router = start_router(&endpoint_list(), &[]);
-    router.serve_quietly(200, OutcomeDetail::FilledFromSource, 20);
+    router.serve_sequentially(200, OutcomeDetail::FilledFromSource, 20);
     router.engine.endpoints_changed(ListUpdateKind::Delta, &[entry(4, 1004, PARENT, Some(router.millis))]);
     let filled_there = |router: &mut TestRouter| {
-        let taken = (0..100).filter(|object| {
+        let filled = (0..100).filter(|object| {
             let source = sent_to(&router.request(0, *object)).1;
             router.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 20);
             source == 4
         });
-        taken.count()
+        filled.count()
     };
-    let early = filled_there(&mut router);
+    let at_start = filled_there(&mut router);
     router.advance(10_000);
     let middle = filled_there(&mut router);
     router.advance(11_000);
-    let late = filled_there(&mut router);
-    assert!(early < 15 && early < middle && middle < late && late > 35, "{early} {middle} {late}");
+    let once_warm = filled_there(&mut router);
+    assert!(
+        at_start < 15 && at_start < middle && middle < once_warm && once_warm > 35,
+        "{at_start}, {middle}, {once_warm} of 100 fills from the restarted parent after 0, 10 and 21 s"
+    );
 }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! The load of warming endpoints from all routers of a fleet: no more than their budget, and what is put down
-//! to chance.
+//! The load that all routers of a fleet put on warming caches. It must not exceed the slow start budget of a
+//! cache by more than an allowance for random fluctuation.
 
 mod support;
 
@@ -10,48 +10,50 @@
 use support::*;
 use tindoor::host::*;
 
-/// How a fleet's traffic is laid out.
+/// The routers, caches and traffic of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
 struct Layout {
     routers: usize,
     caches: u32,
-    /// Transfers at full speed that each cache carries at once.
+    /// The number of full-speed transfers that each cache can run at once.
     capacity: f32,
     capacity_known: bool,
-    /// Requests a second in all, outside and during the burst.
+    /// Requests per second of the whole fleet, outside and during the burst.
     rate: [f64; 2],
-    /// When the burst begins and ends, in milliseconds after the start of the warming caches.
+    /// The beginning and end of the burst, in milliseconds after the start of the warming caches.
     burst: [u64; 2],
-    /// Whether all caches warm up, or one.
+    /// Whether all caches warm up or only one.
     all_warming: bool,
-    /// How many seconds of traffic there are before the start.
+    /// The duration of traffic before the warming caches start, in seconds.
     history: u64,
-    /// Traffic of router `n` as a share: 1 / (n + 1) to this power.
+    /// The traffic of router `n` is proportional to 1 / (n + 1) to the power of `skew`.
     skew: f64,
 }
 
-/// The service time of a request, and the window in which a warming cache is overloaded, in milliseconds.
+/// The service time of a request, in milliseconds.
 const SERVICE_TIME: u64 = 200;
+/// The sliding window over which the load of a warming cache is limited, in milliseconds.
 const WINDOW: u64 = 1500;
-/// The share of its capacity that a cache has at its start, and when it has all of it, in milliseconds; the
-/// multiple of its capacity that it takes.
+/// The share of its full capacity that a cache has when it starts.
 const INITIAL_SHARE: f64 = 0.2;
+/// The time from the start of a cache until it has its full capacity, in milliseconds.
 const RAMP_DURATION: u64 = 15_000;
+/// The load at which a warming cache is overloaded, as a multiple of its current capacity.
 const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// How long traffic is simulated after the start, in milliseconds.
-const SIMULATED: u64 = 20_000;
+/// The duration of simulated traffic after the start of the warming caches, in milliseconds.
+const SIMULATED_DURATION: u64 = 20_000;
 
-/// What a simulation shows.
+/// The result of a simulation.
 struct Report {
-    /// The most that any window of a warming cache had beyond its budget of N requests, over the 2 x root of
-    /// N + 2 that are put down to chance.
+    /// The maximum excess over the budget of N requests in any window of a warming cache, divided by the
+    /// random excess of 2 * sqrt(N) + 2 requests that is allowed.
     excess: f64,
     /// The share of requests that were served.
     served: f64,
 }
 
 impl Layout {
-    /// When the warming caches start, in milliseconds.
+    /// The time at which the warming caches start, in milliseconds.
     fn start(&self) -> u64 {
         self.history * 1000
     }
@@ -60,13 +62,13 @@
         if self.all_warming { self.caches } else { 1 }
     }
 
-    /// The id of the first warming cache; they come last.
+    /// The id of the first warming cache. Warming caches are the last in the list.
     fn first_warming(&self) -> u32 {
         3 + self.caches - self.warming_caches()
     }
 
-    /// Parents that can do all there is, the origin, and the caches; the warming ones only once they have
-    /// started.
+    /// The parents and the origin, which have capacity for all requests, and the caches. Warming caches are
+    /// included only once they have started.
     fn endpoints(&self, have_started: bool) -> Vec<EndpointUpdate> {
         let upstream = [(0, PARENT), (1, PARENT), (2, ORIGIN)].map(|(id, kind)| EndpointUpdate {
             capacity: 1e4,
@@ -100,7 +102,7 @@
             .collect()
     }
 
-    /// The probability of a request in a millisecond at each router.
+    /// The probability that each router receives a request in the millisecond `now`.
     fn request_probabilities(&self, now: u64) -> Vec<f64> {
         let weights: Vec<f64> =
             (0..self.routers).map(|index| ((index + 1) as f64).powf(-self.skew)).collect();
@@ -110,7 +112,8 @@
         weights.iter().map(|weight| rate * weight / total / 1000.0).collect()
     }
 
-    /// The most that any window of a warming cache had beyond its budget, from the times of its requests.
+    /// The maximum excess over the budget in any window of a warming cache (see [`Report::excess`]), computed
+    /// from the times of its requests in milliseconds.
     fn excess(&self, times: &[u64]) -> f64 {
         let excess = times.iter().enumerate().map(|(last, at)| {
             let first = times.partition_point(|early| early + WINDOW <= *at);
@@ -123,7 +126,7 @@
         excess.fold(f64::MIN, f64::max)
     }
 
-    /// Simulates a fleet whose caches start and warm up.
+    /// Simulates the fleet before and after the warming caches start.
     fn simulate(&self, seed: u64) -> Report {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let start = self.start();
@@ -131,7 +134,7 @@
         let mut sent: Vec<Vec<u64>> = vec![Vec::new(); self.warming_caches() as usize];
         let (mut received, mut served) = (0, 0);
         let mut ends: BTreeMap<u64, Vec<(usize, u32)>> = BTreeMap::new();
-        for now in 0..start + SIMULATED {
+        for now in 0..start + SIMULATED_DURATION {
             if now == start && start > 0 {
                 for router in &mut routers {
                     router.engine.endpoints_changed(ListUpdateKind::Full, &self.endpoints(true));
@@ -167,9 +170,8 @@
     }
 }
 
-/// Thirty routers before ten caches of four transfers each, a hundred and twenty requests a second, one cache
-/// warming.
-const USUAL: Layout = Layout {
+/// Thirty routers and ten caches of four transfers each, with 120 requests per second and one warming cache.
+const BASE: Layout = Layout {
     routers: 30,
     caches: 10,
     capacity: 4.0,
@@ -181,31 +183,38 @@
     skew: 0.0,
 };
 
-/// Checks on some seeds that all routers together keep to the budget of a warming cache and do not starve it.
-fn assert_budget_is_kept(layout: Layout, least_served: f64) {
+/// Checks with several seeds that all routers together keep to the budget of a warming cache, and that at
+/// least a share `min_served` of all requests is served.
+fn assert_budget_is_kept(layout: Layout, min_served: f64) {
     for seed in 1..=3 {
         let Report { excess, served } = layout.simulate(seed);
-        assert!(excess < 1.0, "{excess:.2} of what chance may add, seed {seed}, {layout:?}");
-        assert!(served > least_served, "{served:.3} served, seed {seed}, {layout:?}");
+        assert!(
+            excess < 1.0,
+            "load exceeds the budget by {excess:.2} times the allowed random excess, seed {seed}, {layout:?}"
+        );
+        assert!(
+            served > min_served,
+            "{served:.3} of requests served, expected more than {min_served}, seed {seed}, {layout:?}"
+        );
     }
 }
 
 #[test]
 fn thirty_routers_with_even_or_uneven_traffic_keep_to_the_budget_of_one_warming_cache() {
-    assert_budget_is_kept(USUAL, 0.99);
-    assert_budget_is_kept(Layout { skew: 1.0, rate: [100.0, 300.0], ..USUAL }, 0.99);
-    assert_budget_is_kept(Layout { capacity_known: false, rate: [100.0, 300.0], ..USUAL }, 0.99);
+    assert_budget_is_kept(BASE, 0.99);
+    assert_budget_is_kept(Layout { skew: 1.0, rate: [100.0, 300.0], ..BASE }, 0.99);
+    assert_budget_is_kept(Layout { capacity_known: false, rate: [100.0, 300.0], ..BASE }, 0.99);
 }
 
 #[test]
 fn a_burst_at_all_routers_at_once_does_not_overload_a_small_warming_cache() {
-    assert_budget_is_kept(Layout { capacity: 1.0, rate: [10.0, 100.0], ..USUAL }, 0.99);
-    assert_budget_is_kept(Layout { capacity: 1.0, rate: [3.0, 90.0], burst: [3000, 5000], ..USUAL }, 0.99);
+    assert_budget_is_kept(Layout { capacity: 1.0, rate: [10.0, 100.0], ..BASE }, 0.99);
+    assert_budget_is_kept(Layout { capacity: 1.0, rate: [3.0, 90.0], burst: [3000, 5000], ..BASE }, 0.99);
 }
 
 #[test]
-fn where_all_caches_warm_up_their_budget_is_kept_and_used() {
-    let all_warming = Layout { all_warming: true, ..USUAL };
+fn while_all_caches_warm_up_their_budget_is_kept_and_used() {
+    let all_warming = Layout { all_warming: true, ..BASE };
     assert_budget_is_kept(all_warming, 0.8);
     assert_budget_is_kept(Layout { rate: [100.0, 300.0], ..all_warming }, 0.6);
     assert_budget_is_kept(Layout { capacity_known: false, rate: [100.0, 300.0], ..all_warming }, 0.3);
@@ -213,15 +222,16 @@
 
 #[test]
 fn a_burst_at_all_routers_at_once_does_not_overload_caches_that_all_warm_up() {
-    let sudden = Layout { all_warming: true, rate: [3.0, 90.0], capacity: 1.0, burst: [3000, 5000], ..USUAL };
-    assert_budget_is_kept(sudden, 0.4);
-    assert_budget_is_kept(Layout { routers: 20, rate: [3.0, 180.0], capacity: 2.0, ..sudden }, 0.4);
+    let sudden_burst =
+        Layout { all_warming: true, rate: [3.0, 90.0], capacity: 1.0, burst: [3000, 5000], ..BASE };
+    assert_budget_is_kept(sudden_burst, 0.4);
+    assert_budget_is_kept(Layout { routers: 20, rate: [3.0, 180.0], capacity: 2.0, ..sudden_burst }, 0.4);
 }
 
 #[test]
 fn routers_that_start_together_with_the_caches_keep_to_their_budget() {
-    assert_budget_is_kept(Layout { all_warming: true, history: 0, ..USUAL }, 0.7);
-    let burst = Layout { all_warming: true, history: 0, rate: [60.0, 300.0], burst: [0, 3000], ..USUAL };
+    assert_budget_is_kept(Layout { all_warming: true, history: 0, ..BASE }, 0.7);
+    let burst = Layout { all_warming: true, history: 0, rate: [60.0, 300.0], burst: [0, 3000], ..BASE };
     assert_budget_is_kept(burst, 0.4);
     assert_budget_is_kept(Layout { capacity: 1.0, ..burst }, 0.2);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A routing engine with a host that records its actions, for tests.
+//! Test support: a routing engine whose host records the engine's actions.
 
 #![allow(dead_code)]
 
@@ -7,10 +7,10 @@
 use tindoor::settings::*;
 use tindoor::time::{Moment, Span};
 
-/// A call of the engine to its host; the first number is the request's slot.
+/// A call that the engine made to its host. The first field is the request's slot.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// To an endpoint.
+    /// The second field is the endpoint.
     SendCacheOnly(u32, u32),
     SendWithFill {
         slot: u32,
@@ -21,14 +21,14 @@
         retention_rank: u8,
         only_if_cached: bool,
     },
-    /// The attempt of this index.
+    /// The second field is the index of the attempt.
     Cancel(u32, u16),
-    /// With this Retry-After.
+    /// The second field is the Retry-After.
     Reject(u32, Option<Span>),
     Fail(u32),
 }
 
-/// Records what the engine does.
+/// A host that records the calls of the engine.
 #[derive(Default)]
 pub struct RecordingHost(pub Vec<Action>);
 
@@ -66,13 +66,13 @@
     fn watch_endpoints(&mut self) {}
 }
 
-/// The endpoint kinds of parents and origins; caches are of kind 0.
+/// The endpoint kinds of parents and origins; caches have kind 0.
 pub const PARENT: u8 = 1;
 pub const ORIGIN: u8 = 2;
-/// When every router starts, in microseconds.
+/// The time at which every router starts, in microseconds.
 pub const START: u64 = 100_000_000;
 
-/// A routing engine, its clock in milliseconds since [`START`], and what its next requests are like.
+/// A routing engine, its clock in milliseconds since [`START`], and the properties of its next requests.
 pub struct TestRouter {
     pub engine: RoutingEngine<RecordingHost>,
     pub millis: u64,
@@ -82,8 +82,8 @@
     pub size_kb: Option<f32>,
 }
 
-/// A ready endpoint of the list; caches are in the routers' location. Starts are in milliseconds since
-/// [`START`].
+/// Returns the list entry of a ready endpoint. Caches are in the location of the routers. `started_at` is in
+/// milliseconds since [`START`].
 pub fn entry(endpoint: u32, stable_id: u64, kind: u8, started_at: Option<u64>) -> EndpointUpdate {
     EndpointUpdate {
         endpoint: EndpointId(endpoint),
@@ -97,19 +97,20 @@
     }
 }
 
-/// Four caches, two parents and the origin, in that order.
+/// Returns the entries of four caches, two parents and the origin, in this order.
 pub fn endpoint_list() -> Vec<EndpointUpdate> {
     let kinds = [0, 0, 0, 0, PARENT, PARENT, ORIGIN];
     kinds.iter().zip(0..).map(|(kind, id)| entry(id, 1000 + u64::from(id), *kind, None)).collect()
 }
 
-/// A router with these endpoints. Request class 0 is idempotent and stored; 1 may be served stale; 2 is
-/// idempotent with a key, 3 non-idempotent, and both run at the origin. `changes` are settings by name, with
-/// their values.
+/// Starts a router with these endpoints. `changes` lists changed settings by name, with their new values.
+///
+/// Request class 0 is idempotent and stored, class 1 may also be served stale, class 2 is idempotent with a
+/// key, and class 3 is non-idempotent. Requests of classes 2 and 3 run at the origin.
 pub fn start_router(list: &[EndpointUpdate], changes: &[(&str, f64)]) -> TestRouter {
     let mut settings = settings();
     for (name, value) in changes {
-        change(&mut settings, name, *value);
+        change_setting(&mut settings, name, *value);
     }
     let seed = changes.iter().find(|(name, _)| *name == "seed").map_or(7, |(_, value)| *value as u64);
     let start = Moment::at_micros(START);
@@ -126,7 +127,7 @@
 }
 
 impl TestRouter {
-    /// Advances the clock by single milliseconds; gives all actions since the last call.
+    /// Advances the clock in steps of one millisecond. Returns all actions since the previous call.
     pub fn advance(&mut self, millis: u64) -> Vec<Action> {
         for _ in 0..millis {
             self.millis += 1;
@@ -136,7 +137,7 @@
         std::mem::take(&mut self.engine.host().0)
     }
 
-    /// Receives a request for an object of group 9 with that much time remaining.
+    /// Receives a request for an object of group 9 with `millis` milliseconds remaining.
     pub fn request_within(&mut self, class: u16, object: u64, millis: u64) -> Vec<Action> {
         let meta = RequestMeta {
             object,
@@ -158,7 +159,8 @@
         self.request_within(class, object, 4000)
     }
 
-    /// Ends an attempt of the last request; one that is served is the request's last.
+    /// Ends an attempt of the last request after `millis` milliseconds. A served attempt is the request's
+    /// last.
     pub fn end_attempt(
         &mut self,
         index: u16,
@@ -169,7 +171,7 @@
         self.end_attempt_of(self.last_slot, index, status, detail, millis)
     }
 
-    /// Ends an attempt of the request in that slot.
+    /// Ends an attempt of the request in this slot after `millis` milliseconds.
     pub fn end_attempt_of(
         &mut self,
         slot: u32,
@@ -184,8 +186,8 @@
         self.advance(0)
     }
 
-    /// Serves that many requests, ten milliseconds apart, none while another is in flight.
-    pub fn serve_quietly(&mut self, requests: u64, detail: OutcomeDetail, millis: u64) {
+    /// Serves requests one after another, 10 ms apart, each with a response time of `millis` milliseconds.
+    pub fn serve_sequentially(&mut self, requests: u64, detail: OutcomeDetail, millis: u64) {
         for object in 0..requests {
             self.request(0, object);
             self.advance(10);
@@ -194,11 +196,11 @@
     }
 }
 
-/// The endpoint and the source of the one attempt sent.
+/// Returns the endpoint and the source of the only attempt sent.
 pub fn sent_to(actions: &[Action]) -> (u32, u32) {
     match actions {
         [Action::SendWithFill { endpoint, source, .. }] => (*endpoint, *source),
-        other => panic!("one attempt with a fill expected, not {other:?}"),
+        other => panic!("expected exactly one attempt with a fill, got {other:?}"),
     }
 }
 
@@ -265,7 +267,7 @@
     ]
 }
 
-fn change(settings: &mut Settings, name: &str, value: f64) {
+fn change_setting(settings: &mut Settings, name: &str, value: f64) {
     let Settings { topology, attempts, rejection, slow_start, .. } = settings;
     let (flag, span) = (value > 0.0, Span::micros(value as u64));
     match name {
@@ -283,8 +285,8 @@
         "overload_multiple" => slow_start.caches.overload_multiple = Some(value),
         "warm_within" => slow_start.caches.duration = Some(span),
         "slow_start_window" => slow_start.window = Some(span),
-        // Read by `router`.
+        // Used by `start_router`.
         "seed" => {}
-        other => panic!("{other}: no such setting"),
+        other => panic!("unknown test setting: {other}"),
     }
 }
