--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -2,8 +2,8 @@
 //! service:
 //!
 //! 1. No attempt is sent for a request that has its final answer or too little time left for an answer.
-//! 2. A request that may have run is sent again only where a second run does no harm, and has only one
-//!    attempt in flight unless hedged requests are permitted.
+//! 2. A request that may have run is sent again only where running it twice does no harm. Only one attempt
+//!    of a request is in flight, unless hedged requests are permitted.
 //! 3. Draining and removed endpoints get no new attempts.
 //! 4. Warming endpoints are not overloaded.
 //! 5. Copies from before a purge are not served.
@@ -18,7 +18,7 @@
 use super::routing::CONGESTED;
 use super::slow_start::AttemptId;
 
-/// The minimum time before the deadline at which an attempt is still sent.
+/// The minimum time that must remain before the deadline for an attempt to be sent.
 pub(super) const MIN_TIME_REMAINING: Span = Span::millis(10);
 /// How long before the end of the retry window an attempt must be sent, so that it arrives within the window.
 const RETRY_WINDOW_MARGIN: Span = Span::millis(20);
@@ -103,7 +103,7 @@
         request.deadline.since(self.now) >= MIN_TIME_REMAINING
     }
 
-    /// Rule 2: a request that may have run is sent again only where a second run does no harm.
+    /// Rule 2: a request that may have run is sent again only where running it twice does no harm.
     fn rule_2_permits_retry(&self, request: &Request, endpoint: EndpointId) -> bool {
         let class = self.class(request.meta.class);
         let Some(FirstRun { at, endpoint: first }) = request.first_run() else { return true };
--- a/src/engine/routing.rs
+++ b/src/engine/routing.rs
@@ -142,7 +142,8 @@
     }
 
     /// Returns the endpoint that answers: the best cache, or the source itself if no cache can take the
-    /// request, or if the cache would be late and the source answers in time.
+    /// request, or if the cache would be late and the source answers in time. `None` if no endpoint can take
+    /// the request or all of them would be late.
     fn choose_endpoint(
         &self,
         request: &Request,
--- a/src/engine/slow_start.rs
+++ b/src/engine/slow_start.rs
@@ -14,7 +14,7 @@
 use super::requests::RequestId;
 use super::samples::Samples;
 
-/// The shortest ramp, in seconds, which keeps divisors above 0.
+/// The minimum duration of a ramp, in seconds, which keeps divisors above 0.
 const MIN_RAMP_SECS: f64 = 0.001;
 /// The ramp duration of caches if the settings contain none.
 const DEFAULT_RAMP_DURATION: Span = Span::millis(15_000);
@@ -141,7 +141,8 @@
     }
 
     /// Returns an endpoint's share of the capacity of its tier. That capacity includes recently active
-    /// endpoints: if several endpoints are restarted together, one of them may be listed first.
+    /// endpoints: if several endpoints are restarted together, the first one to be listed would otherwise get
+    /// the load of the whole tier.
     fn tier_share(&self, endpoint: &Endpoint) -> f64 {
         let ramp_duration = self.settings.slow_start.caches.duration.unwrap_or(DEFAULT_RAMP_DURATION);
         let since = self.now - ramp_duration * ACTIVE_WITHIN_RAMPS;
@@ -203,9 +204,9 @@
     /// Returns the demand on a warming endpoint in one window, including this work, in seconds of service
     /// time.
     ///
-    /// Right after the start it is the endpoint's share of all requests, because routers that have ejected
-    /// the other endpoints send more than the objects that a warm endpoint would get. Later it is the
-    /// observed demand.
+    /// Right after the start, the demand is assumed to be the endpoint's share of all requests: routers that
+    /// have ejected the other endpoints send more than the objects that a warm endpoint would get. Later, the
+    /// demand is computed from the observed requests.
     fn demand(&self, endpoint: &Endpoint, work: f64, expected_rate: Option<f64>) -> f64 {
         let window = self.settings.slow_start.window();
         let expected_rate =
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -21,7 +21,7 @@
         one.end_attempt_of(one.last_slot - 1, 0, AttemptStatus::Served, OutcomeDetail::Hit, 50);
         other.end_attempt(0, AttemptStatus::Served, OutcomeDetail::Hit, 50);
     }
-    assert!(used[..4].iter().all(|used| *used > 3), "{used:?} requests per cache");
+    assert!(used[..4].iter().all(|used| *used > 3), "{used:?} objects per endpoint");
     assert!(matches!(
         one.request(0, 5)[..],
         [Action::SendWithFill { join_fill: true, retention_rank: 1, .. }]
