--- a/crates/quota/src/fair_shares.rs
+++ b/crates/quota/src/fair_shares.rs
@@ -1,12 +1,12 @@
-//! Weighted max-min fair division: nobody gets more than it wants, and whoever gets less gets as much by
-//! weight as anybody.
+//! Weighted max-min fair division: no share exceeds its demand, and every share below its demand is, relative
+//! to its weight, at least as large as any other share.
 
-/// What one participant wants of the amount to divide.
+/// The demand of one participant in a division.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WeightedDemand {
     /// The amount wanted.
     pub amount: u64,
-    /// The weight; 0 counts as 1.
+    /// The weight; 0 is treated as 1.
     pub weight: u64,
 }
 
@@ -16,9 +16,10 @@
     }
 }
 
-/// Divides `total` in multiples of `granularity`; returns the share of each demand, in their order. Where
-/// there are fewer multiples than demands, `rotation` decides who gets none, and the next rotation skips
-/// others.
+/// Divides `total` by weighted max-min fairness, in multiples of `granularity`.
+///
+/// Returns one share per demand, in the order of `demands`. If there are fewer multiples than demands, some
+/// demands get no share: `rotation` selects which ones, and the next `rotation` selects others.
 pub fn max_min_fair_shares(
     total: u64,
     demands: &[WeightedDemand],
@@ -26,11 +27,11 @@
     rotation: usize,
 ) -> Vec<u64> {
     let granularity = granularity.max(1);
-    let order = by_demand_per_weight(demands);
+    let order = indices_by_demand_per_weight(demands);
     let mut shares = vec![0; demands.len()];
     let mut remaining = fill_in_order(total, demands, &order, &mut shares);
-    // Shares are rounded only now: rounding while filling would leave the remainder to the last in the order
-    // each time.
+    // Shares are rounded only after the division: rounding each share during the division would give the
+    // remainder to the last demand in the order every time.
     for share in &mut shares {
         remaining += *share % granularity;
         *share -= *share % granularity;
@@ -47,8 +48,8 @@
     shares
 }
 
-/// Indices of the demands that want anything, the smallest demand by weight first.
-fn by_demand_per_weight(demands: &[WeightedDemand]) -> Vec<usize> {
+/// Indices of the demands above zero, sorted by demand per weight in ascending order.
+fn indices_by_demand_per_weight(demands: &[WeightedDemand]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..demands.len()).filter(|index| demands[*index].amount > 0).collect();
     order.sort_by(|a, b| {
         let (first, second) = (&demands[*a], &demands[*b]);
@@ -59,8 +60,8 @@
     order
 }
 
-/// Gives each its demand or its fair part of what remains, whichever is less; what the smaller demands leave
-/// goes to those after them. Returns what remains in the end.
+/// Sets each share to the smaller of its demand and its fair part of the remaining amount, so that what small
+/// demands leave is divided among the later, larger ones. Returns the amount that remains at the end.
 fn fill_in_order(total: u64, demands: &[WeightedDemand], order: &[usize], shares: &mut [u64]) -> u64 {
     let mut remaining = total;
     let mut remaining_weight: u128 = order.iter().map(|index| demands[*index].effective_weight()).sum();
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,10 +1,10 @@
-//! Division of a fleet's budgets among its routers, such that the fleet never spends more than the total.
+//! Division of a fleet's budgets among its routers, so that the fleet never spends more than the total.
 //!
-//! This crate is one router's side of it: what the router may spend ([`TokenBucket`]), what it has granted to
-//! others ([`LeaseLedger`]), and the requests and grants that it exchanges ([`Participant`]). Nothing here
-//! does I/O, reads a clock or draws random numbers.
+//! This crate implements the part of a single router: what the router may spend ([`TokenBucket`]), what it
+//! has granted to others ([`LeaseLedger`]), and the requests and grants that it exchanges with other routers
+//! ([`Participant`]). The crate does no I/O, reads no clock and draws no random numbers.
 //!
-//! The guarantees, and the argument why they hold, are in `docs/design/budgets.md`.
+//! `docs/design/budgets.md` states the guarantees and explains why they hold.
 
 mod budget;
 mod demand_window;
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,53 +1,54 @@
-//! Messages between a router and its lender. They cross the wire in postcard's form: the order of fields is
-//! fixed.
+//! Messages between a router and its lender. They are encoded with postcard, so the order of their fields
+//! must not change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{BudgetKey, Quota};
 
-/// A router's request for quota. It names every key of which the router might still spend something; a key
-/// that it does not name it does not hold.
+/// A router's request for quota. The request lists every key of which the router might still spend granted
+/// quota; the router holds nothing of a key that is not listed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// Increases with each request of one incarnation; a new request voids the answers to all earlier ones.
+    /// Increases with each request of one incarnation. The answers to earlier requests become void with a new
+    /// request.
     pub nonce: u64,
     /// Demand and holdings by key.
     pub demands: Vec<KeyDemand>,
 }
 
-/// What a router wants and holds of one key.
+/// A router's demand and holdings of one key.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyDemand {
     /// The key.
     pub key: BudgetKey,
-    /// What the router wants beyond its guaranteed minimum.
+    /// The quota that the router requests beyond its guaranteed minimum.
     pub demand: Quota,
-    /// Its weight in the division.
+    /// The router's weight in the division.
     pub weight: u64,
-    /// All that it might still spend beyond its guaranteed minimum.
+    /// All quota that the router might still spend beyond its guaranteed minimum.
     pub holdings: Quota,
-    /// The term of the leader that granted the holdings itself; 0 where another router granted them.
+    /// The term of the leader that granted the holdings; 0 if a router other than the leader granted them.
     pub lender_term: u64,
 }
 
 /// The answer to a [`QuotaRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// That of the request.
+    /// The nonce of the request.
     pub nonce: u64,
-    /// The lender's term where it is the leader; 0 where it passes on part of its own grant.
+    /// The lender's term if the lender is the leader; 0 if the lender passes on a part of its own grant.
     pub lender_term: u64,
-    /// What is granted, by key.
+    /// The granted quota, by key.
     pub grants: Vec<Granted>,
 }
 
-/// What is granted of one key.
+/// The granted quota of one key.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Granted {
     /// The key.
     pub key: BudgetKey,
-    /// What may be spent beyond the guaranteed minimum.
+    /// The quota that the borrower may spend beyond its guaranteed minimum.
     pub quota: Quota,
-    /// How long it may be spent, in microseconds from the request on.
+    /// How long the borrower may spend the quota, in microseconds from the time it sent the request.
     pub duration_us: u64,
 }
--- a/crates/quota/src/participant.rs
+++ b/crates/quota/src/participant.rs
@@ -1,6 +1,6 @@
-//! One router's part in the division of the fleet's budgets: what it may spend, what it grants to others, and
-//! what it requests from its lender. The leader has the fleet's total; every other router has what it is
-//! granted.
+//! One router's part in the division of the fleet's budgets: what the router may spend, what it grants to
+//! others, and what it requests from its lender. The leader divides the fleet's total; every other router
+//! divides the quota that it is granted.
 
 mod borrowing;
 mod lending;
@@ -14,27 +14,29 @@
 use crate::token_bucket::TokenBucket;
 use crate::{BudgetKey, BudgetLimit, BudgetPlan, Quota};
 
-/// The most keys that are known at once, so that one message can name all of them.
+/// The largest number of keys with state at once, so that one message can list all of them.
 const MAX_KEYS: usize = 1024;
 
-/// How long a key is kept that is not used.
+/// How long the state of an unused key is kept.
 const IDLE_KEY_RETENTION: Span = Span::millis(30_000);
 
-/// Checks that keep the fleet within its totals. A test may disable one to show that its audit detects the
-/// fault.
+/// The checks that keep the fleet within its totals. A test may disable a check to show that the test detects
+/// the resulting fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyChecks {
-    /// A grant counts as outstanding until it has expired.
+    /// A grant is outstanding until it has expired.
     pub count_until_expired: bool,
-    /// A new leader waits until the grants of its predecessor have expired, except for those that it renews.
+    /// A new leader grants nothing until the grants of its predecessor have expired; until then it only
+    /// renews such grants.
     pub wait_for_predecessor: bool,
-    /// A grant counts as outstanding until its borrower reports that it holds less.
+    /// A grant is outstanding until its borrower reports that it holds less.
     pub count_until_returned: bool,
-    /// Burst that is moved to a router comes without tokens.
+    /// A burst that is added to a router's grant adds no tokens.
     pub empty_bursts: bool,
-    /// A router spends nothing beyond its guaranteed minimum once its lease is over.
+    /// A router spends nothing beyond its guaranteed minimum once its grant has expired.
     pub stop_at_expiry: bool,
-    /// The guaranteed minima of all possible routers are set aside from what is granted.
+    /// The leader reserves the guaranteed minima of [`BudgetLimit::max_routers`] routers and grants only the
+    /// remainder.
     pub reserve_guaranteed: bool,
 }
 
@@ -51,51 +53,52 @@
     }
 }
 
-/// What may be spent of a key.
+/// The quota of one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaStatus {
     /// The key.
     pub key: BudgetKey,
     /// What this router may spend.
     pub own: Quota,
-    /// What the fleet may spend.
+    /// What the whole fleet may spend.
     pub total: Quota,
 }
 
-/// One key as this router knows it.
+/// The state of one key at this router.
 #[derive(Clone, Debug)]
 struct KeyState {
     bucket: TokenBucket,
     ledger: LeaseLedger,
-    /// The term of the leader that granted the income; 0 where another router did.
+    /// The term of the leader that granted the lendable quota; 0 if a router other than the leader granted
+    /// it.
     lender_term: u64,
 }
 
-/// This router's leadership.
+/// This router's leadership of the fleet.
 #[derive(Clone, Copy, Debug)]
 struct Leadership {
     term: u64,
-    /// The last moment at which a majority confirmed it.
+    /// The last moment at which a majority confirmed this leadership.
     confirmed: Option<Moment>,
-    /// From when on it grants more than it renews.
+    /// When this leader starts to make new grants; until then it only renews its predecessor's grants.
     grants_from: Option<Moment>,
 }
 
-/// The request that is not answered yet.
+/// The last request to the lender, while it is unanswered.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     nonce: u64,
     sent_at: Moment,
 }
 
-/// The last request of a router that requests quota here.
+/// The last request that this router received from a borrower.
 #[derive(Clone, Copy, Debug)]
 struct LastRequest {
     nonce: u64,
     received_at: Moment,
 }
 
-/// One router's part in the division of the fleet's budgets.
+/// One router's part in the division of the fleet's budgets: spends, requests and grants quota.
 #[derive(Clone, Debug)]
 pub struct Participant {
     own: Incarnation,
@@ -103,7 +106,7 @@
     checks: SafetyChecks,
     weight: u64,
     plan: BudgetPlan,
-    /// The plan after a decided change; grants must fit both.
+    /// The plan that a decided change will put into force. Grants must fit both plans.
     next_plan: Option<BudgetPlan>,
     /// Whether this incarnation may spend its guaranteed minima.
     owns_guaranteed: bool,
@@ -116,7 +119,7 @@
 }
 
 impl Participant {
-    /// A router without budgets, whose claims have `weight` in the division.
+    /// Creates the state of a router without budgets, whose claims have `weight` in the division.
     pub fn new(own: Incarnation, timings: Timings, checks: SafetyChecks, weight: u64) -> Self {
         Self {
             own,
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Sets the plan in force at this router, and the one that follows it.
+    /// Sets the plan in force at this router, and the plan that will replace it.
     pub fn set_plan(&mut self, now: Moment, plan: BudgetPlan, next: Option<BudgetPlan>) {
         self.plan = plan;
         self.next_plan = next;
@@ -143,8 +146,8 @@
         self.update_limits(now);
     }
 
-    /// Sets whether this incarnation may spend its guaranteed minima: while the one before it might, it may
-    /// not.
+    /// Sets whether this incarnation may spend its guaranteed minima. It may not do so as long as the
+    /// router's previous incarnation might still spend them.
     pub fn set_owns_guaranteed(&mut self, now: Moment, owns: bool) {
         if self.owns_guaranteed != owns {
             self.owns_guaranteed = owns;
@@ -160,12 +163,13 @@
         }
     }
 
-    /// Whether no budget is divided, now or by the next plan.
+    /// Whether neither the current plan nor a next plan divides any budget.
     pub fn is_idle(&self) -> bool {
         self.plan.is_empty() && self.next_plan.is_none()
     }
 
-    /// The state of a limited key, which is created on its first use.
+    /// Returns the state of a limited key, and creates it on first use. `None` if the key is not limited, or
+    /// if [`MAX_KEYS`] other keys already have state.
     fn key_state(&mut self, now: Moment, key: BudgetKey) -> Option<&mut KeyState> {
         let limit = self.plan.limit(key)?;
         if !self.keys.contains_key(&key) && self.keys.len() >= MAX_KEYS {
@@ -174,12 +178,12 @@
         let (checks, owns_guaranteed) = (self.checks, self.owns_guaranteed);
         Some(self.keys.entry(key).or_insert_with(|| {
             let mut bucket = TokenBucket::new(own_limit(limit, owns_guaranteed), now);
-            bucket.burst_comes_full = !checks.empty_bursts;
+            bucket.fill_added_burst = !checks.empty_bursts;
             KeyState { bucket, ledger: LeaseLedger::default(), lender_term: 0 }
         }))
     }
 
-    /// Whether one unit of each key could be spent now. Keys that are not limited always can.
+    /// Whether one unit of each key could be spent now. Units of keys that are not limited always can.
     pub fn can_afford(&mut self, now: Moment, keys: &[BudgetKey]) -> bool {
         keys.iter().all(|key| {
             self.plan.limit(*key).is_none()
@@ -187,7 +191,7 @@
         })
     }
 
-    /// Spends one unit of each key, or none of any; returns whether it did.
+    /// Spends one unit of each key, or nothing if any key has no unit left. Returns whether units were spent.
     pub fn spend(&mut self, now: Moment, keys: &[BudgetKey]) -> bool {
         if !self.can_afford(now, keys) {
             self.record_refusal(now, keys);
@@ -201,7 +205,8 @@
         true
     }
 
-    /// Records that one unit of each key was wanted, and not all were available.
+    /// Records demand for one unit of each key, for a request that was refused because not all units were
+    /// available.
     pub fn record_refusal(&mut self, now: Moment, keys: &[BudgetKey]) {
         for key in keys {
             if let Some(state) = self.key_state(now, *key) {
@@ -210,8 +215,8 @@
         }
     }
 
-    /// Ends the charges that were made at `spent_at`, and refunds them unless they were used: a cache hit
-    /// fills nothing.
+    /// Settles the charges that were made at `spent_at`, and refunds them unless they were used. For example,
+    /// a cache hit causes no fill, so a charge for a fill is refunded.
     pub fn settle(&mut self, now: Moment, spent_at: Moment, keys: &[BudgetKey], used: bool) {
         for key in keys {
             if let Some(state) = self.keys.get_mut(key) {
@@ -229,14 +234,15 @@
         }
     }
 
-    /// This router's fraction of a key, and records that it was wanted; none where the key is not limited.
+    /// Returns this router's fraction of a key's total and records demand for it. `None` if the key is not
+    /// limited.
     pub fn share_fraction(&mut self, now: Moment, key: BudgetKey) -> Option<f64> {
         let state = self.key_state(now, key)?;
         state.bucket.record_refusal(now);
         Some(state.bucket.share_fraction(now))
     }
 
-    /// What this router and the fleet may spend of each known key now.
+    /// Returns what this router and the whole fleet may spend now, for each key with state.
     pub fn quotas(&self, now: Moment) -> Vec<QuotaStatus> {
         let status = |(key, state): (&BudgetKey, &KeyState)| QuotaStatus {
             key: *key,
@@ -246,7 +252,8 @@
         self.keys.iter().map(status).collect()
     }
 
-    /// All that this router itself might still spend of each key, the guaranteed minimum included.
+    /// Returns all quota that this router itself might still spend of each key, including the guaranteed
+    /// minimum.
     pub fn max_spendable(&mut self, now: Moment) -> Vec<(BudgetKey, Quota)> {
         let spendable = |(key, state): (&BudgetKey, &mut KeyState)| {
             (*key, state.bucket.holdings(now).plus(state.bucket.limit().guaranteed))
@@ -254,7 +261,8 @@
         self.keys.iter_mut().map(spendable).collect()
     }
 
-    /// Drops all grants that were counted by the clock before it jumped. Units in flight stay so.
+    /// Handles a jump of the local clock: drops all grants, whose expiry was measured by that clock. Units in
+    /// flight remain counted.
     pub fn clock_jumped(&mut self, now: Moment) {
         let plan = std::mem::take(&mut self.plan);
         let next_plan = self.next_plan.take();
@@ -272,8 +280,8 @@
     }
 }
 
-/// The limit by which one router spends: without a guaranteed minimum while that may be another
-/// incarnation's.
+/// The limit that applies to this router's own spending. It has no guaranteed minimum as long as the router's
+/// previous incarnation might still spend that minimum.
 fn own_limit(limit: &BudgetLimit, owns_guaranteed: bool) -> BudgetLimit {
     if owns_guaranteed { *limit } else { BudgetLimit { guaranteed: Quota::NONE, ..*limit } }
 }
--- a/crates/quota/src/participant/borrowing.rs
+++ b/crates/quota/src/participant/borrowing.rs
@@ -1,4 +1,4 @@
-//! The borrower's side: requests to the lender, and its answers.
+//! The borrower's side: requests to the lender, and the lender's answers.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,12 @@
 use super::{OpenRequest, Participant};
 use crate::{BudgetKey, Granted, KeyDemand, Quota, QuotaGrant, QuotaRequest};
 
-/// How long an answer is awaited before the next request, in leases.
+/// How long a router waits for an answer before it sends the next request, as a fraction of the lease.
 const REQUEST_TIMEOUT_LEASES: f64 = 0.25;
 
 impl Participant {
-    /// The request to send to this router's lender: none while an answer is awaited, and none at the leader.
+    /// Returns the request to send to this router's lender. `None` while an earlier request is pending, at
+    /// the leader, and if no budget is divided.
     pub fn next_request(&mut self, now: Moment) -> Option<QuotaRequest> {
         if self.leadership.is_some() || self.plan.is_empty() {
             return None;
@@ -28,10 +29,11 @@
         let mut demands: Vec<KeyDemand> = Vec::new();
         for (key, state) in &self.keys {
             let claim = state.ledger.total_claim();
-            // All of the income may be spent or granted to others at any time, until it is lowered.
-            let income_valid = now < state.ledger.income_expires();
-            let income = if income_valid { state.ledger.income() } else { Quota::NONE };
-            let holdings = state.ledger.outstanding().max(income);
+            // This router may spend all of its lendable quota, or grant it to others, at any time until a new
+            // answer lowers it.
+            let lendable_valid = now < state.ledger.lendable_until();
+            let lendable = if lendable_valid { state.ledger.lendable() } else { Quota::NONE };
+            let holdings = state.ledger.outstanding().max(lendable);
             if claim.demand != Quota::NONE || holdings != Quota::NONE {
                 demands.push(KeyDemand {
                     key: *key,
@@ -45,18 +47,18 @@
         Some(QuotaRequest { nonce: self.last_nonce, demands })
     }
 
-    /// How many requests in a row were not answered.
+    /// The number of consecutive requests that were not answered in time.
     pub fn unanswered_requests(&self) -> u32 {
         self.unanswered_requests
     }
 
-    /// Starts counting unanswered requests again, when another lender is asked.
+    /// Resets the count of unanswered requests, when the router switches to another lender.
     pub fn reset_unanswered_requests(&mut self) {
         self.unanswered_requests = 0;
     }
 
-    /// Accepts the answer to the last request. Answers to earlier ones are void: the lender may have granted
-    /// the quota to others since.
+    /// Accepts the answer to the last request. Ignores answers to earlier requests, because the lender may
+    /// have granted that quota to others since.
     pub fn accept_grant(&mut self, now: Moment, answer: QuotaGrant) {
         let Some(request) = self.open_request.take_if(|open| open.nonce == answer.nonce) else { return };
         self.unanswered_requests = 0;
@@ -71,7 +73,7 @@
             let quota = granted.map_or(Quota::NONE, |granted| granted.quota);
             let duration = granted.map_or(Span::ZERO, |granted| Span::micros(granted.duration_us)).min(lease);
             let expires = request.sent_at + duration - self.timings.drift(lease).min(duration);
-            state.ledger.set_income(quota, expires);
+            state.ledger.set_lendable(quota, expires);
             state.lender_term = answer.lender_term;
         }
         self.update_own_grants(now);
--- a/crates/quota/src/participant/lending.rs
+++ b/crates/quota/src/participant/lending.rs
@@ -1,5 +1,5 @@
-//! The lender's side: the leader's income, and grants to those that request quota here, this router among
-//! them.
+//! The lender's side: the leader's lendable quota, and grants to borrowers. A router is also a borrower from
+//! its own ledger.
 
 use std::collections::BTreeSet;
 
@@ -10,18 +10,18 @@
 use crate::lease_ledger::{Claim, Grant, LedgerChecks, LendingTerms, LoanRequest};
 use crate::{BudgetKey, BudgetLimit, Granted, KeyDemand, Quota, QuotaGrant, QuotaRequest};
 
-/// The most routers that may request quota here.
+/// The largest number of routers whose last request is remembered. Requests of further routers are ignored.
 const MAX_REQUESTERS: usize = 8192;
 
-/// The largest weight in the division, so that sums of weights don't overflow.
+/// The largest weight in the division; the bound keeps sums of weights from overflowing.
 const MAX_WEIGHT: u64 = 1 << 40;
 
-/// How long a router that is no longer a member is remembered after its last request, in leases.
+/// How long the last request of a router that is no longer a member is remembered, in leases.
 const REQUESTER_RETENTION_LEASES: f64 = 4.0;
 
 impl Participant {
-    /// This router leads in `term`, and did so at `confirmed` for certain. Leases are counted from the same
-    /// confirmations.
+    /// Records that this router leads in `term`, and that a majority last confirmed its leadership at
+    /// `confirmed`. Routers' leases are measured from the same confirmations.
     pub fn lead(&mut self, now: Moment, term: u64, confirmed: Option<Moment>) {
         if self.leadership.is_none_or(|leadership| leadership.term != term) {
             if let Some(previous) = self.leadership {
@@ -32,24 +32,26 @@
         let wait = if self.checks.wait_for_predecessor { self.longest_lease() } else { Span::ZERO };
         let leadership = self.leadership.as_mut().expect("set above");
         leadership.confirmed = leadership.confirmed.max(confirmed);
-        // The predecessor was last confirmed before this leader was elected: its grants have expired a lease
-        // later.
+        // The predecessor was last confirmed before this leader was elected, so its grants have expired one
+        // lease after this leader's first confirmation.
         leadership.grants_from = leadership.grants_from.or(confirmed.map(|confirmed| confirmed + wait));
         let keys: Vec<BudgetKey> = self.keys.keys().copied().collect();
         for key in keys {
-            self.update_leader_income(key);
+            self.update_leader_lendable(key);
         }
         self.update_own_grants(now);
     }
 
-    /// This router does not lead. Borrowers show their grants to the new leader, which renews them.
+    /// Records that this router does not lead. Borrowers report their grants to the new leader, which renews
+    /// them.
     pub fn follow(&mut self) {
         if self.leadership.take().is_some() {
             self.reset_lending(0);
         }
     }
 
-    /// Drops the accounts of all grants. What this router holds itself counts as granted in `lender_term`.
+    /// Clears the ledgers of all keys. The quota that this router itself holds is reported as granted in
+    /// `lender_term`.
     fn reset_lending(&mut self, lender_term: u64) {
         for state in self.keys.values_mut() {
             state.ledger.reset();
@@ -58,14 +60,14 @@
         self.requesters.clear();
     }
 
-    /// The longest that a lease may last by the slowest clock.
+    /// The longest time that a lease may last, measured by the slowest clock.
     fn longest_lease(&self) -> Span {
         self.timings.lease + self.timings.drift(self.timings.lease)
     }
 
-    /// Sets the leader's income of a key for a lease from the last confirmation on: what the current plan and
-    /// the next one both allow.
-    fn update_leader_income(&mut self, key: BudgetKey) {
+    /// Sets the leader's lendable quota of a key to what both the current and the next plan allow, for one
+    /// lease from the last confirmation. Does nothing if this router does not lead or is not confirmed yet.
+    fn update_leader_lendable(&mut self, key: BudgetKey) {
         let Some(confirmed) = self.leadership.and_then(|leadership| leadership.confirmed) else { return };
         let expires = confirmed + self.timings.lease - self.timings.drift(self.timings.lease);
         let reserve_guaranteed = self.checks.reserve_guaranteed;
@@ -73,13 +75,13 @@
             |limit: &BudgetLimit| if reserve_guaranteed { limit.grantable() } else { limit.total };
         let plans = [Some(&self.plan), self.next_plan.as_ref()];
         let limits = plans.into_iter().flatten().filter_map(|plan| plan.limit(key));
-        let income = limits.map(grantable).reduce(Quota::min);
-        if let (Some(income), Some(state)) = (income, self.keys.get_mut(&key)) {
-            state.ledger.set_income(income, expires);
+        let lendable = limits.map(grantable).reduce(Quota::min);
+        if let (Some(lendable), Some(state)) = (lendable, self.keys.get_mut(&key)) {
+            state.ledger.set_lendable(lendable, expires);
         }
     }
 
-    /// Grants this router its own part of each key, and drops keys that are no longer used.
+    /// Grants this router its own share of each key, and drops the state of idle keys.
     pub(super) fn update_own_grants(&mut self, now: Moment) {
         let keys: Vec<BudgetKey> = self.keys.keys().copied().collect();
         for key in keys {
@@ -105,6 +107,7 @@
         }
     }
 
+    /// Grants a borrower quota of one key. `None` if the key is not limited or has no state.
     fn grant(&mut self, now: Moment, borrower: Incarnation, demand: KeyDemand) -> Option<Grant> {
         let terms = self.lending_terms(now, &demand)?;
         let state = self.keys.get_mut(&demand.key)?;
@@ -130,9 +133,12 @@
         })
     }
 
-    /// What a new leader renews of its predecessor's grants, until all of them have expired; none once they
-    /// have. Where the next plan allows less, the renewed grants are reduced in proportion, so that they fit
-    /// it together.
+    /// Returns the part of a borrower's holdings that a new leader renews, because its predecessor granted
+    /// it.
+    /// `None` if this router does not lead, or once all of the predecessor's grants have expired.
+    ///
+    /// If the next plan allows less than the current one, the renewed grants are reduced in proportion, so
+    /// that all of them together fit the next plan.
     fn carried_over(
         &self,
         now: Moment,
@@ -150,8 +156,10 @@
         Some(next.map_or(quota, |next| quota.scaled_down(limit.grantable(), next.grantable())))
     }
 
-    /// Answers a router's request. A request that is not newer than the last one of that router is ignored,
-    /// as are requests beyond the bounds of memory.
+    /// Answers a router's request for quota.
+    ///
+    /// Ignores the request and returns `None` if it is not newer than the router's last request, if it lists
+    /// more than 1024 keys, or if it comes from a new router while 8192 other routers are remembered.
     pub fn grant_request(
         &mut self,
         now: Moment,
@@ -165,13 +173,13 @@
             return None;
         }
         self.requesters.insert(borrower, LastRequest { nonce: request.nonce, received_at: now });
-        self.return_unnamed(now, borrower, &request);
+        self.reclaim_unlisted(now, borrower, &request);
         let mut grants = Vec::new();
         for demand in request.demands {
             if self.key_state(now, demand.key).is_none() {
                 continue;
             }
-            self.update_leader_income(demand.key);
+            self.update_leader_lendable(demand.key);
             if let Some(Grant { quota, expires }) = self.grant(now, borrower, demand) {
                 let duration_us = expires.since(now).as_micros();
                 grants.push(Granted { key: demand.key, quota, duration_us });
@@ -181,20 +189,22 @@
         Some(QuotaGrant { nonce: request.nonce, lender_term, grants })
     }
 
-    /// Takes back all keys that the borrower does not name: it neither wants nor holds them any more.
-    fn return_unnamed(&mut self, now: Moment, borrower: Incarnation, request: &QuotaRequest) {
-        let named: BTreeSet<BudgetKey> = request.demands.iter().map(|demand| demand.key).collect();
-        let is_unnamed =
-            |(key, state): &(&BudgetKey, &KeyState)| state.ledger.knows(borrower) && !named.contains(key);
-        let unnamed: Vec<BudgetKey> = self.keys.iter().filter(is_unnamed).map(|(key, _)| *key).collect();
-        for key in unnamed {
-            let nothing =
+    /// Reclaims the borrower's grants of all keys that its request does not list: the borrower neither
+    /// requests nor holds quota of them any more.
+    fn reclaim_unlisted(&mut self, now: Moment, borrower: Incarnation, request: &QuotaRequest) {
+        let listed: BTreeSet<BudgetKey> = request.demands.iter().map(|demand| demand.key).collect();
+        let is_unlisted = |(key, state): &(&BudgetKey, &KeyState)| {
+            state.ledger.has_borrower(borrower) && !listed.contains(key)
+        };
+        let unlisted: Vec<BudgetKey> = self.keys.iter().filter(is_unlisted).map(|(key, _)| *key).collect();
+        for key in unlisted {
+            let no_demand =
                 KeyDemand { key, demand: Quota::NONE, weight: 1, holdings: Quota::NONE, lender_term: 0 };
-            self.grant(now, borrower, nothing);
+            self.grant(now, borrower, no_demand);
         }
     }
 
-    /// Forgets the last requests of routers that are no longer members, some time after those.
+    /// Forgets routers that are no longer members, four leases after their last request.
     pub fn retain(&mut self, now: Moment, is_member: impl Fn(Incarnation) -> bool) {
         let retention = self.timings.lease * REQUESTER_RETENTION_LEASES;
         self.requesters
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -1,68 +1,68 @@
-//! Amounts of a budget.
+//! Amounts of a budget, as a rate and a burst.
 
 use serde::{Deserialize, Serialize};
 
-/// One unit of a budget, in the thousandths in which amounts are kept.
+/// One unit of a budget. Amounts are stored in thousandths of a unit.
 pub const UNIT: u64 = 1000;
 
 /// The largest amount, in thousandths of a unit.
 const MAX_THOUSANDTHS: f64 = 1e15;
 
-/// An amount of a budget. Rates have both numbers; concurrency limits and fractions only `burst`.
+/// An amount of a budget. A rate uses both fields; concurrency limits and fractions use only `burst`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Quota {
-    /// Thousandths of a unit that are added each second.
+    /// The rate, in thousandths of a unit per second.
     pub rate: u64,
-    /// Thousandths of a unit: the burst of a rate, the most in flight of a concurrency limit, or the fraction
-    /// itself.
+    /// The burst of a rate, the largest number in flight of a concurrency limit, or the fraction itself; in
+    /// thousandths of a unit.
     pub burst: u64,
 }
 
 impl Quota {
-    /// Nothing at all.
+    /// The empty quota.
     pub const NONE: Self = Self { rate: 0, burst: 0 };
 
-    /// A rate in units per second, with its burst in units.
+    /// Creates a rate in units per second, with its burst in units.
     pub fn rate(per_second: f64, burst: f64) -> Self {
         Self { rate: thousandths(per_second), burst: thousandths(burst) }
     }
 
-    /// A number of units that may be in flight at once.
+    /// Creates a limit of the units that may be in flight at once.
     pub fn concurrency(units: f64) -> Self {
         Self { rate: 0, burst: thousandths(units) }
     }
 
-    /// The sum of both, saturating.
+    /// The saturating sum, field by field.
     pub fn plus(self, other: Self) -> Self {
         Self { rate: self.rate.saturating_add(other.rate), burst: self.burst.saturating_add(other.burst) }
     }
 
-    /// The difference, at least zero in each number.
+    /// The difference, field by field; zero where `other` is larger.
     pub fn minus(self, other: Self) -> Self {
         Self { rate: self.rate.saturating_sub(other.rate), burst: self.burst.saturating_sub(other.burst) }
     }
 
-    /// This amount `count` times, saturating.
+    /// The saturating product with `count`, field by field.
     pub fn times(self, count: u64) -> Self {
         Self { rate: self.rate.saturating_mul(count), burst: self.burst.saturating_mul(count) }
     }
 
-    /// The smaller of both, number by number.
+    /// The smaller of both amounts, field by field.
     pub fn min(self, other: Self) -> Self {
         Self { rate: self.rate.min(other.rate), burst: self.burst.min(other.burst) }
     }
 
-    /// The larger of both, number by number.
+    /// The larger of both amounts, field by field.
     pub fn max(self, other: Self) -> Self {
         Self { rate: self.rate.max(other.rate), burst: self.burst.max(other.burst) }
     }
 
-    /// Whether neither number exceeds that of `other`.
+    /// Whether no field exceeds that of `other`.
     pub fn within(self, other: Self) -> bool {
         self.rate <= other.rate && self.burst <= other.burst
     }
 
-    /// This amount scaled by `to / from`, number by number, and never increased.
+    /// Scales this amount by `to / from`, field by field, and never increases it.
     pub(crate) fn scaled_down(self, from: Self, to: Self) -> Self {
         Self {
             rate: scale_down(self.rate, from.rate, to.rate),
--- a/crates/quota/src/retry_budget.rs
+++ b/crates/quota/src/retry_budget.rs
@@ -1,23 +1,25 @@
-//! A local budget for retries that successes refill.
+//! A local retry budget, which successful requests replenish.
 
-/// The most credit that is kept, in retries; a new budget starts with it.
+/// The largest credit, in retries. A new budget starts with this credit.
 const MAX_CREDIT: f64 = 10.0;
 
-/// How many retries one router's own successes allow: each success adds credit, each retry takes one. During
-/// a fault in which nothing succeeds, retries therefore stop and don't add load.
+/// A retry budget that one router's own successes replenish: each success adds credit, and each retry costs
+/// one. If nothing succeeds during a fault, retries therefore stop and add no load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
+    /// Credit that each success adds, in retries.
     per_success: f64,
+    /// Retries that are allowed now; may be fractional.
     credit: f64,
 }
 
 impl RetryBudget {
-    /// A full budget to which each success adds `per_success` retries.
+    /// Creates a full budget, to which each success adds `per_success` retries.
     pub fn new(per_success: f64) -> Self {
         Self { per_success, credit: MAX_CREDIT }
     }
 
-    /// The same credit with another number of retries for each success.
+    /// Returns a budget with the same credit, to which each success adds `per_success` retries.
     pub fn with_per_success(self, per_success: f64) -> Self {
         Self { per_success, ..self }
     }
@@ -27,12 +29,12 @@
         self.credit >= 1.0
     }
 
-    /// The budget after a retry.
+    /// Returns the budget after a retry.
     pub fn after_retry(self) -> Self {
         Self { credit: (self.credit - 1.0).max(0.0), ..self }
     }
 
-    /// The budget after a success.
+    /// Returns the budget after a success.
     pub fn after_success(self) -> Self {
         Self { credit: (self.credit + self.per_success).min(MAX_CREDIT), ..self }
     }
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -1,6 +1,8 @@
-//! What one router may spend of one key: the guaranteed minimum always, its grant until that expires. The
-//! expiry is compared with the clock at each use, so a router that was suspended past its lease spends none
-//! of the grant.
+//! The token bucket of one key at one router. The router may always spend its guaranteed minimum, and its
+//! grant until the grant expires.
+//!
+//! Each use compares the grant's expiry with the clock, so a router that was suspended beyond the expiry
+//! spends nothing of the grant.
 
 use std::collections::VecDeque;
 
@@ -9,60 +11,63 @@
 use crate::demand_window::DemandWindow;
 use crate::{BudgetKind, BudgetLimit, Claim, Quota, UNIT};
 
-/// How long after a charge it may be refunded. By then a cache hit is known not to have filled anything.
+/// How long after a charge the charge may be refunded. Within this time a cache hit is known not to have
+/// caused a fill.
 const REFUND_WINDOW: Span = Span::millis(250);
 
-/// The factor by which a request exceeds recent demand, so that a rise can be served before the next request.
+/// The factor by which the requested quota exceeds recent demand, so that rising demand can be served until
+/// the next request.
 const DEMAND_HEADROOM: f64 = 1.1;
 
-/// The burst that is requested with a rate, as seconds of that rate.
+/// The burst that is requested with a rate, in seconds of that rate.
 const BURST_SECONDS: f64 = 0.3;
 
-/// The requested demand changes only once recent demand differs from it by more than one part in this many.
-const DEMAND_TOLERANCE_PARTS: u64 = 10;
+/// The requested demand changes only if recent demand differs from it by more than the requested demand
+/// divided by this number.
+const DEMAND_TOLERANCE_DIVISOR: u64 = 10;
 
-/// Tokens that were there at a moment.
+/// The number of tokens at a moment.
 #[derive(Clone, Copy, Debug)]
 struct Balance {
     tokens: f64,
     at: Moment,
 }
 
-/// A burst that was granted until a moment, when it was lowered or expired.
+/// A burst that was granted until the moment at which it was lowered or expired; in thousandths of a unit.
 #[derive(Clone, Copy, Debug)]
 struct FormerGrant {
     until: Moment,
     burst: u64,
 }
 
-/// One router's side of one key.
+/// The token bucket of one key at one router; for concurrency limits, the count of units in flight.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     limit: BudgetLimit,
     grant: Quota,
     grant_expires: Option<Moment>,
-    /// Tokens of a rate.
+    /// The tokens of a rate.
     balance: Balance,
-    /// When each charge was made that may still be refunded, oldest first.
+    /// The times of the charges that may still be refunded, oldest first.
     refundable: VecDeque<Moment>,
     /// The balance before the first refundable charge.
     checkpoint: Balance,
-    /// Units of a concurrency limit in flight, of those that were spent since `created`.
+    /// The units of a concurrency limit that were spent since `created` and are still in flight.
     in_flight: u64,
     created: Moment,
-    /// Grants that still count after they were lowered or have expired.
+    /// Grants that were lowered or have expired, and still count until the release lag has passed.
     former_grants: VecDeque<FormerGrant>,
     demand: DemandWindow,
-    /// The demand that is requested, kept until recent demand differs enough.
+    /// The requested demand, which changes only if recent demand differs enough.
     requested: Quota,
     last_used: Moment,
-    /// An added burst comes with its tokens. Only a test of the safety checks sets it.
-    pub(crate) burst_comes_full: bool,
+    /// An added burst also adds its tokens. Set only by tests of the safety checks.
+    pub(crate) fill_added_burst: bool,
 }
 
 impl TokenBucket {
-    /// Starts without tokens, not even the guaranteed burst: the process before this one may just have spent
-    /// it.
+    /// Creates a bucket without tokens. Not even the guaranteed burst is available, because the router's
+    /// previous process may just have spent it.
     pub fn new(limit: BudgetLimit, now: Moment) -> Self {
         let empty = Balance { tokens: 0.0, at: now };
         Self {
@@ -78,7 +83,7 @@
             demand: DemandWindow::default(),
             requested: Quota::NONE,
             last_used: now,
-            burst_comes_full: false,
+            fill_added_burst: false,
         }
     }
 
@@ -87,7 +92,7 @@
         &self.limit
     }
 
-    /// Changes the limit, and cuts grant and tokens to it.
+    /// Changes the limit, and reduces the grant and the tokens to it.
     pub fn set_limit(&mut self, now: Moment, limit: BudgetLimit) {
         if self.limit != limit {
             self.advance(now);
@@ -97,8 +102,8 @@
         }
     }
 
-    /// Drops everything that was counted by the clock before it jumped. Former grants count for their full
-    /// time again.
+    /// Handles a jump of the local clock: drops the grant, the tokens and the recorded demand, which were
+    /// measured by that clock. The largest granted burst counts for the full release lag again.
     pub fn clock_jumped(&mut self, now: Moment) {
         let burst = self.peak_granted_burst();
         self.former_grants.clear();
@@ -122,7 +127,7 @@
         let unchanged = quota == self.grant;
         self.grant = quota;
         self.grant_expires = Some(expires);
-        if self.burst_comes_full {
+        if self.fill_added_burst {
             self.balance.tokens += added_burst as f64 / UNIT as f64;
         }
         if !unchanged {
@@ -130,13 +135,14 @@
         }
     }
 
-    /// What may be spent now, the guaranteed minimum included.
+    /// The quota that may be spent now, including the guaranteed minimum.
     pub fn quota(&self, now: Moment) -> Quota {
         let valid = self.grant_expires.is_some_and(|expires| now < expires);
         self.limit.guaranteed.plus(if valid { self.grant } else { Quota::NONE })
     }
 
-    /// Brings the state up to `now`: adds tokens, makes old charges final, and drops an expired grant.
+    /// Advances the state to `now`: adds tokens, makes charges final after the refund window, and drops
+    /// expired grants.
     fn advance(&mut self, now: Moment) {
         while let Some(first) = self.refundable.front().copied().filter(|at| now.since(*at) > REFUND_WINDOW) {
             self.refundable.pop_front();
@@ -167,7 +173,7 @@
         self.balance.at = self.balance.at.max(now);
     }
 
-    /// The tokens at `now` that follow from an earlier balance under the current grant.
+    /// The number of tokens at `now`, computed from an earlier balance under the current grant.
     fn refilled(&self, earlier: Balance, now: Moment) -> f64 {
         let quota = self.limit.guaranteed.plus(self.grant);
         let added = quota.rate as f64 / UNIT as f64 * now.since(earlier.at).as_secs();
@@ -179,7 +185,7 @@
         Balance { tokens: self.refilled(earlier, now) - 1.0, at: now }
     }
 
-    /// Cuts the tokens to a changed grant. Charges made before can't be refunded any more.
+    /// Reduces the tokens to a changed grant. Charges made before can no longer be refunded.
     fn restart_balance(&mut self) {
         self.balance.tokens = self.refilled(self.balance, self.balance.at);
         self.refundable.clear();
@@ -196,7 +202,7 @@
         }
     }
 
-    /// Spends one unit if possible, and returns whether it was.
+    /// Spends one unit if possible. Returns whether the unit was spent.
     pub fn spend(&mut self, now: Moment) -> bool {
         let affordable = self.can_afford(now);
         if affordable {
@@ -207,7 +213,7 @@
         affordable
     }
 
-    /// Spends one unit, right after [`Self::can_afford`] allowed it.
+    /// Spends one unit. The caller must have called [`Self::can_afford`] immediately before.
     pub(crate) fn charge(&mut self, now: Moment) {
         self.last_used = now;
         match self.limit.kind {
@@ -224,46 +230,47 @@
         self.demand.record(now, self.in_flight);
     }
 
-    /// Releases a unit of a concurrency limit that was spent at `spent_at`. A unit from before the limit
-    /// existed was never counted, so its end releases nothing.
+    /// Releases a unit of a concurrency limit that was spent at `spent_at`. Ignores units that were spent
+    /// before the limit existed, because they were never counted.
     pub fn release(&mut self, spent_at: Moment) {
         self.in_flight -= u64::from(spent_at >= self.created).min(self.in_flight);
     }
 
-    /// Ends the charge that was made at `charged_at`, and refunds it unless it was used. The balance becomes
-    /// what it would be had the charge never been made; adding a token instead would create one where the
-    /// bucket has meanwhile filled up.
+    /// Settles the charge that was made at `charged_at`, and refunds it unless it was used.
+    ///
+    /// A refund recomputes the balance as if the charge had never been made. Adding a token instead would
+    /// create an extra token if the bucket was full in the meantime.
     pub fn settle(&mut self, now: Moment, charged_at: Moment, used: bool) {
         self.advance(now);
         if used {
             return;
         }
-        // Searched from the newest on, as most charges end soon. A charge under an earlier grant is not there
-        // any more.
+        // Searches from the newest charge, because most charges are settled soon. Charges made under an
+        // earlier grant are no longer in the list.
         let Some(index) = self.refundable.iter().rposition(|at| *at == charged_at) else { return };
         self.refundable.remove(index);
         let replayed = self.refundable.iter().fold(self.checkpoint, |balance, at| self.charged(balance, *at));
         self.balance.tokens = self.refilled(replayed, self.balance.at);
     }
 
-    /// Records that one unit was wanted and not available.
+    /// Records demand for a unit that was not available.
     pub fn record_refusal(&mut self, now: Moment) {
         self.last_used = now;
         self.demand.record(now, self.in_flight + 1);
     }
 
-    /// This router's fraction of the total.
+    /// This router's share of the total, from 0 to 1.
     pub fn share_fraction(&mut self, now: Moment) -> f64 {
         self.advance(now);
         self.quota(now).burst as f64 / self.limit.total.burst.max(1) as f64
     }
 
-    /// The most that might still be spent beyond the guaranteed minimum if no further grant arrives.
+    /// The largest quota that might still be spent beyond the guaranteed minimum if no further grant arrives.
     pub fn holdings(&mut self, now: Moment) -> Quota {
         self.advance(now);
         let burst = match self.limit.kind {
             BudgetKind::Rate => self.grant.burst,
-            // Units in flight stay so, even where the grant was lowered meanwhile.
+            // Units remain in flight even if the grant was lowered in the meantime.
             BudgetKind::Concurrency => {
                 self.grant.burst.max((self.in_flight * UNIT).saturating_sub(self.limit.guaranteed.burst))
             }
@@ -272,13 +279,14 @@
         Quota { rate: self.grant.rate, burst }
     }
 
+    /// The largest burst of the current and the former grants, in thousandths of a unit.
     fn peak_granted_burst(&self) -> u64 {
         let former = self.former_grants.iter().map(|former| former.burst).max();
         former.unwrap_or_default().max(self.grant.burst)
     }
 
-    /// What to request beyond the guaranteed minimum, by recent demand. The weight is 0 where the router's
-    /// own applies.
+    /// The claim for quota beyond the guaranteed minimum, by recent demand. A weight of 0 stands for the
+    /// router's configured weight.
     pub fn claim(&mut self, now: Moment) -> Claim {
         if self.demand.is_empty() {
             return Claim::default();
@@ -293,12 +301,14 @@
         let mut demand = self.requested.minus(self.limit.guaranteed);
         demand.burst = demand.burst.next_multiple_of(self.limit.granularity());
         let demand = demand.min(self.limit.grantable());
-        // A fraction is wanted as a whole by everybody: it is divided by how much each router uses it.
+        // Every router requests the whole of a fraction, so the fraction is divided by how much each router
+        // uses it.
         let weight = if self.limit.kind == BudgetKind::Fraction { thousandths(rate).max(1) } else { 0 };
         Claim { demand, weight }
     }
 
-    /// Follows recent demand where it differs enough from what is requested.
+    /// Sets the requested demand to recent demand if they differ enough. `rate` is the recent demand in units
+    /// per second.
     fn update_requested(&mut self, rate: f64) {
         let recent = match self.limit.kind {
             BudgetKind::Rate => {
@@ -311,13 +321,14 @@
             }
             BudgetKind::Fraction => self.limit.total,
         };
-        let near = |new: u64, old: u64| new.abs_diff(old) <= old / DEMAND_TOLERANCE_PARTS;
-        if !near(recent.rate, self.requested.rate) || !near(recent.burst, self.requested.burst) {
+        let is_near = |new: u64, old: u64| new.abs_diff(old) <= old / DEMAND_TOLERANCE_DIVISOR;
+        if !is_near(recent.rate, self.requested.rate) || !is_near(recent.burst, self.requested.burst) {
             self.requested = recent;
         }
     }
 
-    /// Whether nothing is in use, granted or counted on, and nothing was wanted for longer than `idle_time`.
+    /// Whether no unit is in flight, no current or former grant counts, and no demand was recorded for longer
+    /// than `idle_time`.
     pub fn is_idle(&mut self, now: Moment, idle_time: Span) -> bool {
         self.advance(now);
         let unused = self.in_flight == 0 && self.grant_expires.is_none();
--- a/crates/quota/tests/lease_ledger.rs
+++ b/crates/quota/tests/lease_ledger.rs
@@ -19,11 +19,11 @@
 fn a_kept_grant_is_not_extended_while_others_hold_too_much() {
     let (ten, none) = (Quota::rate(10.0, 10.0), Quota::NONE);
     let mut ledger = LeaseLedger::default();
-    ledger.set_income(ten.plus(ten), at(1000));
+    ledger.set_lendable(ten.plus(ten), at(1000));
     assert_eq!(request(&mut ledger, 0, 1, ten, none), Grant { quota: ten, expires: at(1000) });
     assert_eq!(request(&mut ledger, 0, 2, ten, none).quota, ten);
     // Half of it is left to grant, and each of both holds as much as that.
-    ledger.set_income(ten, at(1500));
+    ledger.set_lendable(ten, at(1500));
     let kept = request(&mut ledger, 500, 1, ten, ten);
     assert!(kept.quota != none && kept.expires == at(1000), "{kept:?}");
     let other = request(&mut ledger, 500, 2, ten, ten);
@@ -36,7 +36,7 @@
 fn grants_of_another_lender_are_not_accounted_here() {
     let (ten, none) = (Quota::rate(10.0, 10.0), Quota::NONE);
     let mut ledger = LeaseLedger::default();
-    ledger.set_income(ten, at(1000));
+    ledger.set_lendable(ten, at(1000));
     assert_eq!(request(&mut ledger, 0, 1, none, ten).quota, none);
     assert_eq!(request(&mut ledger, 0, 2, ten, none).quota, ten);
 }
