--- a/crates/quota/benches/quota.rs
+++ b/crates/quota/benches/quota.rs
@@ -1,6 +1,6 @@
-//! The cost of spending on the path of a request, and of dividing among many routers.
+//! Benchmarks of spending quota, which every request does, and of dividing a budget among many routers.
 
-#![expect(missing_docs, reason = "criterion's macro makes a public function")]
+#![expect(missing_docs, reason = "criterion's macro generates a public function without documentation")]
 
 use std::hint::black_box;
 
--- a/crates/quota/tests/lease_ledger.rs
+++ b/crates/quota/tests/lease_ledger.rs
@@ -1,4 +1,4 @@
-//! Tests of the account of grants.
+//! Tests of the lease ledger.
 
 mod support;
 
@@ -7,6 +7,7 @@
 use tindoor_membership::Incarnation;
 use tindoor_quota::{Claim, Grant, LeaseLedger, LedgerChecks, LendingTerms, LoanRequest, Quota};
 
+/// Requests quota from a ledger whose router does not lead, and returns the grant.
 fn request(ledger: &mut LeaseLedger, ms: u64, borrower: u64, demand: Quota, holdings: Quota) -> Grant {
     let claim = Claim { demand, weight: 1 };
     let checks = LedgerChecks { drift: Span::ZERO, count_until_expired: true, count_until_returned: true };
@@ -16,13 +17,13 @@
 }
 
 #[test]
-fn a_kept_grant_is_not_extended_while_others_hold_too_much() {
+fn a_kept_grant_is_not_extended_while_others_hold_more_than_their_targets() {
     let (ten, none) = (Quota::rate(10.0, 10.0), Quota::NONE);
     let mut ledger = LeaseLedger::default();
     ledger.set_lendable(ten.plus(ten), at(1000));
     assert_eq!(request(&mut ledger, 0, 1, ten, none), Grant { quota: ten, expires: at(1000) });
     assert_eq!(request(&mut ledger, 0, 2, ten, none).quota, ten);
-    // Half of it is left to grant, and each of both holds as much as that.
+    // The lendable quota is halved, while each of the two borrowers still holds as much as the new total.
     ledger.set_lendable(ten, at(1500));
     let kept = request(&mut ledger, 500, 1, ten, ten);
     assert!(kept.quota != none && kept.expires == at(1000), "{kept:?}");
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn grants_of_another_lender_are_not_accounted_here() {
+fn holdings_granted_by_another_lender_are_not_counted_as_outstanding() {
     let (ten, none) = (Quota::rate(10.0, 10.0), Quota::NONE);
     let mut ledger = LeaseLedger::default();
     ledger.set_lendable(ten, at(1000));
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -1,6 +1,6 @@
-//! Two routers and one budget under a model checker: messages that are lost, duplicated and reordered, a
-//! router that is suspended at any point, a deposed leader that does not know it yet, and demand that comes
-//! and goes.
+//! Model checking of the division of one budget between two routers. Messages may be lost, duplicated and
+//! reordered; a router may be suspended at any point; a deposed leader may not yet know that it was deposed;
+//! and demand starts and stops.
 
 use std::hash::{Hash, Hasher};
 
@@ -30,7 +30,7 @@
     Moment::at_micros(10_000_000 + tick * TICK_MS * 1000)
 }
 
-/// A router, compared by its whole state.
+/// A router, compared and hashed by its whole state.
 #[derive(Clone, Debug)]
 struct Router(Participant);
 
@@ -60,16 +60,18 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct Fleet {
+    /// The current time, in ticks of [`TICK_MS`].
     now: u64,
     routers: [Router; 2],
-    /// Which routers have much demand.
+    /// Whether each router has demand; if so, it is refused 60 units per heartbeat.
     demanding: [bool; 2],
-    /// Which router leads, and in which term.
+    /// The index of the leading router.
     leader: usize,
+    /// The leader's term.
     term: u64,
-    /// The deposed leader does not know yet that it was deposed.
+    /// Whether the deposed leader does not know yet that it was deposed.
     unaware: bool,
-    /// Messages on their way, with their receivers.
+    /// Messages in flight, with the indices of their receivers.
     network: Vec<(usize, Message)>,
 }
 
@@ -83,18 +85,19 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Tick,
-    /// One heartbeat of a router: it requests quota, or leads.
+    /// One heartbeat of a router. The leader is confirmed; the other router sends a request for quota.
     Heartbeat(usize),
     ToggleDemand(usize),
     Deliver(usize),
-    /// Delivers a message and keeps a copy on its way.
+    /// Delivers a message and keeps a copy in flight.
     Duplicate(usize),
     Lose(usize),
     Elect,
+    /// The deposed leader learns that it was deposed.
     LearnOfElection,
 }
 
-/// The model, with all safety checks or without one.
+/// The model, with all safety checks or with one of them disabled.
 struct Division(SafetyChecks);
 
 impl Model for Division {
@@ -204,9 +207,9 @@
     }
 }
 
-const WITHIN_TOTAL: &str = "both together can't spend more than the total";
+const WITHIN_TOTAL: &str = "both routers together can't spend more than the total";
 
-/// All that both routers might still spend.
+/// All quota that both routers together might still spend.
 fn max_spendable_by_both(fleet: &Fleet) -> Quota {
     let of_router = |Router(participant): &Router| {
         let spendable = participant.clone().max_spendable(at(fleet.now));
@@ -224,13 +227,13 @@
 }
 
 #[test]
-fn both_routers_together_cannot_spend_more_than_the_total() {
+fn both_routers_together_never_spend_more_than_the_total() {
     let all = Division(SafetyChecks::default()).checker().threads(2).target_max_depth(5).spawn_bfs().join();
     all.assert_no_discovery(WITHIN_TOTAL);
     random_walks(SafetyChecks::default(), 1, 60_000).assert_no_discovery(WITHIN_TOTAL);
 }
 
-/// The state after these steps.
+/// The state after these steps, starting from the initial state.
 fn state_after(steps: &[Step]) -> Fleet {
     let model = Division(SafetyChecks::default());
     let first = model.init_states().remove(0);
@@ -240,7 +243,7 @@
 }
 
 #[test]
-fn the_model_grants_quota_to_both() {
+fn the_model_grants_quota_to_both_routers() {
     use Step::*;
     let round = [Heartbeat(0), Heartbeat(1), Deliver(0), Deliver(0), Tick];
     let fleet = state_after(&[&round[..]; 12].concat());
@@ -249,8 +252,8 @@
     assert!(quota.rate > 40 * UNIT && max_spendable_by_both(&fleet).rate > 90 * UNIT, "{quota:?}");
 }
 
-/// The case for `count_until_returned` is too rare for random walks: `tests/division.rs` and simulated days
-/// cover it.
+/// Disabling a safety check leads to a violation of the total. `count_until_returned` is not tested here,
+/// because the violation is too rare for random walks; `tests/division.rs` and simulated days cover it.
 #[test]
 fn each_safety_check_is_needed() {
     let all = SafetyChecks::default();
@@ -262,6 +265,6 @@
     ];
     for (name, checks) in without {
         let found = random_walks(checks, 7, 400_000).discovery(WITHIN_TOTAL).is_some();
-        assert!(found, "without {name} no fault was found");
+        assert!(found, "disabling {name} must lead to a violation of the total, but none was found");
     }
 }
--- a/crates/quota/tests/retry_budget.rs
+++ b/crates/quota/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Tests of the local budget for retries.
+//! Tests of the local retry budget.
 
 use tindoor_quota::RetryBudget;
 
@@ -9,16 +9,16 @@
         assert!(budget.can_afford());
         budget = budget.after_retry();
     }
-    assert!(!budget.can_afford(), "without a success there are no more retries");
+    assert!(!budget.can_afford(), "without a success the initial credit allows only ten retries");
     budget = budget.after_success();
     assert!(!budget.can_afford() && budget.after_success().can_afford());
     let full = (0..100).fold(budget, |budget, _| budget.after_success());
     assert!(
         !(0..10).fold(full, |budget, _| budget.after_retry()).can_afford(),
-        "no more credit is kept than at the start"
+        "the credit never exceeds the initial credit"
     );
     assert!(
         budget.with_per_success(2.0).after_success().can_afford(),
-        "the credit stays when the number per success changes"
+        "the credit is kept when the credit per success changes"
     );
 }
--- a/crates/quota/tests/token_bucket.rs
+++ b/crates/quota/tests/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Tests of what one router may spend of one key.
+//! Tests of the token bucket: what one router may spend of one key.
 
 mod support;
 
@@ -10,7 +10,7 @@
 #[test]
 fn a_new_bucket_has_no_tokens() {
     let mut bucket = TokenBucket::new(rate(10.0, 20.0), at(0));
-    assert!(!bucket.spend(at(0)), "the process before it may just have spent the burst");
+    assert!(!bucket.spend(at(0)), "the router's previous process may just have spent the burst");
     bucket.set_grant(at(0), Quota::rate(10.0, 19.0), at(60_000));
     assert!(!bucket.spend(at(50)) && bucket.spend(at(150)));
 }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn units_in_flight_count_after_their_grant_was_lowered() {
+fn units_in_flight_count_as_holdings_after_their_grant_was_lowered() {
     let limit = concurrency(10.0);
     let mut bucket = TokenBucket::new(limit, at(0));
     bucket.set_grant(at(0), Quota::concurrency(8.0), at(1000));
@@ -43,7 +43,7 @@
     let mut bucket = TokenBucket::new(limit, at(100));
     bucket.set_grant(at(100), Quota::concurrency(2.0), at(1000));
     assert_eq!((0..5).filter(|_| bucket.spend(at(101))).count(), 2);
-    // Three that were spent before the limit existed, and were not counted, end.
+    // Releases three units that were spent before the limit existed and were therefore never counted.
     (0..3).for_each(|_| bucket.release(at(50)));
     assert!(!bucket.spend(at(102)));
     bucket.release(at(101));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_lowered_fraction_counts_for_its_sliding_window() {
+fn a_lowered_fraction_counts_as_holdings_for_its_sliding_window() {
     let fraction = |thousandths: u64| Quota { rate: 0, burst: thousandths };
     let limit = BudgetLimit {
         kind: BudgetKind::Fraction,
@@ -74,7 +74,8 @@
     bucket.set_grant(at(0), Quota::rate(10.0, 3.0), at(60_000));
     let full = at(2000);
     assert_eq!((0..9).filter(|_| bucket.spend(full)).count(), 4);
-    // The tokens are those that would be there without the charges: tokens added since are not added twice.
+    // The refund restores the tokens that the bucket would have without the charges. Tokens that were added
+    // since the charges are not added twice.
     (0..9).for_each(|_| bucket.settle(full + Span::millis(90), full, false));
     let again = (0..9).filter(|_| bucket.spend(full + Span::millis(90))).count();
     assert_eq!(again, 4);
@@ -84,8 +85,8 @@
 }
 
 proptest! {
-    /// Whatever is granted, spent and refunded, and when: in no window does the bucket spend more than its
-    /// largest burst and what its largest rate adds.
+    /// For any sequence of grants, charges and refunds, the bucket never spends more in any window than its
+    /// largest burst plus the tokens that its largest rate adds.
     #[test]
     fn a_bucket_never_spends_more_than_it_was_granted(
         steps in prop::collection::vec((0u64..400, 0u8..4, 0u64..50, 0u64..10), 1..200),
@@ -115,12 +116,13 @@
                 }),
             }
         }
-        // The largest grants are 49 a second and 9 units, the guaranteed minimum is one unit.
-        let (mut left, mut last) = (10.0f64, 0u64);
+        // The largest grant is 49 units per second with a burst of 9 units; the guaranteed minimum is a burst
+        // of one unit.
+        let (mut tokens, mut last) = (10.0f64, 0u64);
         for (spent_at, _) in spent.iter().filter(|(_, used)| *used) {
-            left = (left + (spent_at - last) as f64 / 1000.0 * 49.0).min(10.0) - 1.0;
+            tokens = (tokens + (spent_at - last) as f64 / 1000.0 * 49.0).min(10.0) - 1.0;
             last = *spent_at;
-            prop_assert!(left > -1e-6, "at {spent_at}");
+            prop_assert!(tokens > -1e-6, "more spent than granted at {spent_at} ms");
         }
     }
 }
