--- a/crates/membership/src/clocks.rs
+++ b/crates/membership/src/clocks.rs
@@ -1,6 +1,8 @@
-//! The fleet's time, from the clocks of several processes. Clocks are read by round trips, with an error
-//! bound that is certain as long as no clock is off its rate by more than is stated, and that is robust
-//! against one that is.
+//! The fleet's time, computed from the clocks of several processes.
+//!
+//! A router reads the clocks of other processes by round trips. The error bound of a reading is certain as
+//! long as no clock's rate deviates by more than the configured drift, and the fleet's time is correct even
+//! if one clock deviates more.
 
 use std::collections::BTreeMap;
 
@@ -10,88 +12,94 @@
 use crate::interval::{certain_overlap, narrowest_overlap};
 use crate::{Incarnation, Interval, Timings};
 
-/// Sources that are kept for one clock.
+/// The largest number of sources from which readings of one clock are kept.
 const MAX_SOURCES: usize = 5;
 
-/// Readings in a row that must agree after two did not.
+/// The number of consecutive readings that must agree before a clock is used, at first and after a
+/// contradiction.
 const READINGS_TO_SETTLE: u32 = 2;
 
-/// Contradicting exchanges with one peer after which the local clock is distrusted.
+/// The number of consecutive contradicting exchanges with a single peer after which the local clock is
+/// distrusted.
 const CONTRADICTIONS_OF_ONE_PEER: usize = 4;
 
-/// The part of the clock bound that a clock may deviate from what is agreed of it.
-const MAX_DEVIATION_BOUND_DIVISOR: u64 = 8;
+/// The tolerated deviation of a clock from its agreed offset is the clock bound divided by this number.
+const DEVIATION_TOLERANCE_DIVISOR: u64 = 8;
 
 /// How far one clock is ahead of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockOffset {
-    /// Whose clock.
+    /// The process whose clock this is.
     pub clock: Incarnation,
-    /// How far it is ahead.
+    /// How far this clock is ahead of the other, in microseconds.
     pub offset: Interval,
 }
 
-/// What a peer reported of clocks in one round trip.
+/// The clock readings that a peer reported in one round trip.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockExchange<'a> {
-    /// The peer.
+    /// The peer that answered.
     pub peer: Incarnation,
     /// When the request was sent, by the local clock.
     pub requested_at: Moment,
     /// When the response arrived, by the local clock.
     pub answered_at: Moment,
-    /// The peer's clock at the response, in microseconds.
+    /// The peer's clock when it sent the response, in microseconds.
     pub peer_clock_micros: i64,
-    /// Clocks that the peer can read, relative to its own; its own as 0 to 0.
+    /// The clocks that the peer can read, relative to its own clock. Its own clock is included, with an
+    /// offset from 0 to 0.
     pub offsets: &'a [ClockOffset],
 }
 
-/// What one source last reported of a clock.
+/// The last reading of a clock that one source reported.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     source: Incarnation,
-    /// How far the clock was ahead of the local one.
+    /// How far the clock was ahead of the local clock, in microseconds.
     offset: Interval,
     at: Moment,
 }
 
 impl Reading {
-    /// The offset, widened by what clocks may have drifted since.
-    fn at(&self, timings: &Timings, now: Moment) -> Interval {
+    /// The offset at `now`: the offset of the reading, widened by the possible clock drift since then.
+    fn offset_at(&self, timings: &Timings, now: Moment) -> Interval {
         self.offset.widened(timings.drift(now.since(self.at)))
     }
 }
 
-/// One process's clock, as several sources report it.
+/// The readings of one process's clock, from several sources.
 #[derive(Debug, Default)]
 struct ClockReadings {
+    /// The latest reading of each source.
     latest: Vec<Reading>,
-    /// How many readings in a row agreed since two did not.
+    /// The number of consecutive readings that agree, since the last contradiction.
     agreeing: u32,
 }
 
 impl ClockReadings {
-    /// How far the clock is ahead of the local one, once its readings have settled.
+    /// Returns how far the clock is ahead of the local clock. `None` until enough consecutive readings agree.
     fn offset(&self, timings: &Timings, now: Moment) -> Option<Interval> {
         self.unsettled_offset(timings, now).filter(|_| self.agreeing >= READINGS_TO_SETTLE)
     }
 
     fn unsettled_offset(&self, timings: &Timings, now: Moment) -> Option<Interval> {
-        let current: Vec<Interval> = self.latest.iter().map(|reading| reading.at(timings, now)).collect();
+        let current: Vec<Interval> =
+            self.latest.iter().map(|reading| reading.offset_at(timings, now)).collect();
         narrowest_overlap(&current)
     }
 
-    /// Whether a reading agrees with what was known; none where nothing was known.
+    /// Whether a reading agrees with the earlier readings. `None` if there are no earlier readings.
     fn agrees(&self, timings: &Timings, reading: &Reading) -> Option<bool> {
         let known = self.unsettled_offset(timings, reading.at)?;
         Some(known.overlaps(reading.offset))
     }
 
+    /// Adds a reading. If it contradicts the earlier readings, discards those.
     fn add(&mut self, timings: &Timings, reading: Reading) {
         if self.agrees(timings, &reading).unwrap_or(true) {
             self.agreeing += 1;
         } else {
-            // That clock has jumped, or the source's: no older reading is of use any more.
+            // Either this clock or the source's clock has jumped, so the older readings are no longer usable.
             self.latest.clear();
             self.agreeing = 1;
         }
@@ -104,33 +112,35 @@
     }
 }
 
-/// The clocks of other processes, as read from here.
+/// The clocks of other processes, as read by this process.
 #[derive(Debug, Default)]
 pub struct ClockSync {
     own: Incarnation,
     readings: BTreeMap<Incarnation, ClockReadings>,
-    /// The peers of the last exchanges that contradicted all that was known.
-    contradicting: Vec<Incarnation>,
-    /// When the local clock has jumped; none once an exchange agreed since.
+    /// The peers of the latest consecutive exchanges in which no reading agreed with the earlier ones.
+    contradicting_peers: Vec<Incarnation>,
+    /// When a jump of the local clock was detected. `None` if no jump was detected, or once an exchange has
+    /// agreed with the readings since then.
     untrusted_since: Option<Moment>,
 }
 
 impl ClockSync {
-    /// The clocks as read by that process.
+    /// Creates the state of the process `own`, without any readings.
     pub fn new(own: Incarnation) -> Self {
         Self { own, ..Self::default() }
     }
 
-    /// Records what a peer reported of clocks.
+    /// Records the readings that a peer reported. Discards them if none of them agrees with the earlier
+    /// readings, unless the local clock is considered to have jumped.
     pub fn record_exchange(&mut self, timings: &Timings, exchange: &ClockExchange<'_>) {
         let readings = self.readings_of(exchange);
-        let known =
+        let agrees =
             |(clock, reading): &(Incarnation, Reading)| self.readings.get(clock)?.agrees(timings, reading);
-        let agreeing: Vec<bool> = readings.iter().filter_map(known).collect();
-        if agreeing.contains(&true) {
-            self.contradicting.clear();
+        let agreements: Vec<bool> = readings.iter().filter_map(agrees).collect();
+        if agreements.contains(&true) {
+            self.contradicting_peers.clear();
             self.untrusted_since = None;
-        } else if !agreeing.is_empty() && !self.handle_contradiction(exchange) {
+        } else if !agreements.is_empty() && !self.handle_contradiction(exchange) {
             return;
         }
         for (clock, reading) in readings {
@@ -138,6 +148,8 @@
         }
     }
 
+    /// Converts the offsets of an exchange, which are relative to the peer's clock, to offsets from the local
+    /// clock.
     fn readings_of(&self, exchange: &ClockExchange<'_>) -> Vec<(Incarnation, Reading)> {
         let ClockExchange { peer, requested_at, answered_at, peer_clock_micros, offsets } = *exchange;
         let reading = |relative: &ClockOffset| {
@@ -152,32 +164,36 @@
         offsets.iter().filter_map(reading).collect()
     }
 
-    /// Nothing of an exchange agrees with what was known: the peer's clock has jumped, or the local one. A
-    /// second peer, or the same one repeatedly, tells which: one faulty peer must not make all others
-    /// distrusted. Returns whether the local clock is to blame.
+    /// Handles an exchange in which no reading agrees with the earlier readings: either the peer's clock or
+    /// the local clock has jumped. Returns whether the local clock is considered to have jumped.
+    ///
+    /// The local clock is considered to have jumped once a second peer contradicts as well, or after
+    /// [`CONTRADICTIONS_OF_ONE_PEER`] contradictions of the same peer. A single faulty peer must not make the
+    /// readings of all others distrusted.
     fn handle_contradiction(&mut self, exchange: &ClockExchange<'_>) -> bool {
-        self.contradicting.push(exchange.peer);
-        let is_one_peer = self.contradicting.iter().all(|peer| *peer == exchange.peer);
-        if is_one_peer && self.contradicting.len() < CONTRADICTIONS_OF_ONE_PEER {
+        self.contradicting_peers.push(exchange.peer);
+        let is_one_peer = self.contradicting_peers.iter().all(|peer| *peer == exchange.peer);
+        if is_one_peer && self.contradicting_peers.len() < CONTRADICTIONS_OF_ONE_PEER {
             return false;
         }
         self.reset_after_jump(exchange.answered_at);
         true
     }
 
-    /// Discards all readings: the local clock has jumped.
+    /// Discards all readings after a jump of the local clock.
     pub fn reset_after_jump(&mut self, now: Moment) {
         self.readings.clear();
-        self.contradicting.clear();
+        self.contradicting_peers.clear();
         self.untrusted_since = Some(now);
     }
 
-    /// Keeps only the readings of these clocks, to bound the memory.
+    /// Keeps only the readings of clocks for which `is_needed` returns true, to bound memory use.
     pub fn retain(&mut self, is_needed: impl Fn(Incarnation) -> bool) {
         self.readings.retain(|clock, _| is_needed(*clock));
     }
 
-    /// How far that clock is ahead of the local one.
+    /// Returns how far `clock` is ahead of the local clock, in microseconds. `None` if there are no settled
+    /// readings of it.
     pub fn offset_of(&self, timings: &Timings, clock: Incarnation, now: Moment) -> Option<Interval> {
         if clock == self.own {
             return Some(Interval { low: 0, high: 0 });
@@ -185,9 +201,11 @@
         self.readings.get(&clock)?.offset(timings, now)
     }
 
-    /// The fleet's time now. `agreed` has the clocks that define it, and how far each is ahead of it. The
-    /// interval is certain as long as no more than one of the clocks is wrong, or of five no more than two; a
-    /// single clock is trusted. None unless more than half of the clocks can be read, and enough of them
+    /// Returns the fleet's time now, in microseconds. `agreed` holds the clocks that define the fleet's time,
+    /// and how many microseconds each of them is ahead of it.
+    ///
+    /// The interval is certain if at most one of the clocks is wrong, or at most two of five; a single clock
+    /// is trusted. `None` unless more than half of the clocks can be read and enough of their readings
     /// overlap.
     pub fn fleet_time(
         &self,
@@ -206,7 +224,8 @@
         certain_overlap(&offsets, faulty).map(|offset| offset.shifted(micros(now)))
     }
 
-    /// How far that clock deviates from what is agreed of it, where that is certainly more than is tolerated.
+    /// Returns how far `clock` deviates from its agreed offset, in microseconds. `None` if the deviation is
+    /// not certain to be more than is tolerated, or can't be computed.
     pub fn deviation_of(
         &self,
         timings: &Timings,
@@ -218,11 +237,12 @@
         let reading = self.offset_of(timings, clock, now)?.shifted(micros(now));
         let deviation = reading.midpoint() - time.midpoint() - agreed.get(&clock)?;
         let uncertainty: Span = time.error_bound() + reading.error_bound();
-        let tolerated = timings.clock_bound.as_micros() / MAX_DEVIATION_BOUND_DIVISOR;
+        let tolerated = timings.clock_bound.as_micros() / DEVIATION_TOLERANCE_DIVISOR;
         (deviation.unsigned_abs() > uncertainty.as_micros().max(tolerated)).then_some(deviation)
     }
 
-    /// Since when the local clock is not to be trusted, by that clock; none where it is trusted.
+    /// Returns since when the local clock is not trusted, measured by the local clock. `None` if it is
+    /// trusted.
     pub fn untrusted_since(&self) -> Option<Moment> {
         self.untrusted_since
     }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,5 +1,7 @@
-//! Who has been silent for longer than is usual. A suspicion is no proof: it only decides whom to ask less
-//! and which voter to replace, never that a router accepts no more requests.
+//! Failure detection by heartbeats: which peers have been silent for longer than usual.
+//!
+//! A suspicion is not a proof. It only decides which peers are sent fewer requests and which voter is
+//! replaced, but never whether a router still accepts requests.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,8 +9,8 @@
 
 use crate::Incarnation;
 
-/// Intervals between heartbeats that are kept for one peer.
-const INTERVALS: usize = 16;
+/// The number of intervals between heartbeats that are kept for each peer.
+const MAX_INTERVALS: usize = 16;
 
 #[derive(Debug)]
 struct Heartbeats {
@@ -16,19 +18,20 @@
     intervals: VecDeque<Span>,
 }
 
-/// When peers were last heard from, and how long the intervals between their heartbeats usually are.
+/// A failure detector, which records for each peer the last heartbeat and the recent intervals between
+/// heartbeats.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
     peers: BTreeMap<Incarnation, Heartbeats>,
 }
 
 impl FailureDetector {
-    /// Records that a peer was heard from.
+    /// Records that a peer was known to be alive at `now`.
     pub fn record_heartbeat(&mut self, peer: Incarnation, now: Moment) {
-        let unheard = Heartbeats { last: now, intervals: VecDeque::new() };
-        let heartbeats = self.peers.entry(peer).or_insert(unheard);
+        let first = Heartbeats { last: now, intervals: VecDeque::new() };
+        let heartbeats = self.peers.entry(peer).or_insert(first);
         if now > heartbeats.last {
-            if heartbeats.intervals.len() == INTERVALS {
+            if heartbeats.intervals.len() == MAX_INTERVALS {
                 heartbeats.intervals.pop_front();
             }
             heartbeats.intervals.push_back(now.since(heartbeats.last));
@@ -36,8 +39,8 @@
         }
     }
 
-    /// How long a peer has been silent, as a multiple of its mean interval, which is taken for no less than
-    /// `min_mean`. None where it was never heard from.
+    /// Returns how long a peer has been silent, as a multiple of the mean interval between its heartbeats. A
+    /// mean below `min_mean` is treated as `min_mean`. `None` if no heartbeat of the peer was recorded.
     pub fn suspicion(&self, peer: Incarnation, now: Moment, min_mean: Span) -> Option<f64> {
         let heartbeats = self.peers.get(&peer)?;
         let sum: u64 = heartbeats.intervals.iter().map(|interval| interval.as_micros()).sum();
@@ -46,12 +49,13 @@
         Some(now.since(heartbeats.last).as_micros() as f64 / mean as f64)
     }
 
-    /// How long a peer has been silent, counted from `from` at the earliest.
+    /// Returns the time since a peer's last heartbeat, or since `from` if that is later or if no heartbeat
+    /// was recorded.
     pub fn silence(&self, peer: Incarnation, now: Moment, from: Moment) -> Span {
         now.since(self.peers.get(&peer).map_or(from, |heartbeats| heartbeats.last.max(from)))
     }
 
-    /// Keeps only these peers, to bound the memory.
+    /// Keeps only the peers for which `is_needed` returns true, to bound memory use.
     pub fn retain(&mut self, is_needed: impl Fn(Incarnation) -> bool) {
         self.peers.retain(|peer, _| is_needed(*peer));
     }
--- a/crates/membership/src/interval.rs
+++ b/crates/membership/src/interval.rs
@@ -1,36 +1,36 @@
-//! Points in the fleet's time, intervals that contain a clock reading, and what several intervals have in
-//! common.
+//! Points in the fleet's time, intervals that contain a clock reading, and the overlap of several intervals.
 
 use serde::{Deserialize, Serialize};
 use tindoor::time::Span;
 
-/// A point in the fleet's time, in microseconds; may be negative.
+/// A point in the fleet's time, in microseconds; it may be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FleetTime(pub i64);
 
 impl FleetTime {
-    /// That much later.
+    /// The point in time that is `span` later.
     pub fn plus(self, span: Span) -> Self {
         Self(self.0.saturating_add(span.as_micros() as i64))
     }
 }
 
-/// An interval that certainly contains a reading, both ends included; in microseconds.
+/// An interval that is certain to contain the true value of a clock reading, in microseconds. Both ends are
+/// included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interval {
-    /// The earliest that the reading may be.
+    /// The smallest possible value, in microseconds.
     pub low: i64,
-    /// The latest that the reading may be.
+    /// The largest possible value, in microseconds.
     pub high: i64,
 }
 
 impl Interval {
-    /// The middle of the interval.
+    /// The middle of the interval, in microseconds.
     pub fn midpoint(self) -> i64 {
         self.low + (self.high - self.low) / 2
     }
 
-    /// Half of the width: how far the midpoint may be off.
+    /// Half of the width, rounded up: the largest error of the midpoint.
     pub fn error_bound(self) -> Span {
         Span::micros(((self.high - self.low).max(0) as u64).div_ceil(2))
     }
@@ -49,7 +49,8 @@
     }
 }
 
-/// One end of an interval. At the same point begins sort before ends, as both intervals contain it.
+/// One end of an interval. If one interval begins where another ends, the begin sorts first, because both
+/// intervals contain this point.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Edge {
     at: i64,
@@ -63,15 +64,16 @@
 }
 
 fn sorted_edges(intervals: &[Interval]) -> Vec<Edge> {
-    let ends = |interval: &Interval| {
+    let edges_of = |interval: &Interval| {
         [Edge { at: interval.low, kind: EdgeKind::Begin }, Edge { at: interval.high, kind: EdgeKind::End }]
     };
-    let mut edges: Vec<Edge> = intervals.iter().flat_map(ends).collect();
+    let mut edges: Vec<Edge> = intervals.iter().flat_map(edges_of).collect();
     edges.sort_unstable();
     edges
 }
 
-/// Where most of the intervals overlap (Marzullo): of several such parts the narrowest.
+/// Returns the part that the largest number of intervals have in common (Marzullo's algorithm). If there are
+/// several such parts, returns the narrowest. `None` if there are no intervals.
 pub(crate) fn narrowest_overlap(intervals: &[Interval]) -> Option<Interval> {
     let edges = sorted_edges(intervals);
     let (mut open, mut most) = (0usize, 0usize);
@@ -91,9 +93,12 @@
     best
 }
 
-/// What certainly contains the true value though as many intervals as `faulty` may be wrong: everything that
-/// at least all others have in common. The narrowest common part is not certain: an interval that is wrong by
-/// less than the others are wide overlaps them, and where it does is where it is wrong.
+/// Returns an interval that is certain to contain the true value if at most `faulty` of the intervals are
+/// wrong. It spans all points that lie in at least `intervals.len() - faulty` intervals. `None` if there is
+/// no such point, or if all intervals may be wrong.
+///
+/// The narrowest overlap would not be certain: an interval that is wrong by less than the width of the others
+/// still overlaps them, and the true value lies outside of that overlap.
 pub(crate) fn certain_overlap(intervals: &[Interval], faulty: usize) -> Option<Interval> {
     let needed = intervals.len().checked_sub(faulty).filter(|needed| *needed > 0)?;
     let (mut open, mut low, mut high) = (0, None, None);
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -1,5 +1,5 @@
-//! How long a router may go by what it knew for certain. See "Lease" in `docs/design/policy.md`, where it is
-//! shown why no router decides by an old policy for longer.
+//! The lease of a router: how long the router may act on the agreed state that it last confirmed. "Lease" in
+//! `docs/design/policy.md` shows why no router decides by an old policy beyond its lease.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,51 +8,56 @@
 
 use crate::{Incarnation, Timings};
 
-/// A confirmation that an index was the latest, no earlier than that moment of the local clock.
+/// A confirmation that `index` was the latest index at the moment `at` or later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Confirmation {
-    /// The index.
+    /// The confirmed index.
     pub index: u64,
-    /// The moment.
+    /// A moment of the local clock that is not later than the confirmation.
     pub at: Moment,
 }
 
 /// The lease of one router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lease {
-    latest_by_quorum: Option<Confirmation>,
-    /// When a quorum last confirmed an index that this router had reached.
-    confirmed_by_quorum: Option<Moment>,
-    /// The last confirmation by each peer, of whatever index.
-    by_peers: BTreeMap<Incarnation, Confirmation>,
+    /// The latest confirmation by a quorum of the voters, of any index.
+    latest_quorum_confirmation: Option<Confirmation>,
+    /// When a quorum of the voters last confirmed an index that this router had reached.
+    reached_index_confirmed_at: Option<Moment>,
+    /// The latest confirmation by each peer, of any index.
+    peer_confirmations: BTreeMap<Incarnation, Confirmation>,
     valid_until: Option<Moment>,
 }
 
 impl Lease {
-    /// A quorum of the voters confirmed that nothing beyond that index was committed. `own_index` is this
-    /// router's.
+    /// Records that a quorum of the voters confirmed that no entry beyond the confirmation's index was
+    /// committed. `own_index` is the index that this router has reached. Extends the lease if this router has
+    /// reached the confirmed index.
     pub fn confirm_by_quorum(&mut self, timings: &Timings, own_index: u64, confirmation: Confirmation) {
-        if self.latest_by_quorum.is_none_or(|known| known.at <= confirmation.at) {
-            self.latest_by_quorum = Some(confirmation);
+        if self.latest_quorum_confirmation.is_none_or(|known| known.at <= confirmation.at) {
+            self.latest_quorum_confirmation = Some(confirmation);
         }
-        // A confirmation of an index beyond the own one says that something is not known here.
-        let is_known_here = confirmation.index <= own_index;
-        if is_known_here && self.confirmed_by_quorum.is_none_or(|at| at < confirmation.at) {
-            self.confirmed_by_quorum = Some(confirmation.at);
+        // If the confirmed index is beyond its own, this router does not know the latest state.
+        let is_reached = confirmation.index <= own_index;
+        if is_reached && self.reached_index_confirmed_at.is_none_or(|at| at < confirmation.at) {
+            self.reached_index_confirmed_at = Some(confirmation.at);
             self.extend(timings, confirmation.at + timings.lease);
         }
     }
 
-    /// A peer confirmed its index, directly or by way of another.
+    /// Records that a peer confirmed its index, directly or as reported by another peer.
     pub fn confirm_by_peer(&mut self, peer: Incarnation, confirmation: Confirmation) {
-        let known = self.by_peers.entry(peer).or_insert(confirmation);
+        let known = self.peer_confirmations.entry(peer).or_insert(confirmation);
         if (known.index, known.at) < (confirmation.index, confirmation.at) {
             *known = confirmation;
         }
     }
 
-    /// Renews the lease by what was confirmed. `own` is the local confirmation now, `members` are all members
-    /// at its index, and `confirms_index` says that no change waits for its decision there.
+    /// Renews the lease by the recorded confirmations: those of a quorum of the voters, and for
+    /// [`Timings::quorum_loss_grace`] after the last of them those of a majority of the members.
+    ///
+    /// `own` is the index of this router and the current time, and `members` are all members at that index.
+    /// `confirms_index` is true if no change waits for its decision at that index.
     pub fn renew<'a>(
         &mut self,
         timings: &Timings,
@@ -61,47 +66,51 @@
         members: impl ExactSizeIterator<Item = &'a Incarnation>,
         local: Incarnation,
     ) {
-        if let Some(latest) = self.latest_by_quorum {
+        if let Some(latest) = self.latest_quorum_confirmation {
             self.confirm_by_quorum(timings, own.index, latest);
         }
-        let Some(by_quorum) = self.confirmed_by_quorum.filter(|_| confirms_index) else { return };
+        let Some(by_quorum) = self.reached_index_confirmed_at.filter(|_| confirms_index) else { return };
         let majority = members.len() / 2 + 1;
-        let by_peer = |member: &Incarnation| self.by_peers.get(member).filter(|peer| peer.index == own.index);
+        let by_peer = |member: &Incarnation| {
+            self.peer_confirmations.get(member).filter(|confirmation| confirmation.index == own.index)
+        };
         let mut moments: Vec<Moment> = members
             .filter_map(|member| if *member == local { Some(own.at) } else { Some(by_peer(member)?.at) })
             .collect();
         if moments.len() < majority {
             return;
         }
-        // The latest moment since which a majority has confirmed.
+        // The latest moment since which a majority of the members has confirmed the index.
         let position = moments.len() - majority;
         let since = *moments.select_nth_unstable(position).1;
         self.extend(timings, (since + timings.lease).min(by_quorum + timings.quorum_loss_grace));
     }
 
+    /// Extends the lease to `until`, less the possible clock drift over one lease. Never shortens the lease.
     fn extend(&mut self, timings: &Timings, until: Moment) {
         let until = until - timings.drift(timings.lease);
         self.valid_until = self.valid_until.max(Some(until));
     }
 
-    /// Whether requests may be accepted now.
+    /// Whether the lease is valid, so that this router may accept requests now.
     pub fn is_valid(&self, now: Moment) -> bool {
         self.valid_until.is_some_and(|until| now < until)
     }
 
-    /// The time remaining until it expires.
+    /// The time until the lease expires; zero if it has expired or was never granted.
     pub fn remaining(&self, now: Moment) -> Span {
         self.valid_until.map_or(Span::ZERO, |until| until.since(now))
     }
 
-    /// The latest confirmation by a quorum of the voters, of whatever index.
+    /// Returns the latest confirmation by a quorum of the voters, of any index.
     pub fn latest_quorum_confirmation(&self) -> Option<Confirmation> {
-        self.latest_by_quorum
+        self.latest_quorum_confirmation
     }
 
-    /// The peers that confirmed that index, and when: the latest first, at most `limit` of them.
+    /// Returns the peers that confirmed `index`, with the times of their confirmations: at most `limit` of
+    /// them, the latest first.
     pub fn peer_confirmations(&self, index: u64, limit: usize) -> Vec<(Incarnation, Moment)> {
-        let of_index = self.by_peers.iter().filter(|(_, confirmation)| confirmation.index == index);
+        let of_index = self.peer_confirmations.iter().filter(|(_, confirmation)| confirmation.index == index);
         let mut latest: Vec<(Incarnation, Moment)> =
             of_index.map(|(peer, confirmation)| (*peer, confirmation.at)).collect();
         latest.sort_unstable_by_key(|(peer, at)| (Reverse(*at), *peer));
@@ -109,13 +118,13 @@
         latest
     }
 
-    /// Expires the lease and discards all confirmations: the local clock has jumped.
+    /// Ends the lease and discards all confirmations, after a jump of the local clock.
     pub fn expire(&mut self) {
         *self = Self::default();
     }
 
-    /// Keeps only the confirmations of these peers, to bound the memory.
+    /// Keeps only the confirmations of peers for which `is_needed` returns true, to bound memory use.
     pub fn retain_peers(&mut self, is_needed: impl Fn(Incarnation) -> bool) {
-        self.by_peers.retain(|peer, _| is_needed(*peer));
+        self.peer_confirmations.retain(|peer, _| is_needed(*peer));
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Members of one fleet, as one of them knows them: the [`MemberList`], how long what it knows is certainly
-//! valid ([`Lease`]), the fleet's time ([`ClockSync`]), and who is suspected to have failed
-//! ([`FailureDetector`]). Nothing here does I/O, reads a clock or draws random numbers.
+//! Fleet membership, from the view of one member: the members ([`MemberList`]), how long the member may act
+//! on the state that it knows ([`Lease`]), the fleet's time ([`ClockSync`]), and which members are suspected
+//! to have failed ([`FailureDetector`]). The crate does no I/O, reads no clock and draws no random numbers.
 //!
-//! What is promised with them, and on which assumptions, is in `docs/design/policy.md`.
+//! `docs/design/policy.md` states the guarantees and the assumptions behind them.
 
 mod clocks;
 mod failure_detector;
@@ -20,7 +20,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One process of a router: 64 random bits, never used again.
+/// Identifies one process of a router: 64 random bits, drawn at its start and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
--- a/crates/membership/src/member_list.rs
+++ b/crates/membership/src/member_list.rs
@@ -1,4 +1,4 @@
-//! The members, and every earlier list by which some router may still go.
+//! The member list, with every earlier version of the list that a router may still use.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,17 +10,18 @@
 /// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The router's name, which outlives its processes.
+    /// The router's name, which stays the same when the router restarts.
     pub name: String,
-    /// Where its peers reach it.
+    /// The address at which its peers reach the router.
     pub address: String,
-    /// Its replica id, where it may vote: that of its storage, or one drawn for this process.
+    /// The router's replica id: from its storage, or drawn for this process. `None` if the router may not
+    /// vote.
     pub replica_id: Option<u64>,
-    /// Its location, by its position in the deployment's list.
+    /// The router's location, as an index into the deployment's list of locations.
     pub location: u16,
 }
 
-/// One change of the list.
+/// One change of the member list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Change {
     /// The index at which it was committed.
@@ -29,51 +30,52 @@
     removed: Vec<Incarnation>,
 }
 
-/// The members as of some index, and the changes since the oldest list by which a router may still go.
+/// The members as of some index, and the changes since the oldest list that a router may still use.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberList {
     members: Arc<BTreeMap<Incarnation, Member>>,
     changes: VecDeque<Change>,
-    /// Removed processes that are proved to have ended: they go by no list.
+    /// Removed processes that are proved to have ended, and therefore no longer use any list.
     ended: BTreeSet<Incarnation>,
 }
 
-/// A majority of some list, by which a router may still go, is not known to be informed.
+/// More than half of the members of a list that a router may still use are not known to be informed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a majority of the members until index {superseded_at} is not known to be informed")]
+#[error("more than half of the members before index {superseded_at} are not known to be informed")]
 pub struct UninformedMajority {
-    /// The index at which the newest such list was superseded; all older ones were superseded earlier.
+    /// The index at which the newest list with an uninformed majority was superseded. All older lists were
+    /// superseded earlier.
     pub superseded_at: u64,
 }
 
 impl MemberList {
-    /// A first list, which supersedes none.
+    /// Creates the first list, which supersedes no other list.
     pub fn new(members: BTreeMap<Incarnation, Member>) -> Self {
         Self { members: Arc::new(members), ..Self::default() }
     }
 
-    /// The members, by their processes.
+    /// The members, by the incarnation of their process.
     pub fn members(&self) -> &BTreeMap<Incarnation, Member> {
         &self.members
     }
 
-    /// The member that is that process.
+    /// Returns the member with this incarnation. `None` if the process is not a member.
     pub fn get(&self, incarnation: Incarnation) -> Option<&Member> {
         self.members.get(&incarnation)
     }
 
-    /// Whether that process is a member.
+    /// Whether the process with this incarnation is a member.
     pub fn contains(&self, incarnation: Incarnation) -> bool {
         self.members.contains_key(&incarnation)
     }
 
-    /// The process that is a member under that name.
+    /// Returns the incarnation of the member with this name. `None` if there is no such member.
     pub fn find_by_name(&self, name: &str) -> Option<Incarnation> {
         self.members.iter().find(|(_, member)| member.name == name).map(|(incarnation, _)| *incarnation)
     }
 
-    /// How many processes may act as members: the members, and those of earlier lists that may not have
-    /// ended.
+    /// Returns the number of processes that may act as members: the members, and removed members that are not
+    /// proved to have ended.
     pub fn possible_members(&self) -> usize {
         let removed: BTreeSet<Incarnation> =
             self.changes.iter().flat_map(|change| change.removed.iter().copied()).collect();
@@ -81,8 +83,8 @@
         self.members.len() + removed.iter().filter(may_act).count()
     }
 
-    /// Adds a member, in place of any with the same name or replica id. `predecessor` is proved to have
-    /// ended.
+    /// Adds a member by the change at `index`, and removes any members with the same name or replica id.
+    /// `predecessor` is an earlier process that is proved to have ended.
     pub fn add(
         &mut self,
         index: u64,
@@ -115,7 +117,8 @@
         self.changes.push_back(Change { index, added: Some(incarnation), removed });
     }
 
-    /// Removes a member. `ended` says that it is proved to accept no more requests.
+    /// Removes a member by the change at `index`. `ended` is true if the process is proved to accept no more
+    /// requests.
     pub fn remove(&mut self, index: u64, incarnation: Incarnation, ended: bool) {
         if self.contains(incarnation) {
             Arc::make_mut(&mut self.members).remove(&incarnation);
@@ -130,20 +133,25 @@
         self.changes.iter().any(|change| change.removed.contains(&process))
     }
 
-    /// Discards the lists that were superseded at or before that index: no router goes by them any more.
+    /// Discards the lists that were superseded at or before `index`, because no router uses them any more.
     pub fn discard_superseded(&mut self, index: u64) {
         while let Some(change) = self.changes.pop_front_if(|change| change.index <= index) {
             self.ended.retain(|ended| !change.removed.contains(ended));
         }
     }
 
-    /// The index at which the oldest list by which a router may still go was superseded.
+    /// Returns the index at which the oldest list that a router may still use was superseded. `None` if no
+    /// superseded list is kept.
     pub fn oldest_superseded(&self) -> Option<u64> {
         self.changes.front().map(|change| change.index)
     }
 
-    /// Checks, for every list by which a router that has not reached `index` may still go, that half of its
-    /// members are informed: the others are no majority, and can't renew each other's leases.
+    /// Checks that at least half of the members are informed, for every list that a router which has not
+    /// reached `index` may still use. The uninformed members are then no majority of any list, and can't
+    /// renew each other's leases.
+    ///
+    /// `informed` returns whether a process is known to be informed of the change at `index`. Processes that
+    /// are proved to have ended need not be informed.
     pub fn rule_out_uninformed_majority(
         &self,
         index: u64,
@@ -153,10 +161,11 @@
         let mut members: BTreeSet<Incarnation> = self.members.keys().copied().collect();
         let mut informed_count = members.iter().filter(|member| is_informed(**member)).count();
         let mut superseded_at = index;
-        // From the newest list back, by undoing one change after the other.
+        // Visits the lists from the newest to the oldest, by undoing one change after the other.
         let mut changes = self.changes.iter().rev().peekable();
         loop {
-            // Whoever goes by a list of that index or later has reached the index.
+            // A router that uses a list from `index` or later has reached the index, so only earlier lists
+            // count.
             let is_relevant = !members.is_empty() && changes.peek().is_none_or(|change| change.index < index);
             if is_relevant && 2 * informed_count < members.len() {
                 return Err(UninformedMajority { superseded_at });
--- a/crates/membership/src/timings.rs
+++ b/crates/membership/src/timings.rs
@@ -1,60 +1,67 @@
-//! The timings of a fleet, and how they depend on each other.
+//! The timings of a fleet, and the check that they are consistent with each other.
 
 use tindoor::time::Span;
 
-/// Heartbeats that a lease has at least.
+/// The minimum length of a lease, in heartbeat intervals.
 const MIN_LEASE_HEARTBEATS: f64 = 4.0;
 
-/// The greatest clock drift, in parts per million.
+/// The largest accepted clock drift, in parts per million.
 const MAX_DRIFT_PPM: u64 = 10_000;
 
+/// Parts per million in a whole.
 const PPM: u64 = 1_000_000;
 
-/// The timings of a fleet. All its routers must have the same: each relies on those of the others.
+/// The timings of a fleet. All its routers must have the same timings, because each router relies on the
+/// timings of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// How long a router may go by what it knew for certain.
+    /// The length of a lease: how long a router may act on the state that it last confirmed.
     pub lease: Span,
-    /// How long a fleet goes on without a quorum of its voters.
+    /// How long a fleet keeps serving without a quorum of its voters.
     pub quorum_loss_grace: Span,
-    /// How far any two routers may differ in the fleet's time, and each from it.
+    /// The largest error of a router's reading of the fleet's time, and the largest difference between two
+    /// routers' readings.
     pub clock_bound: Span,
     /// How often a router sends status requests.
     pub heartbeat_interval: Span,
-    /// How far a clock may be off its true rate, in parts per million.
+    /// How far the rate of a clock may deviate from the true rate, in parts per million.
     pub drift_ppm: u64,
 }
 
-/// Why timings contradict each other. The texts name the configuration's keys.
+/// Reasons why timings are rejected. The error messages name the keys of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TimingsError {
-    /// The heartbeat interval is under a millisecond.
-    #[error("beat_ms: 0")]
+    /// The heartbeat interval is less than a millisecond.
+    #[error("beat_ms: expected at least 1, found 0")]
     NoHeartbeat,
     /// The lease is too short for the heartbeat interval.
-    #[error("lease_ms: {lease_ms} is under four beats of {heartbeat_ms} ms")]
+    #[error("lease_ms: expected at least four times beat_ms ({heartbeat_ms}), found {lease_ms}")]
     ShortLease {
-        /// The lease.
+        /// The lease, in milliseconds.
         lease_ms: u64,
-        /// The heartbeat interval.
+        /// The heartbeat interval, in milliseconds.
         heartbeat_ms: u64,
     },
     /// The grace is shorter than the lease.
-    #[error("hold_out_ms: {grace_ms} is under the lease of {lease_ms} ms")]
+    #[error("hold_out_ms: expected at least lease_ms ({lease_ms}), found {grace_ms}")]
     ShortGrace {
-        /// The grace after the loss of a quorum.
+        /// The grace after the loss of a quorum, in milliseconds.
         grace_ms: u64,
-        /// The lease.
+        /// The lease, in milliseconds.
         lease_ms: u64,
     },
     /// The clock bound is zero, or longer than the lease.
-    #[error("clock_bound_ms: {clock_bound_ms} is not from 1 to the lease")]
+    #[error("clock_bound_ms: expected at least 1 and at most lease_ms, found {clock_bound_ms}")]
     ClockBoundOutOfRange {
-        /// The clock bound.
+        /// The clock bound, in milliseconds.
         clock_bound_ms: u64,
     },
-    /// Clocks drift by more than the clock bound within a lease.
-    #[error("drift_ppm: a lease at {drift_ppm} is off by more than the clock's bound")]
+    /// The clock drift exceeds 10,000 parts per million, or clocks drift apart by more than the clock bound
+    /// during a lease.
+    #[error(
+        "drift_ppm: expected at most 10000, and two clocks that drift apart by at most clock_bound_ms during \
+         lease_ms, found {drift_ppm}"
+    )]
     ExcessiveDrift {
         /// The drift, in parts per million.
         drift_ppm: u64,
@@ -62,7 +69,7 @@
 }
 
 impl Timings {
-    /// Checks that the timings do not contradict each other.
+    /// Checks that the timings are consistent with each other.
     pub fn check(&self) -> Result<(), TimingsError> {
         let Self { lease, quorum_loss_grace, clock_bound, heartbeat_interval, drift_ppm } = *self;
         let (lease_ms, heartbeat_ms) = (millis(lease), millis(heartbeat_interval));
@@ -84,7 +91,8 @@
         Ok(())
     }
 
-    /// How far two clocks may drift apart in that time: both may be off, in opposite directions.
+    /// Returns how far two clocks may drift apart during `elapsed`. This is twice the drift of one clock,
+    /// because the clocks may drift in opposite directions.
     pub fn drift(&self, elapsed: Span) -> Span {
         Span::micros(elapsed.as_micros().saturating_mul(2 * self.drift_ppm).div_ceil(PPM))
     }
--- a/crates/quota/tests/division.rs
+++ b/crates/quota/tests/division.rs
@@ -262,7 +262,7 @@
     assert!(spendable_after_lost_answer(SafetyChecks::default()).within(total));
     let without =
         spendable_after_lost_answer(SafetyChecks { count_until_returned: false, ..SafetyChecks::default() });
-    assert!(!without.within(total), "without count_until_returned the total is exceeded: {without:?}");
+    assert!(!without.within(total), "without count_until_returned the total must be exceeded: {without:?}");
 }
 
 #[test]
