--- a/crates/membership/tests/clocks.rs
+++ b/crates/membership/tests/clocks.rs
@@ -8,8 +8,9 @@
 use tindoor::time::Span;
 use tindoor_membership::{ClockExchange, ClockOffset, ClockSync, Incarnation, Interval};
 
-/// Records a round trip of 2 ms with one of three voters, whose clocks are `ahead` of the local one. The
-/// second one's has `jumped`. Each peer tells of all clocks.
+/// Records a round trip of 2 ms with one of three voters. The voters' clocks are `ahead` microseconds ahead
+/// of the local clock, and the second voter's clock has `jumped` by a further number of microseconds. The
+/// peer reports the clocks of all three voters.
 fn exchange(clocks: &mut ClockSync, ms: u64, peer: u64, ahead: i64, jumped: i64) {
     let jump = |clock| if clock == 2 { jumped } else { 0 };
     let peer_clock = |ms: u64| (1_000_000_000 + ms * 1000) as i64 + ahead + jump(peer);
@@ -28,20 +29,21 @@
     clocks.record_exchange(&TIMINGS, &exchange);
 }
 
-/// Exchanges with all voters.
+/// Records an exchange with each of the three voters.
 fn exchange_with_all(clocks: &mut ClockSync, ms: u64, ahead: i64, jumped: i64) {
     for peer in 1..=3 {
         exchange(clocks, ms, peer, ahead, jumped);
     }
 }
 
-/// The clocks of that many voters define the fleet's time; none is ahead of it.
+/// The clocks that define the fleet's time: those of the given number of voters, none of which is ahead of
+/// it.
 fn agreed(voters: u64) -> BTreeMap<Incarnation, i64> {
     (1..=voters).map(|voter| (Incarnation(voter), 0)).collect()
 }
 
 #[test]
-fn round_trips_bound_the_error_and_age_widens_it() {
+fn the_error_bound_follows_from_the_round_trip_and_grows_with_age() {
     let mut clocks = ClockSync::new(Incarnation(9));
     for ms in [0, 250, 500] {
         exchange_with_all(&mut clocks, ms, 777_000, 0);
@@ -49,8 +51,8 @@
     let soon = clocks.fleet_time(&TIMINGS, &agreed(3), at(502)).expect("three clocks overlap");
     let truth = 1_000_502_000 + 777_000;
     assert!((soon.low..=soon.high).contains(&truth) && soon.error_bound() <= Span::millis(2), "{soon:?}");
-    let later = clocks.fleet_time(&TIMINGS, &agreed(3), at(100_502)).expect("they still do");
-    assert!(later.error_bound() > Span::millis(39), "100 s at 400 ppm: {later:?}");
+    let later = clocks.fleet_time(&TIMINGS, &agreed(3), at(100_502)).expect("three clocks overlap");
+    assert!(later.error_bound() > Span::millis(39), "100 s at 400 ppm are 40 ms of drift: {later:?}");
 }
 
 #[test]
@@ -65,16 +67,16 @@
             assert!((time.midpoint() - truth).abs() <= 2_000, "{ms}: {time:?}");
         }
     }
-    assert!(clocks.untrusted_since().is_none(), "the local clock is not to blame");
+    assert!(clocks.untrusted_since().is_none(), "the local clock has not jumped");
     let deviation = clocks.deviation_of(&TIMINGS, &agreed(3), Incarnation(2), at(3000));
-    assert!((deviation.expect("it is over the bound") - 900_000).abs() < 5_000);
+    assert!((deviation.expect("the deviation is above the tolerance") - 900_000).abs() < 5_000);
 }
 
-/// Observed in simulations: a voter whose clock had jumped by less than the error of its late readings
-/// overlapped the others with its own clock, which it reads exactly, and took the activation time to be a
-/// little later than it was.
+/// Guards against a fault observed in simulations. A voter's clock had jumped by less than the error bound of
+/// its late readings of the other clocks. Its own clock, which it reads exactly, therefore still overlapped
+/// the others, and the voter computed an activation time slightly later than the true one.
 #[test]
-fn a_clock_that_is_off_by_less_than_the_reading_error_of_the_others_is_not_trusted() {
+fn a_clock_that_is_off_by_less_than_the_reading_error_does_not_shift_the_fleet_time() {
     for voters in 2..=3 {
         let mut clocks = ClockSync::new(Incarnation(1));
         // The local clock is 100 ms behind, and round trips take 300 ms.
@@ -91,7 +93,7 @@
                 clocks.record_exchange(&TIMINGS, &exchange);
             }
         }
-        let time = clocks.fleet_time(&TIMINGS, &agreed(voters), at(1100)).expect("they overlap");
+        let time = clocks.fleet_time(&TIMINGS, &agreed(voters), at(1100)).expect("the clocks overlap");
         let truth = 1_001_100_000 + 100_000;
         assert!((time.low..=time.high).contains(&truth), "{voters}: {time:?}");
     }
@@ -103,7 +105,7 @@
     for ms in [0, 250, 500] {
         exchange_with_all(&mut clocks, ms, 0, 0);
     }
-    // All others are suddenly ahead alike: it is the local clock that fell behind.
+    // All other clocks are suddenly ahead by the same amount, so the local clock has fallen behind.
     let ahead = 1_000_000;
     exchange(&mut clocks, 750, 1, ahead, 0);
     assert!(clocks.untrusted_since().is_none(), "the clock of a single peer may be the one that jumped");
@@ -113,6 +115,6 @@
     for ms in [1000, 1250, 1500] {
         exchange_with_all(&mut clocks, ms, ahead, 0);
     }
-    assert!(clocks.untrusted_since().is_none(), "settled again");
-    assert!(clocks.fleet_time(&TIMINGS, &agreed(3), at(1503)).is_some(), "settled again");
+    assert!(clocks.untrusted_since().is_none(), "later exchanges agree, so the local clock is trusted again");
+    assert!(clocks.fleet_time(&TIMINGS, &agreed(3), at(1503)).is_some(), "the new readings have settled");
 }
--- a/crates/membership/tests/failure_detector.rs
+++ b/crates/membership/tests/failure_detector.rs
@@ -16,6 +16,6 @@
     let suspicion = failure_detector.suspicion(peer, at(12_000), min_mean).expect("it was heard from");
     assert!(
         (2.9..3.1).contains(&suspicion),
-        "one that always takes a second is not suspected after three: {suspicion}"
+        "3 s of silence at a mean interval of 1 s are a suspicion of about 3, not of 12: {suspicion}"
     );
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,7 +1,7 @@
-//! Model checking of leases and member lists: two to four routers of a fleet, a replicated log (its
-//! replication is the `raft` library's matter), one change and its rollback. Any router may stall or be cut
-//! off at any point, as no action has to happen; responses may be old; a leader may be lost with an
-//! uncommitted decision.
+//! Model checking of leases and member lists, for two to four routers of a fleet, a replicated log, one
+//! change and its rollback. The replication of the log itself is left to the `raft` library and not modelled.
+//! Any router may stall or be cut off at any point, because no action is forced to happen; responses may be
+//! old; a leader may be lost with an uncommitted decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use tindoor::time::{Moment, Span};
 use tindoor_membership::{Confirmation, Incarnation, Lease, Member, MemberList, Timings};
 
-/// One tick of the model is a second.
+/// The timings of the model, in which one tick is a second.
 const TIMINGS: Timings = Timings {
     lease: Span::millis(2000),
     quorum_loss_grace: Span::millis(4000),
@@ -21,26 +21,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Entry {
     Propose,
-    /// Activated at that second.
+    /// The decision of the last proposed change, with its activation time in seconds.
     Decide(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct Router {
-    /// How many entries of the log it has applied.
+    /// The number of log entries that the router has applied.
     index: usize,
     lease: Lease,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fleet {
+    /// The current time, in seconds.
     now: u64,
+    /// The committed entries.
     log: Vec<Entry>,
-    /// The activation time of a decision that is not yet committed.
+    /// The activation time of a decision that is not yet committed, in seconds.
     uncommitted: Option<u64>,
-    /// When the change was proposed.
+    /// When the last change was proposed, in seconds.
     proposed: u64,
-    /// Who is known to be informed of the change.
+    /// The routers that are known to be informed of the change.
     informed: BTreeSet<u64>,
     routers: Vec<Router>,
 }
@@ -48,9 +50,13 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Tick,
+    /// The router applies the whole log, and a quorum of the voters confirms its index.
     ConfirmByQuorum(usize),
+    /// The first router receives the log entries and the confirmations of the second one.
     ConfirmByPeer(usize, usize),
+    /// A router reports to the leader that it is informed of the change.
     CheckPolicy(usize),
+    /// The leader proposes a change.
     Propose,
     Decide,
     Commit,
@@ -60,12 +66,13 @@
 /// The protocol, complete or with one rule disabled.
 struct Protocol {
     routers: u64,
-    until: u64,
-    /// The leader waits until the silent routers can't renew their leases.
+    /// The time at which the model ends, in seconds.
+    end: u64,
+    /// The leader decides only once the silent routers can no longer renew their leases.
     waits_for_silent: bool,
-    /// It requests no confirmation while its decision is not committed.
+    /// The leader requests no confirmation while its decision is uncommitted.
     pauses_confirmations: bool,
-    /// It activates a decision a lease after it.
+    /// The leader activates a change one lease after deciding it.
     activates_ahead: bool,
     /// No router confirms its index while a change waits for its decision.
     confirms_only_decided: bool,
@@ -73,13 +80,14 @@
 
 const COMPLETE: Protocol = Protocol {
     routers: 3,
-    until: 7,
+    end: 7,
     waits_for_silent: true,
     pauses_confirmations: true,
     activates_ahead: true,
     confirms_only_decided: true,
 };
 
+/// The moment `second` seconds after the start of the model.
 fn at(second: u64) -> Moment {
     Moment::at_micros(1_000_000_000 + second * 1_000_000)
 }
@@ -88,7 +96,7 @@
     !matches!(log.last(), Some(Entry::Propose))
 }
 
-/// How many changes are activated then, of those in the log and an uncommitted one.
+/// The number of changes that are activated by `now`, counting those in the log and an uncommitted one.
 fn generation(log: &[Entry], uncommitted: Option<u64>, now: u64) -> usize {
     let decided = log.iter().filter_map(|entry| match entry {
         Entry::Decide(at) => Some(*at),
@@ -108,10 +116,10 @@
         let member_list = MemberList::new(
             (0..self.routers).map(|router| (Incarnation(router), member(router))).collect::<BTreeMap<_, _>>(),
         );
-        let no_majority =
+        let no_uninformed_majority =
             member_list.rule_out_uninformed_majority(10, |member| fleet.informed.contains(&member.0)).is_ok();
         !self.waits_for_silent
-            || no_majority
+            || no_uninformed_majority
             || at(fleet.now).since(at(fleet.proposed)) > TIMINGS.quorum_loss_grace
     }
 
@@ -164,7 +172,7 @@
     }
 
     fn actions(&self, fleet: &Fleet, actions: &mut Vec<Action>) {
-        if fleet.now < self.until {
+        if fleet.now < self.end {
             actions.push(Action::Tick);
         }
         for router in 0..fleet.routers.len() {
@@ -179,10 +187,10 @@
             }
         }
         let changes = fleet.log.iter().filter(|entry| **entry == Entry::Propose).count();
-        // The second change, the rollback, is proposed once the first is activated.
-        let settled =
+        // The second change is the rollback. It is proposed once the first change is activated.
+        let all_activated =
             has_no_undecided_change(&fleet.log) && generation(&fleet.log, None, fleet.now) == changes;
-        if settled && changes < 2 {
+        if all_activated && changes < 2 {
             actions.push(Action::Propose);
         }
         match fleet.uncommitted {
@@ -207,14 +215,14 @@
                 fleet.informed.clear();
                 fleet.proposed = now;
             }
-            // A lease of two of the model's seconds.
+            // The lease is two seconds, that is two ticks of the model.
             Action::Decide => fleet.uncommitted = Some(now + if self.activates_ahead { 2 } else { 0 }),
             Action::Commit => {
                 let at = fleet.uncommitted.take()?;
                 fleet.log.push(Entry::Decide(at));
             }
             Action::LoseLeader => {
-                // The next leader has to be informed by all again.
+                // The next leader does not know which routers are informed until they report it again.
                 fleet.uncommitted = None;
                 fleet.informed.clear();
             }
@@ -224,35 +232,34 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
-            "no request is decided by a policy that another has replaced",
+            "no router with a valid lease decides requests by a replaced policy",
             |_, fleet: &Fleet| {
                 let in_force = generation(&fleet.log, fleet.uncommitted, fleet.now);
                 fleet.routers.iter().all(|router| {
-                    let goes_by = generation(&fleet.log[..router.index], None, fleet.now);
-                    !router.lease.is_valid(at(fleet.now)) || goes_by >= in_force
+                    let used = generation(&fleet.log[..router.index], None, fleet.now);
+                    !router.lease.is_valid(at(fleet.now)) || used >= in_force
                 })
             },
         )]
     }
 }
 
-const PROPERTY: &str = "no request is decided by a policy that another has replaced";
+const PROPERTY: &str = "no router with a valid lease decides requests by a replaced policy";
 
 #[test]
-fn no_request_is_decided_by_a_policy_that_another_has_replaced() {
-    // Everything that can happen within the depth; and longer random walks, until so many states were
-    // visited.
+fn no_router_with_a_valid_lease_decides_requests_by_a_replaced_policy() {
+    // Checks all states within a small depth, then follows longer random walks up to a number of states.
     let checked = COMPLETE.checker().threads(2).target_max_depth(6).spawn_bfs().join();
     checked.assert_no_discovery(PROPERTY);
-    walks(COMPLETE, 1, 400_000).assert_no_discovery(PROPERTY);
-    // Also where half of the members can be silent.
+    random_walks(COMPLETE, 1, 400_000).assert_no_discovery(PROPERTY);
+    // With an even number of members, exactly half of them can be silent.
     for routers in [2, 4] {
-        walks(Protocol { routers, ..COMPLETE }, 1, 400_000).assert_no_discovery(PROPERTY);
+        random_walks(Protocol { routers, ..COMPLETE }, 1, 400_000).assert_no_discovery(PROPERTY);
     }
 }
 
-/// The state that these actions lead to.
-fn after(actions: &[Action]) -> Fleet {
+/// The state after these actions, starting from the initial state.
+fn state_after(actions: &[Action]) -> Fleet {
     let first = COMPLETE.init_states().remove(0);
     actions.iter().fold(first, |fleet, action| {
         let mut allowed = Vec::new();
@@ -263,25 +270,35 @@
 }
 
 #[test]
-fn a_change_is_activated_and_a_fleet_without_voters_goes_on() {
+fn a_change_is_activated_and_a_fleet_without_voters_serves_until_the_grace_ends() {
     use Action::*;
-    let ask = [ConfirmByQuorum(0), ConfirmByQuorum(1), ConfirmByQuorum(2)];
-    let actions =
-        [&[Propose][..], &ask, &[CheckPolicy(0), CheckPolicy(1), Decide, Commit], &ask, &[Tick, Tick], &ask]
-            .concat();
-    let fleet = after(&actions);
+    let quorum = [ConfirmByQuorum(0), ConfirmByQuorum(1), ConfirmByQuorum(2)];
+    let actions = [
+        &[Propose][..],
+        &quorum,
+        &[CheckPolicy(0), CheckPolicy(1), Decide, Commit],
+        &quorum,
+        &[Tick, Tick],
+        &quorum,
+    ]
+    .concat();
+    let fleet = state_after(&actions);
     let is_activated = |router: &Router| {
         router.lease.is_valid(at(fleet.now)) && generation(&fleet.log[..router.index], None, fleet.now) == 1
     };
     assert!(fleet.routers.iter().all(is_activated), "{fleet:?}");
     let peers = [Tick, ConfirmByPeer(0, 1), ConfirmByPeer(1, 0), ConfirmByPeer(2, 0)];
-    let fleet = after(&[&peers[..], &peers, &peers].concat());
+    let fleet = state_after(&[&peers[..], &peers, &peers].concat());
     assert!(fleet.routers.iter().all(|router| router.lease.is_valid(at(fleet.now))), "{fleet:?}");
-    let fleet = after(&[&peers[..], &peers, &peers, &peers].concat());
-    assert!(!fleet.routers.iter().any(|router| router.lease.is_valid(at(fleet.now))), "the grace is over");
+    let fleet = state_after(&[&peers[..], &peers, &peers, &peers].concat());
+    assert!(
+        !fleet.routers.iter().any(|router| router.lease.is_valid(at(fleet.now))),
+        "no lease is valid after the grace"
+    );
 }
 
-fn walks(protocol: Protocol, seed: u64, states: usize) -> impl Checker<Protocol> {
+/// Checks random walks of at most 48 actions, until `states` states were visited or the property is violated.
+fn random_walks(protocol: Protocol, seed: u64, states: usize) -> impl Checker<Protocol> {
     let checked = protocol.checker().threads(2).target_state_count(states).target_max_depth(48);
     checked
         .finish_when(HasDiscoveries::AnyOf([PROPERTY].into()))
@@ -290,19 +307,25 @@
 }
 
 #[test]
-fn each_rule_is_necessary() {
-    let needed = |protocol: Protocol, rule: &str| {
-        let found = walks(protocol, 7, 4_000_000).discovery(PROPERTY).is_some();
-        assert!(found, "{rule}");
+fn each_rule_of_the_protocol_is_needed() {
+    let assert_needed = |protocol: Protocol, rule: &str| {
+        let found = random_walks(protocol, 7, 4_000_000).discovery(PROPERTY).is_some();
+        assert!(found, "disabling the rule must lead to a violation, but none was found: {rule}");
     };
-    needed(Protocol { activates_ahead: false, ..COMPLETE }, "a decision must be activated a lease ahead");
-    needed(
+    assert_needed(
+        Protocol { activates_ahead: false, ..COMPLETE },
+        "a change is activated one lease after its decision",
+    );
+    assert_needed(
         Protocol { pauses_confirmations: false, ..COMPLETE },
-        "no confirmation while a decision is not committed",
+        "the leader requests no confirmation while a decision is uncommitted",
     );
-    needed(
+    assert_needed(
         Protocol { confirms_only_decided: false, ..COMPLETE },
-        "no confirmation of an index with an undecided change",
+        "no router confirms an index with an undecided change",
+    );
+    assert_needed(
+        Protocol { waits_for_silent: false, ..COMPLETE },
+        "the leader waits until a silent majority can no longer renew its leases",
     );
-    needed(Protocol { waits_for_silent: false, ..COMPLETE }, "the leader waits for silent majorities");
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -11,6 +11,7 @@
     drift_ppm: 200,
 };
 
+/// The moment `ms` milliseconds after the start of a test.
 pub fn at(ms: u64) -> Moment {
     Moment::at_micros(1_000_000_000 + ms * 1000)
 }
--- a/crates/membership/tests/timings.rs
+++ b/crates/membership/tests/timings.rs
@@ -1,4 +1,4 @@
-//! Tests of the check of timings.
+//! Tests of the consistency check of timings.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use tindoor_membership::Timings;
 
 #[test]
-fn contradicting_timings_are_named_by_their_keys() {
+fn errors_of_inconsistent_timings_name_the_configuration_key() {
     assert_eq!(TIMINGS.check(), Ok(()));
     let short = Timings { lease: Span::millis(500), ..TIMINGS };
     assert!(short.check().unwrap_err().to_string().starts_with("lease_ms"));
