--- a/crates/quota/src/lease_ledger.rs
+++ b/crates/quota/src/lease_ledger.rs
@@ -212,7 +212,7 @@
         let lag = terms.limit.release_lag + drift;
         for borrower in self.borrowers.values_mut() {
             let expired = now >= borrower.expires + lag;
-            // The grant has expired by any clock and was not renewed: the borrower gets no share any more.
+            // The grant has expired by any clock and was not renewed, so the borrower loses its share.
             if expired {
                 borrower.claim = Claim::default();
             }
--- a/crates/quota/src/participant.rs
+++ b/crates/quota/src/participant.rs
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Returns this router's fraction of a key's total and records demand for it. `None` if the key is not
-    /// limited.
+    /// Returns this router's share of a key's total, from 0 to 1, and records demand for the key. `None` if
+    /// the key is not limited.
     pub fn share_fraction(&mut self, now: Moment, key: BudgetKey) -> Option<f64> {
         let state = self.key_state(now, key)?;
         state.bucket.record_refusal(now);
--- a/crates/quota/src/participant/lending.rs
+++ b/crates/quota/src/participant/lending.rs
@@ -60,7 +60,7 @@
         self.requesters.clear();
     }
 
-    /// The longest time that a lease may last, measured by the slowest clock.
+    /// The longest time that a lease may last if its holder measures it by a slow clock.
     fn longest_lease(&self) -> Span {
         self.timings.lease + self.timings.drift(self.timings.lease)
     }
@@ -116,6 +116,7 @@
         Some(state.ledger.grant(now, request, &terms))
     }
 
+    /// Returns the conditions for granting quota of a key now. `None` if the key is not limited.
     fn lending_terms(&self, now: Moment, demand: &KeyDemand) -> Option<LendingTerms> {
         let current = self.plan.limit(demand.key);
         let next = self.next_plan.as_ref().and_then(|plan| plan.limit(demand.key));
@@ -133,8 +134,7 @@
         })
     }
 
-    /// Returns the part of a borrower's holdings that a new leader renews, because its predecessor granted
-    /// it.
+    /// Returns the part of a borrower's holdings that a new leader renews because its predecessor granted it.
     /// `None` if this router does not lead, or once all of the predecessor's grants have expired.
     ///
     /// If the next plan allows less than the current one, the renewed grants are reduced in proportion, so
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -146,7 +146,7 @@
     fn advance(&mut self, now: Moment) {
         while let Some(first) = self.refundable.front().copied().filter(|at| now.since(*at) > REFUND_WINDOW) {
             self.refundable.pop_front();
-            self.checkpoint = self.charged(self.checkpoint, first);
+            self.checkpoint = self.balance_after_charge(self.checkpoint, first);
         }
         let release_lag = self.limit.release_lag;
         while self.former_grants.front().is_some_and(|former| now.since(former.until) > release_lag) {
@@ -169,25 +169,25 @@
     }
 
     fn refill(&mut self, now: Moment) {
-        self.balance.tokens = self.refilled(self.balance, now);
+        self.balance.tokens = self.tokens_at(self.balance, now);
         self.balance.at = self.balance.at.max(now);
     }
 
     /// The number of tokens at `now`, computed from an earlier balance under the current grant.
-    fn refilled(&self, earlier: Balance, now: Moment) -> f64 {
+    fn tokens_at(&self, earlier: Balance, now: Moment) -> f64 {
         let quota = self.limit.guaranteed.plus(self.grant);
         let added = quota.rate as f64 / UNIT as f64 * now.since(earlier.at).as_secs();
         (earlier.tokens + added).min(quota.burst as f64 / UNIT as f64)
     }
 
     /// The balance after a charge at `now`.
-    fn charged(&self, earlier: Balance, now: Moment) -> Balance {
-        Balance { tokens: self.refilled(earlier, now) - 1.0, at: now }
+    fn balance_after_charge(&self, earlier: Balance, now: Moment) -> Balance {
+        Balance { tokens: self.tokens_at(earlier, now) - 1.0, at: now }
     }
 
     /// Reduces the tokens to a changed grant. Charges made before can no longer be refunded.
     fn restart_balance(&mut self) {
-        self.balance.tokens = self.refilled(self.balance, self.balance.at);
+        self.balance.tokens = self.tokens_at(self.balance, self.balance.at);
         self.refundable.clear();
         self.checkpoint = self.balance;
     }
@@ -249,8 +249,11 @@
         // earlier grant are no longer in the list.
         let Some(index) = self.refundable.iter().rposition(|at| *at == charged_at) else { return };
         self.refundable.remove(index);
-        let replayed = self.refundable.iter().fold(self.checkpoint, |balance, at| self.charged(balance, *at));
-        self.balance.tokens = self.refilled(replayed, self.balance.at);
+        let replayed = self
+            .refundable
+            .iter()
+            .fold(self.checkpoint, |balance, at| self.balance_after_charge(balance, *at));
+        self.balance.tokens = self.tokens_at(replayed, self.balance.at);
     }
 
     /// Records demand for a unit that was not available.
@@ -327,8 +330,8 @@
         }
     }
 
-    /// Whether no unit is in flight, no current or former grant counts, and no demand was recorded for longer
-    /// than `idle_time`.
+    /// Whether no unit is in flight, no grant is valid or within its release lag, and no demand was recorded
+    /// for longer than `idle_time`.
     pub fn is_idle(&mut self, now: Moment, idle_time: Span) -> bool {
         self.advance(now);
         let unused = self.in_flight == 0 && self.grant_expires.is_none();
