--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that the simulator reports, decoded from their records.
+//! Decodes the event records that the simulator sends.
 
 use anyhow::{Result, bail};
 use tindoor::host::{
@@ -8,10 +8,10 @@
 
 use crate::frames::Fields;
 
-/// The flag of a request that its client sent before.
+/// The request flag with which the client marks a request as a retry.
 const CLIENT_RETRY_FLAG: u16 = 2;
 
-/// What kind of event a record reports.
+/// The kind of event that a record reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     /// A router starts.
@@ -24,22 +24,22 @@
     StreamingStarted,
     /// An attempt ended.
     AttemptEnded,
-    /// The client of a request has gone.
+    /// The client of a request disconnected.
     RequestAbandoned,
     /// The timer fired.
     TimerFired,
-    /// A health check ended; the engine makes none.
+    /// A health check ended. The engine runs no health checks and ignores the event.
     HealthChecked,
-    /// Another router sent a message; the engine sends none.
+    /// Another router sent a message. The engine sends no messages and ignores the event.
     PeerMessage,
     /// A router stops.
     InstanceStopped,
-    /// An object or a group was purged.
+    /// An object or a purge group was purged.
     Purged,
 }
 
 impl EventKind {
-    /// The event of that code on the wire.
+    /// Returns the event kind with this code on the wire; `None` if the code is unknown.
     pub fn from_code(code: u8) -> Option<Self> {
         Some(match code {
             1 => Self::InstanceStarted,
@@ -57,7 +57,7 @@
         })
     }
 
-    /// The simulator's name of the event, for messages.
+    /// Returns the simulator's name of the event, for error messages.
     pub fn wire_name(self) -> &'static str {
         match self {
             Self::InstanceStarted => "Spawn",
@@ -77,45 +77,46 @@
 
 /// One entry of an endpoint list update.
 pub struct ListEntry {
-    /// The address and port, as one number.
+    /// The IPv4 address and the port as one number, see [`Fields::address`].
     pub address: u64,
-    /// Whether the endpoint takes requests.
+    /// Whether the endpoint accepts requests.
     pub state: EndpointState,
-    /// When it last started; none if that is long past.
+    /// When the endpoint last started; `None` if that was long ago.
     pub started_at: Option<Moment>,
     /// The location of the endpoint.
     pub location: u8,
-    /// How many transfers it carries at once, or its weight.
+    /// The number of full-speed transfers that the endpoint can run at once, or a relative weight if
+    /// capacities are unknown.
     pub capacity: f32,
-    /// The deployment's number for caches, parents or origins.
+    /// The number by which the deployment identifies caches, parents or origins.
     pub kind: u8,
-    /// The cell within the location.
+    /// The endpoint's cell within its location.
     pub cell: u16,
 }
 
-/// An event at one router. Requests are named by the simulator's ids.
+/// An event at one router. Requests are identified by the simulator's ids.
 pub enum Event<'a> {
-    /// The router starts, with its settings as JSON.
+    /// The router starts.
     InstanceStarted {
-        /// Seeds its random numbers.
+        /// The seed of the router's random numbers.
         seed: u64,
-        /// The settings as JSON text.
+        /// The router's settings as JSON text.
         settings: &'a [u8],
     },
     /// The endpoint list changed, or could not be fetched.
     EndpointsChanged {
         /// What the update contains.
         kind: ListUpdateKind,
-        /// Its entries.
+        /// The entries of the update.
         entries: Vec<ListEntry>,
     },
     /// A request was received.
     RequestReceived {
         /// The simulator's id of the request.
         request: u64,
-        /// What it asks for.
+        /// What the client requests.
         meta: RequestMeta,
-        /// How long its client waits.
+        /// The time that the client still waits for the response.
         time_remaining: Span,
     },
     /// The response of a request is being streamed.
@@ -129,37 +130,37 @@
         request: u64,
         /// The index of the attempt within the request.
         index: u16,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// How long it took.
+        /// How long the attempt took.
         took: Span,
         /// Whether the request has its final answer.
         is_last: bool,
     },
-    /// The client of a request has gone.
+    /// The client of a request disconnected.
     RequestAbandoned {
         /// The simulator's id of the request.
         request: u64,
     },
     /// The timer fired.
     TimerFired,
-    /// The event concerns nothing that the engine does.
+    /// The engine ignores the event.
     Ignored,
     /// The router stops.
     InstanceStopped,
-    /// An object or, without one, a group was purged.
+    /// An object or a purge group was purged.
     Purged {
-        /// The object.
+        /// The purged object; `None` if the group was purged.
         object: Option<u64>,
-        /// The group.
+        /// The purge group.
         group: u32,
-        /// How long ago.
+        /// How long ago the purge was issued.
         ago: Span,
     },
 }
 
 impl<'a> Event<'a> {
-    /// Decodes the fields of a record that follow its instance.
+    /// Decodes the fields that follow the instance number of a record.
     pub fn decode(kind: EventKind, fields: &mut Fields<'a>) -> Result<Self> {
         Ok(match kind {
             EventKind::InstanceStarted => {
@@ -180,7 +181,7 @@
             }
             EventKind::HealthChecked => {
                 fields.address()?;
-                status(fields.u8()?)?;
+                decode_status(fields.u8()?)?;
                 fields.u32()?;
                 fields.skip_load_report()?;
                 Self::Ignored
@@ -195,14 +196,14 @@
             EventKind::Purged => Self::Purged {
                 object: Some(fields.u64()?).filter(|object| *object != 0),
                 group: fields.u16()?.into(),
-                ago: span(fields)?,
+                ago: decode_span(fields)?,
             },
         })
     }
 }
 
-/// A span in microseconds.
-fn span(fields: &mut Fields) -> Result<Span> {
+/// Reads a span, which the wire gives in microseconds.
+fn decode_span(fields: &mut Fields) -> Result<Span> {
     Ok(Span::micros(fields.u32()?.into()))
 }
 
@@ -211,7 +212,7 @@
         0 | 1 => ListUpdateKind::Full,
         3 => ListUpdateKind::Failed,
         4 => ListUpdateKind::Delta,
-        other => bail!("unknown form {other}"),
+        other => bail!("unknown list update kind {other}"),
     };
     let _version = fields.u64()?;
     let count = fields.u32()?;
@@ -224,7 +225,7 @@
         0 => EndpointState::Removed,
         1 => EndpointState::Ready,
         2 => EndpointState::Draining,
-        other => bail!("unknown state {other}"),
+        other => bail!("unknown endpoint state {other}"),
     };
     Ok(ListEntry {
         state,
@@ -240,7 +241,7 @@
 fn decode_request_received<'a>(fields: &mut Fields) -> Result<Event<'a>> {
     let request = fields.u64()?;
     let part = fields.f32()? as u32;
-    let time_remaining = span(fields)?;
+    let time_remaining = decode_span(fields)?;
     let class = fields.u16()?;
     let group = fields.f32()? as u32;
     let _account = fields.u16()?;
@@ -262,18 +263,18 @@
 
 fn decode_attempt_ended<'a>(fields: &mut Fields) -> Result<Event<'a>> {
     let request = fields.u64()?;
-    let detail = detail(fields.u32()?)?;
+    let detail = decode_detail(fields.u32()?)?;
     let is_last = fields.flag()?;
-    let took = span(fields)?;
+    let took = decode_span(fields)?;
     let _first_byte = fields.u32()?;
     let _address = fields.address()?;
-    let status = status(fields.u8()?)?;
+    let status = decode_status(fields.u8()?)?;
     let index = fields.u16()?;
     fields.skip_load_report()?;
     Ok(Event::AttemptEnded { request, index, outcome: Outcome::new(status, detail), took, is_last })
 }
 
-fn status(code: u8) -> Result<AttemptStatus> {
+fn decode_status(code: u8) -> Result<AttemptStatus> {
     Ok(match code {
         10 => AttemptStatus::Served,
         20 => AttemptStatus::Error,
@@ -284,11 +285,11 @@
         70 => AttemptStatus::Cancelled,
         80 => AttemptStatus::Superseded,
         90 => AttemptStatus::Miss,
-        other => bail!("unknown verdict {other}"),
+        other => bail!("unknown attempt status {other}"),
     })
 }
 
-fn detail(code: u32) -> Result<OutcomeDetail> {
+fn decode_detail(code: u32) -> Result<OutcomeDetail> {
     Ok(match code {
         0 => OutcomeDetail::Unknown,
         1 => OutcomeDetail::Hit,
@@ -301,6 +302,6 @@
         8 => OutcomeDetail::SourceMiss,
         9 => OutcomeDetail::NoFillSlot,
         10 => OutcomeDetail::OriginFailed,
-        other => bail!("unknown info {other}"),
+        other => bail!("unknown outcome detail {other}"),
     })
 }
--- a/crates/simulator-adapter/src/frames.rs
+++ b/crates/simulator-adapter/src/frames.rs
@@ -1,77 +1,79 @@
-//! Frames of the simulator's wire, and the reading of their fields.
+//! Reads the frames of the simulator's wire protocol and their fields.
 //!
-//! A frame is a batch of records under one clock reading. Numbers are little-endian.
+//! A frame is a batch of records that share one clock reading. Numbers are little-endian.
 
 use std::io::Read;
 
 use anyhow::{Context, Result, bail, ensure};
 
-/// The bytes of a batch header: clock, length, count.
+/// The size of a batch header in bytes: the clock (8), the batch length (4) and the record count (4).
 const HEADER_SIZE: usize = 16;
 
 /// The header of a batch.
 pub struct BatchHeader {
     /// The simulated time, in microseconds.
     pub clock: u64,
-    /// How many records the batch holds.
+    /// The number of records in the batch.
     pub record_count: u32,
 }
 
-/// Reads a batch's records into `body` and gives its header, or none where the input ends.
+/// Reads the records of the next batch into `body` and returns the batch header.
+///
+/// Returns `None` at the end of the input.
 pub fn read_batch(input: &mut impl Read, body: &mut Vec<u8>) -> Result<Option<BatchHeader>> {
     body.clear();
     input.by_ref().take(HEADER_SIZE as u64).read_to_end(body)?;
     if body.is_empty() {
         return Ok(None);
     }
-    ensure!(body.len() == HEADER_SIZE, "batch header cut short after {} bytes", body.len());
+    ensure!(body.len() == HEADER_SIZE, "batch header cut short: got {} of {HEADER_SIZE} bytes", body.len());
     let mut header = Fields::new(body);
     let (clock, size, record_count) = (header.u64()?, header.u32()?, header.u32()?);
-    let size = size.checked_sub(4).context("batch length leaves no room for the record count")?;
+    let size = size.checked_sub(4).context("batch length is less than the 4 bytes of the record count")?;
     body.clear();
-    // The buffer grows with what is received, not with what the header claims.
+    // The buffer grows as bytes are received, so a wrong length in the header causes no large allocation.
     input.by_ref().take(size.into()).read_to_end(body)?;
-    ensure!(body.len() == size as usize, "batch cut short: {} bytes of {size}", body.len());
+    ensure!(body.len() == size as usize, "batch cut short: got {} of {size} bytes", body.len());
     Ok(Some(BatchHeader { clock, record_count }))
 }
 
-/// Bytes that are read field by field.
+/// The bytes of a record or batch that are not yet read, with methods to read them field by field.
 pub struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
-    /// All fields within these bytes.
+    /// Returns a reader at the start of these bytes.
     pub fn new(bytes: &'a [u8]) -> Self {
         Self(bytes)
     }
 
-    /// Whether everything has been read.
+    /// Returns whether all bytes have been read.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The bytes not yet read.
+    /// Returns the bytes that are not yet read.
     pub fn bytes(&self) -> &'a [u8] {
         self.0
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N]> {
         let Some((head, tail)) = self.0.split_first_chunk::<N>() else {
-            bail!("too short: {N} bytes wanted, {} left", self.0.len());
+            bail!("too short: expected {N} more bytes, found {}", self.0.len());
         };
         self.0 = tail;
         Ok(*head)
     }
 
-    /// Reads this many bytes.
+    /// Reads `size` bytes.
     pub fn take(&mut self, size: usize) -> Result<&'a [u8]> {
         let Some((head, tail)) = self.0.split_at_checked(size) else {
-            bail!("too short: {size} bytes wanted, {} left", self.0.len());
+            bail!("too short: expected {size} more bytes, found {}", self.0.len());
         };
         self.0 = tail;
         Ok(head)
     }
 
-    /// Reads a 32-bit length and as many bytes.
+    /// Reads a 32-bit length and the bytes that it covers.
     pub fn length_prefixed(&mut self) -> Result<Self> {
         let size = self.u32()? as usize;
         self.take(size).map(Fields)
@@ -82,7 +84,7 @@
         self.array::<1>().map(|bytes| bytes[0])
     }
 
-    /// Reads a flag: any number but 0 is true.
+    /// Reads an 8-bit flag: every number except 0 is true.
     pub fn flag(&mut self) -> Result<bool> {
         Ok(self.u8()? != 0)
     }
@@ -102,20 +104,20 @@
         self.array().map(u64::from_le_bytes)
     }
 
-    /// Reads a floating point number, which must be finite.
+    /// Reads a 32-bit floating-point number, which must be finite.
     pub fn f32(&mut self) -> Result<f32> {
         let value = self.array().map(f32::from_le_bytes)?;
-        ensure!(value.is_finite(), "a field is not a finite number");
+        ensure!(value.is_finite(), "expected a finite number, found {value}");
         Ok(value)
     }
 
-    /// Reads an IPv4 address and a port as one number.
+    /// Reads an IPv4 address (4 bytes) and a port (2 bytes) as one 48-bit number.
     pub fn address(&mut self) -> Result<u64> {
         let [a, b, c, d, e, f] = self.array::<6>()?;
         Ok(u64::from_le_bytes([a, b, c, d, e, f, 0, 0]))
     }
 
-    /// Reads past a load report, which nothing here uses.
+    /// Skips a load report, which the adapter does not use: a count and that many 32-bit values.
     pub fn skip_load_report(&mut self) -> Result<()> {
         let count = self.u8()?;
         self.take(usize::from(count) * 4).map(drop)
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The engine's host: maps its ids to the simulator's, and encodes its actions as records.
+//! The engine's host: maps the engine's ids to the simulator's and encodes the engine's actions as records.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 use tindoor::host::{EndpointId, FillDirectives, Host, RequestSlot};
 use tindoor::time::Span;
 
-/// The codes of actions on the wire.
+/// The action codes on the wire.
 mod code {
     pub const CANCEL: u8 = 1;
     pub const FAIL: u8 = 5;
@@ -24,30 +24,33 @@
     pub const REFRESH: u8 = 8;
 }
 
-/// A request and the simulator's id of it.
+/// A request that the simulator sent.
 struct RequestEntry {
+    /// The simulator's id of the request.
     wire_id: u64,
-    /// It has no final answer yet.
+    /// Whether the request still needs a final answer.
     is_open: bool,
+    /// The number of attempts in flight.
     in_flight: u32,
 }
 
-/// The ids of one router, and the actions that it took since they were last collected.
+/// The ids that one router uses, and the actions that it took since they were last collected.
 pub struct AdapterHost {
     instance: u32,
-    /// Encoded actions.
+    /// The encoded actions.
     pub actions: Vec<u8>,
-    /// By endpoint id.
+    /// The address of each endpoint, indexed by endpoint id.
     addresses: Vec<u64>,
     endpoint_ids: HashMap<u64, EndpointId>,
-    /// By slot.
+    /// The request in each slot, indexed by slot.
     requests: Vec<RequestEntry>,
+    /// The slot of each request, by the simulator's id.
     slots: HashMap<u64, RequestSlot>,
     free_slots: Vec<RequestSlot>,
 }
 
 impl AdapterHost {
-    /// The host of the router with that number.
+    /// Returns the host of the router with this instance number.
     pub fn new(instance: u32) -> Self {
         Self {
             instance,
@@ -60,7 +63,7 @@
         }
     }
 
-    /// The endpoint with that address; one that was never listed gets the next id.
+    /// Returns the id of the endpoint with this address. A new address gets the next unused id.
     pub fn endpoint_id(&mut self, address: u64) -> EndpointId {
         let addresses = &mut self.addresses;
         *self.endpoint_ids.entry(address).or_insert_with(|| {
@@ -69,9 +72,9 @@
         })
     }
 
-    /// Assigns a slot to a new request.
+    /// Assigns a slot to a new request. Fails if a request with the same wire id still has a slot.
     pub fn open_request(&mut self, wire_id: u64) -> Result<RequestSlot> {
-        ensure!(!self.slots.contains_key(&wire_id), "request {wire_id} was taken before");
+        ensure!(!self.slots.contains_key(&wire_id), "request id {wire_id} is already in use");
         let entry = RequestEntry { wire_id, is_open: true, in_flight: 0 };
         let slot = if let Some(slot) = self.free_slots.pop() {
             self.requests[slot.0 as usize] = entry;
@@ -84,12 +87,12 @@
         Ok(slot)
     }
 
-    /// The slot of a request, until its final answer and the end of all its attempts.
+    /// Returns the slot of a request; `None` if the request has its final answer and all its attempts ended.
     pub fn slot(&self, wire_id: u64) -> Option<RequestSlot> {
         self.slots.get(&wire_id).copied()
     }
 
-    /// Records the end of an attempt and, with the last one, of its request.
+    /// Records the end of an attempt. If `is_last` is set, the request has its final answer.
     pub fn close_attempt(&mut self, slot: RequestSlot, is_last: bool) {
         let request = self.request_mut(slot);
         request.in_flight = request.in_flight.saturating_sub(1);
@@ -97,12 +100,13 @@
         self.release_if_done(slot);
     }
 
-    /// Records that a request has its final answer, or needs none.
+    /// Records that a request has its final answer or no longer needs one.
     pub fn close_request(&mut self, slot: RequestSlot) {
         self.request_mut(slot).is_open = false;
         self.release_if_done(slot);
     }
 
+    /// Frees the slot if the request is closed and no attempt is in flight.
     fn release_if_done(&mut self, slot: RequestSlot) {
         let request = &self.requests[slot.0 as usize];
         let is_done = !request.is_open && request.in_flight == 0;
@@ -115,7 +119,7 @@
         &mut self.requests[slot.0 as usize]
     }
 
-    /// Encodes an action: its code, the length of its fields, the instance and the other fields.
+    /// Encodes an action: its code, the length in bytes of what follows, the instance and the other fields.
     fn push_action(&mut self, code: u8, fields: &[&[u8]]) {
         let size: usize = size_of::<u32>() + fields.iter().map(|field| field.len()).sum::<usize>();
         self.actions.push(code);
@@ -136,16 +140,17 @@
     }
 }
 
-/// A span in microseconds as the wire has it, where 0 means that none is given.
-fn given_span(span: Span) -> [u8; 4] {
+/// Encodes a span in microseconds, limited to the range of a non-zero `u32`: 0 on the wire means no span.
+fn encode_span(span: Span) -> [u8; 4] {
     u32::try_from(span.as_micros().max(1)).unwrap_or(u32::MAX).to_le_bytes()
 }
 
-fn optional_span(span: Option<Span>) -> [u8; 4] {
-    span.map_or([0; 4], given_span)
+/// Encodes a span in microseconds, or 0 if there is none.
+fn encode_optional_span(span: Option<Span>) -> [u8; 4] {
+    span.map_or([0; 4], encode_span)
 }
 
-fn fill_flags(directives: &FillDirectives) -> u8 {
+fn encode_fill_flags(directives: &FillDirectives) -> u8 {
     let mut flags = 0;
     if directives.join_fill {
         flags |= fill_flag::JOIN_FILL;
@@ -163,7 +168,7 @@
     fn send_cache_only(&mut self, slot: RequestSlot, endpoint: EndpointId, timeout: Span) {
         self.request_mut(slot).in_flight += 1;
         let (request, address) = (self.wire_id(slot), self.address(endpoint));
-        self.push_action(code::SEND_CACHE_ONLY, &[&request, &given_span(timeout), &address]);
+        self.push_action(code::SEND_CACHE_ONLY, &[&request, &encode_span(timeout), &address]);
     }
 
     fn send_with_fill(
@@ -179,10 +184,10 @@
             &[
                 &self.wire_id(slot),
                 &self.address(endpoint),
-                &optional_span(directives.max_age),
+                &encode_optional_span(directives.max_age),
                 &self.address(directives.source),
-                &[fill_flags(&directives)],
-                &given_span(timeout),
+                &[encode_fill_flags(&directives)],
+                &encode_span(timeout),
                 &[directives.retention_rank],
             ],
         );
@@ -193,7 +198,7 @@
     }
 
     fn reject(&mut self, slot: RequestSlot, retry_after: Option<Span>) {
-        self.push_action(code::REJECT, &[&self.wire_id(slot), &optional_span(retry_after)]);
+        self.push_action(code::REJECT, &[&self.wire_id(slot), &encode_optional_span(retry_after)]);
         self.close_request(slot);
     }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Connects [`tindoor::engine::RoutingEngine`] to the simulator, over standard input and output.
+//! Connects [`tindoor::engine::RoutingEngine`] to the simulator over standard input and output.
 //!
-//! The simulator writes batches of event records ([`frames`], [`event`]); each is answered with the actions
-//! that the engines took ([`host`]). The adapter maps ids and translates settings and makes no decisions.
-//! Routers share nothing but the process.
+//! The simulator writes batches of event records ([`frames`], [`event`]). The adapter answers each batch with
+//! the actions that the engines took ([`host`]). The adapter maps ids and translates settings; it makes no
+//! routing decisions. All simulated routers run in this process and share no state.
 
 mod event;
 mod frames;
@@ -20,7 +20,7 @@
 use frames::Fields;
 use host::AdapterHost;
 
-/// The bytes of a reply's length.
+/// The size of a reply's length field in bytes.
 const LENGTH_SIZE: usize = 4;
 
 fn main() {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Answers batch after batch until the input ends.
+/// Reads batches and writes a reply to each until the input ends.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<()> {
     let mut fleet = Fleet::default();
     let (mut batch, mut reply) = (Vec::new(), Vec::new());
@@ -42,8 +42,13 @@
         for index in 0..header.record_count {
             fleet.apply_record(&mut records, now, &mut reply).with_context(|| format!("record {index}"))?;
         }
-        ensure!(records.is_empty(), "batch holds more than its {} records", header.record_count);
-        let size = u32::try_from(reply.len() - LENGTH_SIZE).context("reply too long")?;
+        ensure!(
+            records.is_empty(),
+            "unexpected bytes after the {} records of the batch",
+            header.record_count
+        );
+        let size = u32::try_from(reply.len() - LENGTH_SIZE)
+            .context("reply too long: its size does not fit in 32 bits")?;
         reply[..LENGTH_SIZE].copy_from_slice(&size.to_le_bytes());
         output.write_all(&reply)?;
         output.flush()?;
@@ -53,12 +58,12 @@
 
 type Engine = RoutingEngine<AdapterHost>;
 
-/// All routers in this process, by their numbers.
+/// The engines of all routers in this process, by instance number.
 #[derive(Default)]
 struct Fleet(BTreeMap<u32, Engine>);
 
 impl Fleet {
-    /// Applies the next record and appends the actions of its router to the reply.
+    /// Applies the next record and appends the actions that the router took to the reply.
     fn apply_record(&mut self, records: &mut Fields, now: Moment, reply: &mut Vec<u8>) -> Result<()> {
         let code = records.u8()?;
         let fields = records.length_prefixed()?;
@@ -70,11 +75,11 @@
         Ok(())
     }
 
-    /// Applies an event to its router, and gives the router's number.
+    /// Applies an event to its router and returns the router's instance number.
     fn apply_event(&mut self, kind: EventKind, mut fields: Fields, now: Moment) -> Result<u32> {
         let instance = fields.u32()?;
         let is_known = self.0.contains_key(&instance) || kind == EventKind::InstanceStarted;
-        ensure!(is_known, "instance {instance} was never started");
+        ensure!(is_known, "instance {instance} is not running");
         let event = Event::decode(kind, &mut fields)?;
         match event {
             Event::InstanceStarted { seed, settings } => {
@@ -87,21 +92,21 @@
             }
             event => {
                 let Some(engine) = self.0.get_mut(&instance) else {
-                    bail!("instance {instance} was never started");
+                    bail!("instance {instance} is not running");
                 };
                 engine.set_time(now);
                 apply_to_engine(engine, event)?;
             }
         }
-        ensure!(fields.is_empty(), "longer than its fields");
+        ensure!(fields.is_empty(), "too long: {} bytes after the last field", fields.bytes().len());
         Ok(instance)
     }
 }
 
-/// Applies an event to a running engine. Events of requests that are closed are late, and of no effect.
+/// Applies an event to a running engine. Late events, whose request no longer has a slot, are ignored.
 fn apply_to_engine(engine: &mut Engine, event: Event) -> Result<()> {
     match event {
-        Event::EndpointsChanged { kind, entries } => apply_list(engine, kind, entries),
+        Event::EndpointsChanged { kind, entries } => apply_list_update(engine, kind, entries),
         Event::RequestReceived { request, meta, time_remaining } => {
             let slot = engine.host().open_request(request)?;
             engine.request_received(slot, meta, time_remaining);
@@ -130,7 +135,7 @@
     Ok(())
 }
 
-fn apply_list(engine: &mut Engine, kind: ListUpdateKind, entries: Vec<ListEntry>) {
+fn apply_list_update(engine: &mut Engine, kind: ListUpdateKind, entries: Vec<ListEntry>) {
     let updates: Vec<EndpointUpdate> = entries
         .into_iter()
         .map(|entry| EndpointUpdate {
