--- a/crates/simulator-adapter/tests/recorder/mod.rs
+++ b/crates/simulator-adapter/tests/recorder/mod.rs
@@ -1,4 +1,5 @@
-//! Records golden files: runs each scenario's simulated fleet against the binary and writes what passed.
+//! Records golden files: runs the simulated fleet of each scenario against the binary and writes the bytes
+//! exchanged.
 
 mod frames;
 mod scenarios;
@@ -10,12 +11,14 @@
 use std::path::Path;
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// The names of all scenarios; each has a pair of files.
+/// Returns the names of all scenarios. Each scenario has a pair of files.
 pub fn names() -> Vec<&'static str> {
     scenarios::all().iter().map(|scenario| scenario.name).collect()
 }
 
-/// Records every scenario, prints what occurred in each, and checks that together they cover the wire.
+/// Records every scenario and prints the counts of what occurred in each.
+///
+/// Panics unless the scenarios together cover every event, action, status and detail of the protocol.
 pub fn record_all(binary: &str, directory: &Path) {
     let mut total = Counts::default();
     for scenario in scenarios::all() {
@@ -26,15 +29,16 @@
         println!("{name}: {} bytes in, {} bytes out\n{}", input.len(), output.len(), counts.text());
         std::fs::write(directory.join(format!("{name}.in")), input).expect("input is written");
         std::fs::write(directory.join(format!("{name}.out")), output).expect("output is written");
-        counts.0.into_iter().for_each(|(what, count)| total.add(what, count));
+        counts.0.into_iter().for_each(|(occurrence, count)| total.add(occurrence, count));
     }
-    println!("all together\n{}", total.text());
-    let missing: Vec<String> = wanted().into_iter().filter(|what| !total.0.contains_key(what)).collect();
+    println!("total\n{}", total.text());
+    let missing: Vec<String> =
+        required_occurrences().into_iter().filter(|occurrence| !total.0.contains_key(occurrence)).collect();
     assert!(missing.is_empty(), "never occurred: {missing:?}");
 }
 
-/// What must occur at least once in all scenarios together.
-fn wanted() -> Vec<String> {
+/// Returns what must occur in at least one of the scenarios.
+fn required_occurrences() -> Vec<String> {
     let actions = [
         "send cache-only",
         "send with fill",
@@ -57,22 +61,23 @@
         .collect()
 }
 
-/// How often each kind of thing occurred.
+/// How often each event, action, status and detail occurred.
 #[derive(Default)]
 pub struct Counts(BTreeMap<String, usize>);
 
 impl Counts {
-    pub fn add(&mut self, what: String, count: usize) {
-        *self.0.entry(what).or_default() += count;
+    pub fn add(&mut self, occurrence: String, count: usize) {
+        *self.0.entry(occurrence).or_default() += count;
     }
 
     fn text(&self) -> String {
-        let entries: Vec<String> = self.0.iter().map(|(what, count)| format!("{what}: {count}")).collect();
+        let entries: Vec<String> =
+            self.0.iter().map(|(occurrence, count)| format!("{occurrence}: {count}")).collect();
         format!("  {}", entries.join(", "))
     }
 }
 
-/// The binary as a running process, and all bytes that passed.
+/// The running binary and all bytes exchanged with it.
 pub struct Adapter {
     process: Child,
     stdin: ChildStdin,
@@ -90,19 +95,20 @@
         Self { process, stdin, stdout, input: Vec::new(), output: Vec::new() }
     }
 
-    /// Sends a batch and waits for the reply's actions.
+    /// Sends a batch, waits for the reply and returns its actions, still encoded.
     pub fn exchange(&mut self, batch: &[u8]) -> Vec<u8> {
-        self.stdin.write_all(batch).expect("binary takes the batch");
+        self.stdin.write_all(batch).expect("binary accepts the batch");
         self.input.extend(batch);
         let mut length = [0; 4];
         self.stdout.read_exact(&mut length).expect("binary replies");
         let mut reply = vec![0; u32::from_le_bytes(length) as usize];
-        self.stdout.read_exact(&mut reply).expect("reply is whole");
+        self.stdout.read_exact(&mut reply).expect("reply is complete");
         self.output.extend(length);
         self.output.extend(&reply);
         reply
     }
 
+    /// Waits for the binary to exit and returns all bytes sent and received.
     fn finish(mut self) -> (Vec<u8>, Vec<u8>) {
         drop(self.stdin);
         assert!(self.process.wait().expect("binary ends").success());
--- a/crates/simulator-adapter/tests/recorder/scenarios.rs
+++ b/crates/simulator-adapter/tests/recorder/scenarios.rs
@@ -1,42 +1,50 @@
-//! The scenarios that are recorded: for each the settings, the fleet, and what happens to it.
+//! The recorded scenarios: the settings, the fleet and the incidents of each.
+//!
+//! The function of a scenario has the name of its pair of golden files.
 
-use super::frames::{DRAINING, GONE, READY};
+use super::frames::{DRAINING, READY, REMOVED};
 use super::settings::{Class, PLAIN_CLASS, Settings};
 use super::world::Condition;
 
-/// Which servers something happens to.
+/// The servers that an incident affects.
 #[derive(Clone, Copy)]
 pub enum Target {
-    /// By zone, and place among those present there.
+    /// The cache with this zone and this index among the listed caches of the zone.
     Cache(u8, usize),
+    /// All caches of a zone.
     Caches(u8),
+    /// The parent with this index among the listed parents.
     Parent(usize),
     Parents,
     Origin,
 }
 
+/// A change to the fleet or to the load at a given time.
 #[derive(Clone, Copy)]
 pub enum Incident {
     Condition(Target, Condition),
     State(Target, u8),
-    Size(Target, f32),
-    /// Healthy again, ready, empty, with a new start time.
+    Capacity(Target, f32),
+    /// The servers become healthy and ready, with no copies and a new start time.
     Restart(Target),
-    /// Gone, with a new one of its kind in its place.
+    /// The servers are removed, and a new server of the same kind and zone is added for each.
     Replace(Target),
-    WholeList,
+    /// The full list is sent to every instance.
+    FullList,
+    /// An instance loses its subscription to the list.
     SubscriptionLost(u32),
     PurgeObject(u64),
     PurgeGroup(u16),
-    /// Requests per second from now on.
+    /// The number of requests per second changes.
     Rate(f64),
     RestartInstance(u32),
-    /// A request whose class is out of range.
+    /// An instance receives a request whose class is not in the settings.
     UnknownClass(u32),
-    /// Records that need no reaction: answers to health checks, and a message from a peer.
-    SideNews(u32),
+    /// An instance receives records that it ignores: the ends of health checks and a message from a peer.
+    IgnoredRecords(u32),
 }
 
+/// A simulated fleet, its load and what happens to it.
 #[derive(Clone)]
 pub struct Scenario {
     pub name: &'static str,
@@ -46,20 +54,22 @@
     pub zones: Vec<u8>,
     pub caches_per_zone: usize,
     pub parents: usize,
-    /// Milliseconds.
+    /// How long clients send new requests, in milliseconds.
     pub duration: u64,
     pub requests_per_second: f64,
+    /// The number of different objects.
     pub objects: u64,
-    /// The share of attempts that end in a way drawn at random.
+    /// The share of attempts that end in a random way, whatever the condition of the server.
     pub noise: f64,
-    /// The share of calls to discovery that fail.
+    /// The share of calls to the discovery service that fail.
     pub watch_failures: f64,
-    pub sizes_told: bool,
-    /// The share of attempts that find a copy however it came there.
-    pub held_anyway: f64,
-    /// The most timers that go off in one tick for an instance.
+    /// Whether requests carry the size of their response.
+    pub response_sizes_known: bool,
+    /// The share of attempts that are hits regardless of which copies were stored before.
+    pub extra_hits: f64,
+    /// The maximum number of timers that fire for an instance in one tick.
     pub timers_per_tick: u32,
-    /// With their times in milliseconds.
+    /// The incidents, with their times in milliseconds from the start.
     pub incidents: Vec<(u64, Incident)>,
 }
 
@@ -77,8 +87,8 @@
             objects: 300,
             noise: 0.01,
             watch_failures: 0.0,
-            sizes_told: true,
-            held_anyway: 0.0,
+            response_sizes_known: true,
+            extra_hits: 0.0,
             timers_per_tick: 1,
             incidents: Vec::new(),
         }
@@ -102,7 +112,7 @@
 const SECOND_CLASS: Class =
     Class { objective: 500_000, deadline: 4_000_000, fresh: 0, older_by: 0, share: 0.5, ..PLAIN_CLASS };
 
-/// Caches drain, go, are replaced and restarted under ordinary load; objects and groups are purged.
+/// Servers drain and are removed, replaced and restarted under normal load; objects and groups are purged.
 fn changes_of_the_list() -> Scenario {
     use Incident::*;
     use Target::*;
@@ -114,24 +124,24 @@
         settings: Settings { classes, ..Settings::default() },
         zones: vec![1, 2, 1],
         incidents: vec![
-            (500, SideNews(1)),
+            (500, IgnoredRecords(1)),
             (1000, State(Cache(1, 0), DRAINING)),
-            (1500, State(Cache(1, 0), GONE)),
+            (1500, State(Cache(1, 0), REMOVED)),
             (2000, Replace(Cache(2, 1))),
             (2500, PurgeObject(1)),
             (2600, PurgeObject(2)),
             (3000, Restart(Cache(1, 1))),
             (3500, PurgeGroup(3)),
             (4000, State(Parent(0), DRAINING)),
-            (4500, Size(Cache(1, 2), 3.0)),
+            (4500, Capacity(Cache(1, 2), 3.0)),
             (4800, RestartInstance(2)),
-            (5000, WholeList),
+            (5000, FullList),
             (5500, State(Parent(0), READY)),
             (5600, UnknownClass(0)),
             (6000, State(Caches(2), DRAINING)),
             (6300, PurgeObject(1)),
             (6500, State(Caches(2), READY)),
-            (7000, State(Parents, GONE)),
+            (7000, State(Parents, REMOVED)),
             (8000, PurgeGroup(5)),
             (8500, Replace(Cache(1, 0))),
             (9000, PurgeObject(4)),
@@ -140,12 +150,12 @@
     }
 }
 
-/// More requests than the caches and the links serve, in waves.
+/// Two waves of more requests than the caches and their links can serve.
 fn overload() -> Scenario {
     use Incident::*;
-    let quick = Class { objective: 150_000, deadline: 900_000, ..PLAIN_CLASS };
+    let short_deadline = Class { objective: 150_000, deadline: 900_000, ..PLAIN_CLASS };
     let settings = Settings {
-        classes: vec![quick, SECOND_CLASS],
+        classes: vec![short_deadline, SECOND_CLASS],
         bypass_allowed: false,
         instances_by_zone: [0, 1, 1],
         client_kb_per_s: 400.0,
@@ -171,7 +181,7 @@
     }
 }
 
-/// Every effect of a request, with attempts that often end badly.
+/// Idempotent and non-idempotent requests and requests with an idempotency key, with many failed attempts.
 fn effects() -> Scenario {
     use Incident::*;
     use Target::*;
@@ -203,9 +213,9 @@
     }
 }
 
-/// Caches that are slow, fail, hang, are full or down, and come back.
+/// Caches that are slow, failing, hung, overloaded or down, and recover.
 fn outliers() -> Scenario {
-    use super::world::Condition::{Down, Failing, Full, Healthy, Hung, Resetting, Slow};
+    use super::world::Condition::{Down, Failing, Healthy, Hung, Overloaded, Resetting, Slow};
     use Incident::*;
     use Target::*;
     let settings = Settings { note_level: "hit", retry_after: false, ..Settings::default() };
@@ -227,7 +237,7 @@
             (6000, Condition(Cache(1, 2), Down)),
             (6500, Condition(Cache(2, 1), Healthy)),
             (7000, Condition(Cache(1, 1), Healthy)),
-            (7500, Condition(Cache(2, 2), Full(0.8))),
+            (7500, Condition(Cache(2, 2), Overloaded(0.8))),
             (8000, Condition(Cache(1, 2), Healthy)),
             (8500, Condition(Caches(2), Hung)),
             (9500, Condition(Caches(2), Healthy)),
@@ -240,7 +250,7 @@
     }
 }
 
-/// What is lost and restarted in both scenarios of cold starts.
+/// Returns the incidents of both cold start scenarios.
 fn cold_starts() -> Vec<(u64, Incident)> {
     use super::world::Condition::Down;
     use Incident::*;
@@ -261,7 +271,8 @@
     ]
 }
 
-/// Restarts of caches, of a whole zone and of all parents, where many instances share them by number.
+/// Restarts of caches, of a whole zone and of all parents. Response sizes are known. The settings give
+/// more instances than are simulated, and all of them share the capacity of the servers.
 fn cold_starts_sizes_told() -> Scenario {
     let settings = Settings {
         classes: vec![PLAIN_CLASS, SECOND_CLASS],
@@ -280,7 +291,8 @@
     }
 }
 
-/// The same where capacities have to be learned, with hundreds of instances elsewhere.
+/// The same restarts with unknown response sizes, and capacities that have to be learned. The settings give
+/// hundreds of instances, most of which are not simulated.
 fn cold_starts_sizes_untold() -> Scenario {
     let settings = Settings {
         weights: "live",
@@ -297,15 +309,15 @@
         settings,
         duration: 13_000,
         requests_per_second: 75.0,
-        sizes_told: false,
+        response_sizes_known: false,
         incidents: cold_starts(),
         ..Scenario::default()
     }
 }
 
-/// Parents that fail alone and together, an origin that is slow and fails, and purges that cause fills.
+/// Single and simultaneous failures of parents, a slow and failing origin, and purges that cause fills.
 fn origin_and_parents() -> Scenario {
-    use super::world::Condition::{Down, Failing, Full, Healthy, Hung, Resetting, Slow};
+    use super::world::Condition::{Down, Failing, Healthy, Hung, Overloaded, Resetting, Slow};
     use Incident::*;
     use Target::*;
     Scenario {
@@ -319,7 +331,7 @@
             (1000, Condition(Parent(0), Slow(20.0))),
             (2500, Condition(Parent(0), Healthy)),
             (3000, Condition(Parent(1), Failing(0.8))),
-            (4000, Condition(Parent(1), Full(0.7))),
+            (4000, Condition(Parent(1), Overloaded(0.7))),
             (4500, Condition(Parent(1), Healthy)),
             (5000, Condition(Parents, Down)),
             (6000, Condition(Parents, Healthy)),
@@ -341,7 +353,8 @@
     }
 }
 
-/// The list comes only where it is asked for, and the call often fails; nothing is cancelled or noted.
+/// Instances receive changes of the list only after they call the discovery service, and half of the calls
+/// fail. Attempts are not cancelled, and caches report no details.
 fn list_on_request() -> Scenario {
     use super::world::Condition::{Hung, Slow};
     use Incident::*;
@@ -366,10 +379,10 @@
             (2000, SubscriptionLost(0)),
             (2500, Restart(Cache(1, 0))),
             (3000, SubscriptionLost(1)),
-            (3200, State(Cache(1, 2), GONE)),
+            (3200, State(Cache(1, 2), REMOVED)),
             (4000, RestartInstance(2)),
             (5000, Condition(Cache(2, 2), Hung)),
-            (6000, WholeList),
+            (6000, FullList),
             (6500, Condition(Origin, Slow(10.0))),
             (7000, PurgeGroup(2)),
             (8000, SubscriptionLost(2)),
@@ -378,15 +391,15 @@
     }
 }
 
-/// Another family: caches answer by themselves, there are no parents, and a request is tried twice.
+/// Another family: there are no parents, caches fill no misses, and a request has at most two attempts.
 fn no_fills() -> Scenario {
     use super::world::Condition::{Down, Failing, Healthy};
     use Incident::*;
     use Target::*;
     let keyed = Class { effect: "idempotency_key", group: "zone", share: 0.3, ..PLAIN_CLASS };
-    let once = Class { effect: "non_idempotent", share: 0.3, ..PLAIN_CLASS };
+    let non_idempotent = Class { effect: "non_idempotent", share: 0.3, ..PLAIN_CLASS };
     let settings = Settings {
-        classes: vec![PLAIN_CLASS, keyed, once],
+        classes: vec![PLAIN_CLASS, keyed, non_idempotent],
         family: "service",
         parents: false,
         bypass_allowed: false,
@@ -399,7 +412,7 @@
         seed: 109,
         settings,
         noise: 0.2,
-        held_anyway: 0.85,
+        extra_hits: 0.85,
         duration: 8_000,
         incidents: vec![
             (2000, Condition(Cache(1, 0), Down)),
--- a/crates/simulator-adapter/tests/recorder/settings.rs
+++ b/crates/simulator-adapter/tests/recorder/settings.rs
@@ -1,19 +1,30 @@
-//! The settings of a simulated site, and their JSON.
+//! The settings of a simulated deployment and their JSON.
+//!
+//! Field names follow the JSON keys. Durations are in microseconds.
 
-/// A class of requests. Times in microseconds.
+/// A request class.
 #[derive(Clone, Copy)]
 pub struct Class {
+    /// The idempotency of the requests.
     pub effect: &'static str,
+    /// Where a request with an idempotency key may run again.
     pub group: &'static str,
+    /// How long after its first attempt a request with an idempotency key may run again.
     pub window: u64,
     pub deadline: u64,
     pub objective: u64,
+    /// The maximum age of a served copy.
     pub fresh: u64,
+    /// How far the age of a served copy may exceed `fresh` after a failed attempt or while fills are
+    /// congested.
     pub older_by: u64,
+    /// The weight of a response from a stale copy, as a fraction of the weight of a fresh one.
     pub worth_when_old: f64,
+    /// Whether the origin always runs the requests itself.
     pub goes_through: bool,
+    /// Whether responses are streamed.
     pub stream: bool,
-    /// How often requests are of this class, against the other classes.
+    /// The frequency of requests of this class relative to the other classes.
     pub share: f64,
 }
 
@@ -31,23 +42,32 @@
     share: 1.0,
 };
 
+/// The settings of all instances.
 #[derive(Clone)]
 pub struct Settings {
     pub classes: Vec<Class>,
     pub family: &'static str,
+    /// How the capacity of servers is known: `"nominal"` if they report it.
     pub weights: &'static str,
+    /// How instances receive the endpoint list: `"pushed"` or `"on_request"`.
     pub registry_mode: &'static str,
+    /// How much detail caches report about an attempt: `"all"`, `"hit"` or `"off"`.
     pub note_level: &'static str,
     pub bypass_allowed: bool,
     pub cancelling: bool,
+    /// Whether a request may be hedged.
     pub second_copies: bool,
     pub retry_after: bool,
     pub parents: bool,
     pub most_tries: u32,
+    /// The number of routers in the whole fleet, including routers that are not simulated.
     pub balancers: u32,
     pub instances_by_zone: [u32; 3],
+    /// The share of its full capacity that a cache has when it starts.
     pub cold_share: f64,
+    /// The time from the start of a cache until it has its full capacity.
     pub warm_within: u64,
+    /// The time after a purge by which every older copy is gone.
     pub gone_everywhere: u64,
     pub client_kb_per_s: f64,
 }
@@ -80,8 +100,8 @@
 pub const PARENT_KIND: u8 = 1;
 pub const ORIGIN_KIND: u8 = 2;
 
-/// One value for each class, as a JSON list.
-fn list<T: ToString>(classes: &[Class], value: impl Fn(&Class) -> T) -> String {
+/// Returns a JSON list with one value for each class.
+fn json_list<T: ToString>(classes: &[Class], value: impl Fn(&Class) -> T) -> String {
     let values: Vec<String> = classes.iter().map(|class| value(class).to_string()).collect();
     format!("[{}]", values.join(", "))
 }
@@ -95,18 +115,18 @@
 }
 
 impl Settings {
-    /// The settings as an instance of that zone gets them.
+    /// Returns the settings as sent to an instance in this zone.
     pub fn json(&self, zone: u8) -> String {
         let Self { family, weights, registry_mode, note_level, bypass_allowed, .. } = self;
         let Self { cancelling, second_copies, retry_after, most_tries, balancers, .. } = self;
         let Self { instances_by_zone, cold_share, warm_within, gone_everywhere, client_kb_per_s, .. } = self;
         let parent_kind = if self.parents { i32::from(PARENT_KIND) } else { -1 };
         let classes = &self.classes;
-        let request_classes = list(classes, class_json);
-        let fresh = list(classes, |class| class.fresh);
-        let older_by = list(classes, |class| class.older_by);
-        let worth_when_old = list(classes, |class| class.worth_when_old);
-        let goes_through = list(classes, |class| class.goes_through);
+        let request_classes = json_list(classes, class_json);
+        let fresh = json_list(classes, |class| class.fresh);
+        let older_by = json_list(classes, |class| class.older_by);
+        let worth_when_old = json_list(classes, |class| class.worth_when_old);
+        let goes_through = json_list(classes, |class| class.goes_through);
         format!(
             r#"{{"zone": {zone}, "balancers": {balancers}, "family": "{family}", "weights": "{weights}",
  "registry_mode": "{registry_mode}", "unknown": {{"key": [1, null]}},
