--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,10 @@
 //! Reads the settings of a deployment from JSON into the engine's [`Settings`].
 //!
-//! The simulator adapter and the router both use it. The keys of the JSON are the operators'; they are mapped
-//! to the engine's names here and nowhere else.
+//! Both the simulator adapter and the router use this crate. The JSON keys are the names that operators use;
+//! this crate is the only place that maps them to the engine's names.
 //!
-//! A value that is missing, or of another type than it should be, is left to the engine's default. Where the
-//! engine needs the value, [`Error`] names its key.
+//! A value that is missing or has the wrong type becomes `None`, and the engine uses its default. If the
+//! engine has no default for the value, reading fails with an [`Error`] that names the key.
 
 use serde_json::Value;
 use thiserror::Error;
@@ -14,7 +14,7 @@
 };
 use tindoor::time::Span;
 
-/// Why settings can't be read.
+/// The reason why settings can't be read.
 #[derive(Debug, Error)]
 pub enum Error {
     /// The text is not JSON.
@@ -23,15 +23,15 @@
     /// The JSON value is not an object.
     #[error("not a JSON object")]
     NotAnObject,
-    /// The list of request classes is missing.
-    #[error("request_classes is missing")]
+    /// The list of request classes is missing, or is not a list.
+    #[error("request_classes is missing or not a list")]
     NoRequestClasses,
-    /// The key is missing, or its value is not of its type.
-    #[error("{0} is not set")]
+    /// The key is missing, or its value is not a number.
+    #[error("{0} is missing or not a number")]
     Missing(String),
 }
 
-/// Reads settings as JSON text.
+/// Reads settings from JSON text.
 pub fn from_text(text: &[u8]) -> Result<Settings, Error> {
     from_json(&serde_json::from_slice(text).map_err(Error::NotJson)?)
 }
@@ -114,7 +114,8 @@
     }
 }
 
-/// A request class, from its own object and from the family's lists, which have an entry for each class.
+/// Reads a request class from its own object and from the lists in `family_info`, which have one entry per
+/// class.
 fn class(value: &Value, index: usize, family: &Section) -> Result<ClassSettings, Error> {
     let class = Section { value, path: format!("request_classes[{index}].") };
     let by_class = |key: &str| family.list_number(key, index);
@@ -135,7 +136,7 @@
     })
 }
 
-/// A request that is not known to be idempotent is treated as non-idempotent.
+/// Requests with a missing or unknown effect are treated as non-idempotent.
 fn idempotency(effect: Option<&str>) -> Idempotency {
     match effect {
         Some("read_like") => Idempotency::Idempotent,
@@ -153,10 +154,10 @@
     }
 }
 
-/// An object of the settings. A missing one is treated as empty.
+/// An object within the settings. A missing object is treated as empty.
 struct Section<'a> {
     value: &'a Value,
-    /// For messages: empty, or with a separator at its end.
+    /// The path of the object's keys for error messages: empty for the root, else with a trailing dot.
     path: String,
 }
 
@@ -165,7 +166,7 @@
         Section { value: self.value.get(key).unwrap_or(&Value::Null), path: format!("{}{key}.", self.path) }
     }
 
-    /// A number; a flag is the number 0 or 1.
+    /// Returns a number. A boolean is converted to 0 or 1.
     fn number(&self, key: &str) -> Option<f64> {
         number(self.value.get(key)?)
     }
@@ -182,7 +183,7 @@
         self.value.get(key)?.as_str()
     }
 
-    /// A span in microseconds.
+    /// Returns a time span, which the settings give in microseconds.
     fn span(&self, key: &str) -> Option<Span> {
         Some(Span::micros(self.number(key)? as u64))
     }
@@ -195,7 +196,7 @@
         Some(self.number(key)?.ceil() as u32)
     }
 
-    /// The kind of an endpoint; none where the number can't be one.
+    /// Returns an endpoint kind. `None` if the number is not a whole number from 0 to 255.
     fn kind(&self, key: &str) -> Option<u8> {
         let number = self.number(key)?;
         (0..=u8::MAX).find(|kind| f64::from(*kind) == number)
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -1,6 +1,6 @@
-//! What the engine is told of sample settings, compared with the recorded file in `tests/golden/`. The file
-//! has the names and values that the version before the typed settings looked up; a value that it stored and
-//! never acted on, like a word in place of a number, is left out of the comparison.
+//! Compares the settings that are read from samples with the recorded file in `tests/golden/`. The file was
+//! recorded by the version before the typed settings, with the names and values that it looked up. Values that
+//! this version stored but never used, such as a word in place of a number, are left out of the comparison.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
 
 const RECORDED: &str = include_str!("golden/settings.txt");
 
-/// Every setting that is known, and some that aren't.
-const EVERY: &str = r#"{
+/// All known settings, and some unknown ones.
+const ALL_SETTINGS: &str = r#"{
     "family": "edge", "zone": 1, "zones": ["east", "west"], "flavors": ["cache", "parent", "origin"],
     "balancers": 3, "weights": "nominal", "registry_mode": "on_request", "unknown": {"a": [1]},
     "request_classes": [
@@ -33,7 +33,7 @@
 }"#;
 
 const SAMPLES: &[&str] = &[
-    EVERY,
+    ALL_SETTINGS,
     r#"{"zone": 0, "rules": {"drain_grace": 1}, "request_classes": [{"deadline": 1, "objective": 1}]}"#,
     r#"{"zone": 2, "rules": {"drain_grace": 5.0, "warm_within": "x", "cold_share": null}, "family": 1, "weights": true,
         "registry_mode": null, "limits": {"cancelling": {}, "most_tries": [8], "retry_after": 1, "max_retry_after": {}},
@@ -47,7 +47,7 @@
         "family_info": {"class_fresh": [1], "older_by": [2], "worth_when_old": [0.5], "instances_by_zone": [3]}}"#,
 ];
 
-/// Each lacks a setting that the engine can't do without.
+/// Each sample lacks a setting that the engine requires.
 const REJECTED: &[&str] = &[
     r#"{"request_classes": []}"#,
     r#"{"request_classes": [{}]}"#,
@@ -74,7 +74,7 @@
         rest = rest.strip_prefix(text).expect("samples in the order of the file").trim_start_matches('\n');
         let values: Vec<&str> = rest.lines().take_while(|line| line.starts_with("    ")).collect();
         let recorded: BTreeSet<String> =
-            values.iter().map(|line| line.trim().to_string()).filter(|line| is_acted_on(line)).collect();
+            values.iter().map(|line| line.trim().to_string()).filter(|line| is_used(line)).collect();
         assert_eq!(described(&from_text(text.as_bytes()).unwrap()), recorded, "{text}");
         rest = &rest[values.iter().map(|line| line.len() + 1).sum()..];
     }
@@ -82,21 +82,21 @@
 }
 
 #[test]
-fn settings_without_what_the_engine_needs_are_rejected() {
+fn settings_without_a_required_value_are_rejected() {
     for text in REJECTED {
         assert!(from_text(text.as_bytes()).is_err(), "{text}");
     }
 }
 
-/// Whether the version that recorded the value decided anything by it.
-fn is_acted_on(line: &str) -> bool {
+/// Whether the version that recorded the value used it.
+fn is_used(line: &str) -> bool {
     let (name, value) = line.split_once(": ").unwrap();
     let is_flag_off = value == "0" && (name == "second_copies" || name.ends_with("runs_at_origin"));
     let is_stray_word = [r#""x""#, r#""hit""#, r#""once-only""#].contains(&value);
     !is_flag_off && !is_stray_word && name != "offerings"
 }
 
-/// The settings by the recorded names.
+/// Formats the settings with the names used in the recorded file.
 fn described(settings: &Settings) -> BTreeSet<String> {
     let Settings { topology, attempts, rejection, slow_start, purges, classes } = settings;
     let mut values = vec![
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings read from JSON, and the errors for unusable ones.
+//! Reading settings from JSON, and the errors for invalid settings.
 
 use tindoor::settings::{Idempotency, RetryScope};
 use tindoor::time::Span;
@@ -11,7 +11,7 @@
     "family_info": {"class_fresh": [0, 8000000], "goes_through": [true, false], "instances_by_zone": [1, 2]}}"#;
 
 #[test]
-fn settings_are_read_by_the_operators_names() {
+fn settings_are_read_by_their_json_keys() {
     let settings = from_text(SETTINGS.as_bytes()).unwrap();
     assert_eq!(settings.topology.location, 1);
     assert_eq!(settings.topology.routers, Some(3));
@@ -27,21 +27,21 @@
     assert_eq!(uploads.idempotency, Idempotency::WithKey);
     assert_eq!(uploads.retry_scope, RetryScope::Location);
     assert_eq!(pages.idempotency, Idempotency::Idempotent);
-    assert_eq!(settings.purges.grace, None, "a missing value is left to the engine's default");
+    assert_eq!(settings.purges.grace, None, "a missing value is `None`, so that the engine uses its default");
 }
 
 #[test]
-fn a_missing_setting_is_named_by_its_key() {
+fn the_error_for_a_missing_setting_names_its_key() {
     let cases = [
-        (r#"{"request_classes": [], "rules": {"drain_grace": 1}}"#, "zone is not set"),
-        (r#"{"request_classes": [], "zone": 1}"#, "rules.drain_grace is not set"),
+        (r#"{"request_classes": [], "rules": {"drain_grace": 1}}"#, "zone is missing or not a number"),
+        (r#"{"request_classes": [], "zone": 1}"#, "rules.drain_grace is missing or not a number"),
         (
             r#"{"request_classes": [{"deadline": 1}], "zone": 1, "rules": {"drain_grace": 1}}"#,
-            "request_classes[0].objective is not set",
+            "request_classes[0].objective is missing or not a number",
         ),
         (
             r#"{"request_classes": [{"objective": 1, "deadline": "soon"}], "zone": 1, "rules": {"drain_grace": 1}}"#,
-            "request_classes[0].deadline is not set",
+            "request_classes[0].deadline is missing or not a number",
         ),
     ];
     for (text, message) in cases {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn text_that_holds_no_settings_is_an_error() {
+fn text_without_settings_is_rejected() {
     for (text, message) in [("[", "not JSON"), ("[]", "not a JSON object"), ("{}", "request_classes")] {
         let error = from_text(text.as_bytes()).unwrap_err().to_string();
         assert!(error.contains(message), "{text}: {error}");
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -149,8 +149,8 @@
         (with(ingress(8, 1)), "record 2: Ingress: instance 8 was never started"),
         (with(record(99, &[])), "record 2: unknown event code 99"),
         (batch(10, &[spawn(3, "{")]), "record 0: Spawn: settings: not JSON"),
-        (batch(10, &[spawn(3, "{}")]), "record 0: Spawn: settings: request_classes is missing"),
-        (batch(10, &[spawn(3, r#"{"request_classes": []}"#)]), "settings: zone is not set"),
+        (batch(10, &[spawn(3, "{}")]), "record 0: Spawn: settings: request_classes is missing or not a list"),
+        (batch(10, &[spawn(3, r#"{"request_classes": []}"#)]), "settings: zone is missing or not a number"),
     ];
     for (input, expected) in cases {
         let output = run(&input);
