--- a/crates/signed-urls/src/claims.rs
+++ b/crates/signed-urls/src/claims.rs
@@ -1,5 +1,5 @@
-//! The claims of a verified token, and whether they authorize a request. Every token format yields
-//! [`Claims`].
+//! The claims of a verified token, and the check whether they authorize a request. Every token format
+//! produces [`Claims`].
 
 use std::net::IpAddr;
 
@@ -7,37 +7,38 @@
 
 use crate::normalize::Target;
 
-/// Why a token does not authorize a request. The texts are for operators and never quote a token.
+/// The reason why a token does not authorize a request. Clients and operators see the texts, which never
+/// quote a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum TokenError {
     /// The request carries no token.
     #[error("there is no token")]
     Missing,
-    /// The token, or a part of it, is over its size limit.
+    /// The token, or a part of it, exceeds its size limit.
     #[error("the token is over its limit")]
     TooLong,
-    /// The token does not have its format's form; says which part.
+    /// The token does not conform to its format. The text names the invalid part.
     #[error("the token can't be read: {0}")]
     Malformed(&'static str),
-    /// No key of the set has the token's key id.
+    /// The key set has no key with the token's key id.
     #[error("no key of that id is known")]
     UnknownKey,
-    /// The token names another algorithm than the key's own.
+    /// The token names a different algorithm than that of its key.
     #[error("the token names another algorithm than its key's")]
     AlgorithmMismatch,
-    /// The signature was not made by the key.
+    /// The key did not create the signature.
     #[error("the signature is not the key's")]
     InvalidSignature,
     /// The key or the token is revoked.
     #[error("the key, or the token, was revoked")]
     Revoked,
-    /// The key is not valid yet, or no longer.
+    /// The key is not valid yet, or has expired.
     #[error("the key does not hold at this time")]
     KeyNotValid,
-    /// A claim that is marked critical is not supported.
+    /// A claim that is marked as critical is not supported.
     #[error("a claim that must be understood is not known here")]
     UnknownCriticalClaim,
-    /// The token is meant for another audience.
+    /// The token was issued for another audience.
     #[error("the token is for another audience")]
     AudienceMismatch,
     /// The token is bound to another client address.
@@ -46,19 +47,20 @@
     /// The token does not cover the requested path.
     #[error("the token is for another path")]
     PathMismatch,
-    /// More clients use the token than one token allows.
+    /// Too many clients use the token.
     #[error("the token is used from too many addresses")]
     TooManyClients,
-    /// The token becomes valid in so many milliseconds.
+    /// The token is not valid yet. Carries the time until it is, in milliseconds.
     #[error("the token is not valid yet, in {0} ms")]
     NotYetValid(u64),
-    /// The token expired so many milliseconds ago.
+    /// The token has expired. Carries the time since then, in milliseconds.
     #[error("the token lapsed {0} ms ago")]
     Expired(u64),
 }
 
 impl TokenError {
-    /// After how many milliseconds the same token may be accepted; none where it never will be.
+    /// Returns the time after which the same token may be accepted, in milliseconds. `None` if it never will
+    /// be.
     pub fn retry_after_ms(self) -> Option<u64> {
         match self {
             Self::NotYetValid(wait) => Some(wait),
@@ -67,7 +69,7 @@
     }
 }
 
-/// A network of client addresses.
+/// A network of client addresses, or a single address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientNetwork {
     address: IpAddr,
@@ -75,7 +77,7 @@
 }
 
 impl ClientNetwork {
-    /// Parses an address, or a network as `address/bits`.
+    /// Parses an address, or a network in the form `address/bits`. `None` if the text is neither.
     pub fn parse(text: &str) -> Option<Self> {
         let (address, bits) = match text.split_once('/') {
             Some((address, bits)) => (address, Some(bits)),
@@ -91,19 +93,20 @@
         (bits <= width).then_some(Self { address, bits })
     }
 
-    /// Whether the address belongs to the network.
+    /// Returns whether the address belongs to the network.
     pub fn contains(&self, other: IpAddr) -> bool {
-        // An IPv4 client on a dual-stack socket has an IPv4-mapped IPv6 address.
-        let same = |a: u128, b: u128, width: u8| self.bits == 0 || (a ^ b) >> (width - self.bits) == 0;
+        // On a dual-stack socket, an IPv4 client appears with an IPv4-mapped IPv6 address.
+        let prefix_equal =
+            |a: u128, b: u128, width: u8| self.bits == 0 || (a ^ b) >> (width - self.bits) == 0;
         match (self.address, other.to_canonical()) {
-            (IpAddr::V4(a), IpAddr::V4(b)) => same(a.to_bits().into(), b.to_bits().into(), 32),
-            (IpAddr::V6(a), IpAddr::V6(b)) => same(a.to_bits(), b.to_bits(), 128),
+            (IpAddr::V4(a), IpAddr::V4(b)) => prefix_equal(a.to_bits().into(), b.to_bits().into(), 32),
+            (IpAddr::V6(a), IpAddr::V6(b)) => prefix_equal(a.to_bits(), b.to_bits(), 128),
             _ => false,
         }
     }
 }
 
-/// Which requests a token covers.
+/// The requests that a token covers.
 #[derive(Clone, Debug)]
 pub enum Scope {
     /// Exactly this path.
@@ -112,9 +115,9 @@
     UrlPrefix(String),
     /// Paths that match one of these glob patterns.
     Patterns(Vec<String>),
-    /// URLs that match this expression as a whole.
+    /// URLs that this expression matches in full.
     Expression(Regex),
-    /// The SHA-256 of the whole URL.
+    /// The URL whose SHA-256 hash is this one.
     Hash([u8; 32]),
 }
 
@@ -123,36 +126,36 @@
 pub struct Renewal {
     /// Lifetime of a renewed token, in seconds.
     pub lifetime_seconds: u64,
-    /// How a renewed token is sent: 1 in a cookie, 2 in the query.
+    /// How a renewed token is sent: 1 for a cookie, 2 for the query.
     pub transport: u8,
-    /// How many path segments a renewed token covers.
+    /// The number of path segments that a renewed token covers.
     pub depth: u32,
 }
 
-/// What a verified token claims. Times are in Unix seconds.
+/// The claims of a verified token. Times are in Unix seconds.
 #[derive(Clone, Debug)]
 pub struct Claims {
-    /// The id of the key that signed it.
+    /// The id of the key that signed the token.
     pub key: String,
-    /// From when the token is valid.
+    /// The time from which the token is valid. `None` if it has no start.
     pub not_before: Option<u64>,
-    /// When the token expires.
+    /// The time at which the token expires. `None` if it never does.
     pub expires: Option<u64>,
-    /// Which requests it covers.
+    /// The requests that the token covers.
     pub scope: Scope,
-    /// The clients that may use it; any where none is named.
+    /// The clients that may use the token. `None` if any client may.
     pub client: Option<ClientNetwork>,
-    /// The token's own id, where it has one.
+    /// The id of the token itself, by which it can be revoked. `None` if it has none.
     pub id: Option<String>,
-    /// How it is renewed, where it is.
+    /// How the token is renewed. `None` if it is not.
     pub renewal: Option<Renewal>,
 }
 
-/// The request that a token is verified for.
+/// The request for which a token is verified.
 pub struct VerificationContext<'a> {
     /// Scheme and host, such as `https://videos.example`.
     pub base_url: &'a str,
-    /// Path and query, without the token.
+    /// The path and query, without the token.
     pub target: &'a Target,
     /// The client's address.
     pub client: IpAddr,
@@ -163,12 +166,14 @@
 pub struct VerificationTime {
     /// Unix time, in milliseconds.
     pub unix_ms: u64,
-    /// Tolerated clock skew, in milliseconds: a token that is early or expired by no more is valid.
+    /// The tolerated clock skew, in milliseconds. A token is accepted this long before its validity begins
+    /// and after it ends.
     pub skew_ms: u64,
 }
 
 impl Claims {
-    /// Authorizes a request, and says until when that holds (Unix milliseconds, skew included).
+    /// Checks whether the claims authorize a request. Returns the time at which the authorization expires, in
+    /// Unix milliseconds, including the tolerated skew.
     pub fn authorize(&self, context: &VerificationContext, now: VerificationTime) -> Result<u64, TokenError> {
         if let Some(client) = self.client
             && !client.contains(context.client)
@@ -181,58 +186,60 @@
         self.check_validity(now)
     }
 
-    /// Checks the validity period alone; says until when it lasts (Unix milliseconds, skew included).
+    /// Checks only the validity period. Returns its end, in Unix milliseconds, including the tolerated skew.
     pub fn check_validity(&self, now: VerificationTime) -> Result<u64, TokenError> {
-        let begins = self.not_before.map_or(0, |at| at.saturating_mul(1000));
-        let ends = self.expires.map_or(u64::MAX, |at| at.saturating_mul(1000).saturating_add(now.skew_ms));
-        if now.unix_ms.saturating_add(now.skew_ms) < begins {
-            return Err(TokenError::NotYetValid(begins - now.unix_ms - now.skew_ms));
+        let begins_ms = self.not_before.map_or(0, |at| at.saturating_mul(1000));
+        let ends_ms = self.expires.map_or(u64::MAX, |at| at.saturating_mul(1000).saturating_add(now.skew_ms));
+        if now.unix_ms.saturating_add(now.skew_ms) < begins_ms {
+            return Err(TokenError::NotYetValid(begins_ms - now.unix_ms - now.skew_ms));
         }
-        if now.unix_ms >= ends {
-            return Err(TokenError::Expired(now.unix_ms - (ends - now.skew_ms)));
+        if now.unix_ms >= ends_ms {
+            return Err(TokenError::Expired(now.unix_ms - (ends_ms - now.skew_ms)));
         }
-        Ok(ends)
+        Ok(ends_ms)
     }
 }
 
 impl Scope {
     fn covers(&self, context: &VerificationContext) -> bool {
-        let whole = || format!("{}{}", context.base_url, context.target.to_text());
+        let full_url = || format!("{}{}", context.base_url, context.target.to_text());
         match self {
             Self::Path(path) => *path == context.target.path,
-            Self::UrlPrefix(prefix) => whole().starts_with(prefix.as_str()),
+            Self::UrlPrefix(prefix) => full_url().starts_with(prefix.as_str()),
             Self::Patterns(patterns) => {
                 patterns.iter().any(|pattern| glob_matches(pattern, &context.target.path))
             }
-            Self::Expression(expression) => expression.is_match(&whole()),
+            Self::Expression(expression) => expression.is_match(&full_url()),
             Self::Hash(hash) => {
-                let found = ring::digest::digest(&ring::digest::SHA256, whole().as_bytes());
+                let found = ring::digest::digest(&ring::digest::SHA256, full_url().as_bytes());
                 found.as_ref() == hash
             }
         }
     }
 }
 
-/// Whether a glob pattern matches a whole text: `*` matches any characters, `?` matches one. Takes time
-/// proportional to the product of both lengths.
+/// Returns whether a glob pattern matches the whole text. `*` matches any number of characters, `?` matches
+/// one. The time taken is at most proportional to the product of both lengths.
 pub fn glob_matches(pattern: &str, text: &str) -> bool {
     let (pattern, text) = (pattern.as_bytes(), text.as_bytes());
-    let (mut at, mut from, mut star) = (0, 0, None);
-    while from < text.len() {
-        match pattern.get(at) {
+    let (mut pattern_index, mut text_index, mut last_star) = (0, 0, None);
+    while text_index < text.len() {
+        match pattern.get(pattern_index) {
             Some(b'*') => {
-                star = Some((at, from));
-                at += 1;
+                last_star = Some((pattern_index, text_index));
+                pattern_index += 1;
             }
-            Some(sign) if *sign == b'?' || *sign == text[from] => (at, from) = (at + 1, from + 1),
-            _ => match star {
-                Some((back, taken)) => {
-                    (at, from) = (back + 1, taken + 1);
-                    star = Some((back, taken + 1));
+            Some(expected) if *expected == b'?' || *expected == text[text_index] => {
+                (pattern_index, text_index) = (pattern_index + 1, text_index + 1)
+            }
+            _ => match last_star {
+                Some((star_index, retry_index)) => {
+                    (pattern_index, text_index) = (star_index + 1, retry_index + 1);
+                    last_star = Some((star_index, retry_index + 1));
                 }
                 None => return false,
             },
         }
     }
-    pattern[at..].iter().all(|sign| *sign == b'*')
+    pattern[pattern_index..].iter().all(|expected| *expected == b'*')
 }
--- a/crates/signed-urls/src/clock.rs
+++ b/crates/signed-urls/src/clock.rs
@@ -1,20 +1,21 @@
-//! Estimates the offset of the router's clock from times that independent sources state: `Date` headers of
-//! responses, and events of the change stream. It sets no clock.
+//! Estimates the offset of the router's clock from the times that independent sources report: the `Date`
+//! headers of responses, and events of the change stream. The clock itself is never adjusted.
 
 use std::collections::BTreeMap;
 
-/// Samples kept of one source.
+/// The number of samples kept for each source.
 const SAMPLES_PER_SOURCE: usize = 16;
-/// Sources, at most; further ones are ignored.
+/// The maximum number of sources. Further sources are ignored.
 const MAX_SOURCES: usize = 64;
-/// Sources needed for an estimate: fewer can't outvote a wrong one.
+/// The minimum number of sources for an estimate. Fewer sources can't outvote a wrong one.
 const MIN_SOURCES: usize = 3;
 
-/// Samples of one source: its time less ours on arrival, in milliseconds. Each is low by the time it took to
-/// arrive.
+/// The samples of one source. A sample is the reported time minus the local time of arrival, in milliseconds,
+/// and is therefore too low by the transit delay.
 #[derive(Default)]
 struct TimeSource {
     offsets: Vec<i64>,
+    /// The index of the sample to replace next.
     next: usize,
 }
 
@@ -27,8 +28,8 @@
         self.next = (self.next + 1) % SAMPLES_PER_SOURCE;
     }
 
-    /// The sample that took the shortest time to arrive.
-    fn best(&self) -> Option<i64> {
+    /// Returns the highest offset: the sample with the shortest transit delay.
+    fn least_delayed(&self) -> Option<i64> {
         self.offsets.iter().copied().max()
     }
 }
@@ -36,40 +37,42 @@
 /// The estimated offset of the router's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
-    /// To be added to our clock, in milliseconds.
+    /// The offset to add to the local clock, in milliseconds.
     pub offset_ms: i64,
-    /// The spread of the middle half of the sources, in milliseconds.
+    /// The difference between the highest and the lowest offset in the middle half of the sources, in
+    /// milliseconds.
     pub spread_ms: u64,
-    /// How many sources it is taken from.
+    /// The number of sources that the estimate is based on.
     pub sources: usize,
 }
 
-/// Estimates the clock's offset from samples by source.
+/// Estimates the offset of the local clock from the samples of several sources.
 pub struct ClockEstimator {
     sources: BTreeMap<u64, TimeSource>,
-    /// A larger offset is not believed, in milliseconds.
+    /// The largest plausible offset, in milliseconds. A larger estimate is discarded.
     max_offset_ms: u64,
 }
 
 impl ClockEstimator {
-    /// An estimator that believes offsets up to `max_offset_ms`.
+    /// Creates an estimator that discards offsets above `max_offset_ms`, in milliseconds.
     pub fn new(max_offset_ms: u64) -> Self {
         Self { sources: BTreeMap::new(), max_offset_ms }
     }
 
-    /// Records the time that a source stated, and ours on arrival; both in Unix milliseconds.
-    pub fn record(&mut self, source: u64, theirs: u64, ours: u64) {
+    /// Records the time that a source reported and the local time of its arrival, both in Unix milliseconds.
+    pub fn record(&mut self, source: u64, reported_unix_ms: u64, local_unix_ms: u64) {
         if self.sources.len() >= MAX_SOURCES && !self.sources.contains_key(&source) {
             return;
         }
-        let offset = i64::try_from(i128::from(theirs) - i128::from(ours)).unwrap_or(0);
+        let offset = i64::try_from(i128::from(reported_unix_ms) - i128::from(local_unix_ms)).unwrap_or(0);
         self.sources.entry(source).or_default().add(offset);
     }
 
-    /// The median of all sources; none while there are too few, or where it is too large. One wrong source
-    /// among three can move it only between the two others.
+    /// Returns the median offset of all sources. `None` if there are too few sources, or if the median
+    /// exceeds the largest plausible offset. With three sources, a single wrong one can move the median only
+    /// within the range of the two others.
     pub fn estimate(&self) -> Option<Estimate> {
-        let mut offsets: Vec<i64> = self.sources.values().filter_map(TimeSource::best).collect();
+        let mut offsets: Vec<i64> = self.sources.values().filter_map(TimeSource::least_delayed).collect();
         offsets.sort_unstable();
         if offsets.len() < MIN_SOURCES {
             return None;
@@ -85,9 +88,10 @@
         (offset_ms.unsigned_abs() <= self.max_offset_ms).then_some(Estimate { offset_ms, spread_ms, sources })
     }
 
-    /// The time to verify tokens at: the estimate corrects it and never widens the configured skew.
-    pub fn now(&self, ours_unix_ms: u64, skew_ms: u64) -> crate::claims::VerificationTime {
+    /// Returns the time at which to verify tokens: the local time corrected by the estimate, if there is one.
+    /// The tolerated skew (in milliseconds) stays as configured.
+    pub fn now(&self, local_unix_ms: u64, skew_ms: u64) -> crate::claims::VerificationTime {
         let offset = self.estimate().map_or(0, |estimate| estimate.offset_ms);
-        crate::claims::VerificationTime { unix_ms: ours_unix_ms.saturating_add_signed(offset), skew_ms }
+        crate::claims::VerificationTime { unix_ms: local_unix_ms.saturating_add_signed(offset), skew_ms }
     }
 }
--- a/crates/signed-urls/src/hmac_format.rs
+++ b/crates/signed-urls/src/hmac_format.rs
@@ -1,35 +1,36 @@
-//! The HMAC format, `st=..~exp=..~acl=..~hmac=..`: plain fields, and their HMAC-SHA256 in hex.
+//! The HMAC token format, `st=..~exp=..~acl=..~hmac=..`: fields in plain text, followed by their HMAC-SHA256
+//! in hexadecimal.
 
 use crate::TokenFormat;
 use crate::claims::{Claims, ClientNetwork, Scope, TokenError, VerificationContext};
 use crate::keys::{Algorithm, Key, KeySet};
 
-/// Size of a token, in bytes, at most.
+/// The maximum size of a token, in bytes.
 const MAX_TOKEN_BYTES: usize = 2048;
-/// Path patterns in a token, at most.
+/// The maximum number of path patterns in a token.
 const MAX_PATTERNS: usize = 16;
 
-/// The HMAC format. Its tokens name no key.
+/// The HMAC format. Its tokens do not name their key.
 #[derive(Clone, Debug)]
 pub struct HmacFormat {
-    /// Ids of the keys to try, in order.
+    /// The ids of the keys to try, in this order.
     pub keys: Vec<String>,
 }
 
 /// The fields of a token to sign.
 #[derive(Clone, Debug, Default)]
 pub struct HmacFields {
-    /// From when it is valid, in Unix seconds.
+    /// The time from which the token is valid, in Unix seconds.
     pub not_before: Option<u64>,
-    /// When it expires, in Unix seconds.
+    /// The time at which the token expires, in Unix seconds.
     pub expires: u64,
-    /// The path patterns that it covers; without any it covers one path.
+    /// The path patterns that the token covers. If there are none, it covers a single path.
     pub patterns: Vec<String>,
-    /// The client network that may use it.
+    /// The client network that may use the token.
     pub client: Option<String>,
-    /// The token's own id.
+    /// The id of the token itself.
     pub id: Option<String>,
-    /// Data for the signer's own use.
+    /// Data that only the signer uses.
     pub data: Option<String>,
 }
 
@@ -45,17 +46,18 @@
 }
 
 fn parse_number(text: &str) -> Option<u64> {
-    let plain = !text.is_empty() && text.len() <= 12 && text.bytes().all(|byte| byte.is_ascii_digit());
-    text.parse().ok().filter(|_| plain)
+    let is_decimal = !text.is_empty() && text.len() <= 12 && text.bytes().all(|byte| byte.is_ascii_digit());
+    text.parse().ok().filter(|_| is_decimal)
 }
 
-/// Whether a text can be a field's value: printable, without the separator.
+/// Returns whether a text is a valid field value: printable ASCII without the separator `~`.
 fn is_plain(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'~')
 }
 
 impl HmacFormat {
-    /// Signs the fields, for `path` where there are no patterns; none where a field can't be written.
+    /// Signs the fields; without patterns, the token covers only `path`. `None` if a field has an invalid
+    /// value, or if the key is not an HMAC key that may sign.
     pub fn sign(&self, key: &Key, fields: &HmacFields, path: &str) -> Option<String> {
         if key.algorithm != Algorithm::Hs256 {
             return None;
@@ -69,11 +71,11 @@
         }
         parts.extend(fields.id.as_ref().map(|id| format!("id={id}")));
         parts.extend(fields.data.as_ref().map(|data| format!("data={data}")));
-        let all_plain =
-            parts.iter().all(|part| is_plain(part)) && !fields.patterns.iter().any(|one| one.contains('!'));
+        let all_valid = parts.iter().all(|part| is_plain(part))
+            && !fields.patterns.iter().any(|pattern| pattern.contains('!'));
         let text = parts.join("~");
         let message = if fields.patterns.is_empty() { format!("{text}~url={path}") } else { text.clone() };
-        let hmac = key.sign(message.as_bytes()).filter(|_| all_plain)?;
+        let hmac = key.sign(message.as_bytes()).filter(|_| all_valid)?;
         let digits: String = hmac.iter().map(|byte| format!("{byte:02x}")).collect();
         Some(format!("{text}~hmac={digits}"))
     }
@@ -101,22 +103,23 @@
         let hmac = parse_hex(hmac).ok_or(TokenError::Malformed("an hmac that is not 64 hex digits, last"))?;
         let path = context.target.path.as_str();
         let mut claims = parse_fields(text, path)?;
-        // The one path that a token covers is signed and not written: it is the requested one.
+        // A token for a single path signs this path without containing it. It is valid only if the requested
+        // path is the one that was signed.
         let message = match claims.scope {
             Scope::Path(_) => format!("{text}~url={path}"),
             _ => text.to_string(),
         };
-        let mut known = self.keys.iter().filter_map(|id| keys.key(id)).peekable();
-        known.peek().ok_or(TokenError::UnknownKey)?;
-        let mut candidates = known.filter(|key| key.algorithm == Algorithm::Hs256);
+        let mut known_keys = self.keys.iter().filter_map(|id| keys.key(id)).peekable();
+        known_keys.peek().ok_or(TokenError::UnknownKey)?;
+        let mut candidates = known_keys.filter(|key| key.algorithm == Algorithm::Hs256);
         let key = candidates.find(|key| key.verifies(message.as_bytes(), &hmac));
         claims.key = key.ok_or(TokenError::InvalidSignature)?.id.clone();
         Ok(claims)
     }
 }
 
-/// Parses the fields before the HMAC. Without patterns they cover `path` alone; the key is set once it is
-/// known.
+/// Parses the fields in front of the HMAC. Without patterns, the claims cover only `path`. The key's id is
+/// left empty; the caller sets it after it has verified the signature.
 fn parse_fields(text: &str, path: &str) -> Result<Claims, TokenError> {
     let mut claims = Claims {
         key: String::new(),
--- a/crates/signed-urls/src/normalize.rs
+++ b/crates/signed-urls/src/normalize.rs
@@ -1,59 +1,62 @@
-//! Normalizes a request's path and query (RFC 3986, section 6.2), so that what is verified is what is served.
-//! A target without a safe normal form is rejected.
+//! Normalizes the path and query of a request (RFC 3986, section 6.2), so that the verified URL is the one
+//! that is served. Request targets without a safe normal form are rejected.
 
 use std::fmt::Write;
 
 use percent_encoding::percent_decode_str;
 
-/// Size of a path with its query, in bytes, at most.
+/// The maximum size of a path with its query, in bytes.
 pub const MAX_BYTES: usize = 8 << 10;
-/// Keys in a query, at most.
+/// The maximum number of keys in a query.
 pub const MAX_QUERY_KEYS: usize = 64;
 
-/// Why a request target has no normal form.
+/// The reason why a request target has no normal form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NormalizeError {
-    /// The target, or its number of query keys, is over the limit.
-    #[error("over the limit")]
+    /// The target is too long or has too many query keys.
+    #[error("the URL is over {MAX_BYTES} bytes or {MAX_QUERY_KEYS} query keys")]
     TooLong,
     /// The path does not begin with a slash.
-    #[error("not an absolute path")]
+    #[error("the path does not begin with a slash")]
     NotAbsolute,
     /// A percent sign is not followed by two hex digits.
-    #[error("a percent sign that encodes nothing")]
+    #[error("a percent sign is not followed by two hex digits")]
     BadPercentEncoding,
-    /// A character, plain or encoded, that others may read differently.
-    #[error("an encoded slash, control character or byte that is no text")]
+    /// The target contains a character, plain or encoded, that other servers may interpret differently.
+    #[error(
+        "the URL contains an encoded slash, a control character, invalid UTF-8 or another unsafe character"
+    )]
     UnsafeCharacter,
     /// Dot segments lead above the root.
-    #[error("a path that climbs over its root")]
+    #[error("dot segments lead above the root of the path")]
     EscapesRoot,
     /// The target has a fragment.
-    #[error("a fragment, which no client sends")]
+    #[error("the URL has a fragment, which clients never send")]
     Fragment,
     /// A query key occurs twice.
-    #[error("a key of the query is given twice")]
+    #[error("a query key occurs twice")]
     DuplicateKey,
 }
 
 /// A normalized path and query.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Target {
-    /// Begins with a slash; has no dot segments, and no empty segment but the last.
+    /// The path. It begins with a slash and has no dot segments; only its last segment may be empty.
     pub path: String,
-    /// Keys and values, still percent-encoded, in their order; each key once.
+    /// The percent-encoded keys and values of the query, in their original order. Each key occurs once.
     pub query: Vec<(String, String)>,
 }
 
 impl Target {
-    /// Removes a key and returns its decoded value, as a token is removed before its request is forwarded.
+    /// Removes a query key and returns its decoded value. `None` if the key does not occur. Tokens are
+    /// removed this way before the request is forwarded.
     pub fn remove_query_value(&mut self, key: &str) -> Option<String> {
         let at = self.query.iter().position(|pair| pair.0 == key)?;
         let value = self.query.remove(at).1;
         Some(percent_decode_str(&value).decode_utf8_lossy().into_owned())
     }
 
-    /// Path and query in the form in which the request is forwarded.
+    /// Returns the path and query in the form in which the request is forwarded.
     pub fn to_text(&self) -> String {
         let mut out = self.path.clone();
         for (index, (key, value)) in self.query.iter().enumerate() {
@@ -68,15 +71,15 @@
     }
 }
 
-/// Normalizes a path segment, query key or query value: unreserved characters are decoded, every other
-/// encoded one stays encoded, in upper case. Decoding more would change the URL's meaning.
+/// Normalizes a path segment, query key or query value. Unreserved characters are decoded. All other encoded
+/// characters stay encoded, with upper-case hex digits, as decoding them would change the meaning of the URL.
 fn normalize_component(text: &str, in_path: bool) -> Result<String, NormalizeError> {
     let mut out = String::with_capacity(text.len());
     let mut rest = text.as_bytes();
-    while let Some((byte, behind)) = rest.split_first() {
-        rest = behind;
+    while let Some((byte, remaining)) = rest.split_first() {
+        rest = remaining;
         if *byte != b'%' {
-            // Some servers take a backslash for a slash.
+            // Some servers treat a backslash as a slash.
             if !byte.is_ascii_graphic() || b"\"<>\\^`{|}".contains(byte) {
                 return Err(NormalizeError::UnsafeCharacter);
             }
@@ -96,7 +99,7 @@
             byte => drop(write!(out, "%{byte:02X}")),
         }
     }
-    // Lenient decoders may read overlong UTF-8 as a slash.
+    // Lenient decoders may decode an overlong UTF-8 sequence as a slash.
     if percent_decode_str(&out).decode_utf8().is_err() {
         return Err(NormalizeError::UnsafeCharacter);
     }
--- a/crates/signed-urls/src/url_prefix.rs
+++ b/crates/signed-urls/src/url_prefix.rs
@@ -1,5 +1,5 @@
-//! The URL prefix format, `URLPrefix=..&Expires=..&KeyName=..&Signature=..`: an Ed25519 signature of the text
-//! before it.
+//! The URL prefix token format, `URLPrefix=..&Expires=..&KeyName=..&Signature=..`. The signature is an
+//! Ed25519 signature of the text in front of it.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE;
@@ -8,7 +8,7 @@
 use crate::claims::{Claims, Scope, TokenError, VerificationContext};
 use crate::keys::{Algorithm, Key, KeySet};
 
-/// Size of a token, in bytes, at most.
+/// The maximum size of a token, in bytes.
 const MAX_TOKEN_BYTES: usize = 4 << 10;
 
 /// The URL prefix format.
@@ -16,8 +16,11 @@
 pub struct UrlPrefixFormat;
 
 impl UrlPrefixFormat {
-    /// Signs a URL prefix; none where the key may not sign. The prefix should end with a slash, or it covers
-    /// every name that begins alike.
+    /// Signs a URL prefix. `expires` is in Unix seconds. `None` if the key is not an Ed25519 key that may
+    /// sign.
+    ///
+    /// The prefix should end with a slash. Otherwise the token also covers all paths that merely start with
+    /// the same characters.
     pub fn sign(&self, key: &Key, prefix: &str, expires: u64) -> Option<String> {
         let prefix = URL_SAFE.encode(prefix);
         let text = format!("URLPrefix={prefix}&Expires={expires}&KeyName={}", key.id);
@@ -35,17 +38,17 @@
         if token.len() > MAX_TOKEN_BYTES {
             return Err(TokenError::TooLong);
         }
-        let order = TokenError::Malformed("not URLPrefix, Expires, KeyName and Signature, in this order");
-        let (text, signature) = token.split_once("&Signature=").ok_or(order)?;
+        let malformed = TokenError::Malformed("not URLPrefix, Expires, KeyName and Signature, in this order");
+        let (text, signature) = token.split_once("&Signature=").ok_or(malformed)?;
         let mut fields = text.split('&');
         let mut field = |name: &str| fields.next()?.strip_prefix(name)?.strip_prefix('=');
         let (Some(prefix), Some(expires), Some(key)) =
             (field("URLPrefix"), field("Expires"), field("KeyName"))
         else {
-            return Err(order);
+            return Err(malformed);
         };
         if fields.next().is_some() {
-            return Err(order);
+            return Err(malformed);
         }
         let signature =
             URL_SAFE.decode(signature).map_err(|_| TokenError::Malformed("a signature that is no base64"))?;
@@ -56,15 +59,16 @@
         if !key.verifies(text.as_bytes(), &signature) {
             return Err(TokenError::InvalidSignature);
         }
-        let plain = expires.len() <= 12 && expires.bytes().all(|byte| byte.is_ascii_digit());
+        let is_decimal = expires.len() <= 12 && expires.bytes().all(|byte| byte.is_ascii_digit());
         let expires = expires
             .parse()
             .ok()
-            .filter(|_| plain)
+            .filter(|_| is_decimal)
             .ok_or(TokenError::Malformed("an end that is no number"))?;
         let prefix = URL_SAFE.decode(prefix).ok().and_then(|bytes| String::from_utf8(bytes).ok());
         let prefix = prefix.ok_or(TokenError::Malformed("a prefix that is no base64 of text"))?;
-        // Without a slash behind the host it would cover every host that begins alike.
+        // Without a slash after the host, the prefix would cover all hosts that start with the same
+        // characters.
         if !prefix.split_once("://").is_some_and(|(_, rest)| rest.contains('/')) {
             return Err(TokenError::Malformed("a prefix without a path"));
         }
