--- a/crates/signed-urls/src/claims.rs
+++ b/crates/signed-urls/src/claims.rs
@@ -230,7 +230,7 @@
                 pattern_index += 1;
             }
             Some(expected) if *expected == b'?' || *expected == text[text_index] => {
-                (pattern_index, text_index) = (pattern_index + 1, text_index + 1)
+                (pattern_index, text_index) = (pattern_index + 1, text_index + 1);
             }
             _ => match last_star {
                 Some((star_index, retry_index)) => {
--- a/crates/signed-urls/src/key_set_editor.rs
+++ b/crates/signed-urls/src/key_set_editor.rs
@@ -1,5 +1,5 @@
-//! Edits the text of a key set for operators: adds a key, or rotates to a new one. Everything else stays as
-//! written.
+//! Edits the text of a key set for operators: adds a key, or rotates to a new one. All other entries of the
+//! set are kept.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -10,7 +10,9 @@
 
 use crate::keys::{Algorithm, KeySet, KeySetError};
 
-/// Generates a key that signs and verifies; none for an algorithm that can't be generated.
+/// Generates a key that may sign and verify, valid from `from` until `until` (Unix seconds; `u64::MAX` for no
+/// end). `None` if keys of this algorithm can't be generated here, or if the system provides no random
+/// numbers.
 pub fn new_key(id: &str, algorithm: Algorithm, from: u64, until: u64) -> Option<Value> {
     let mut secret = Zeroizing::new([0; 32]);
     SystemRandom::new().fill(&mut secret[..]).ok()?;
@@ -35,11 +37,15 @@
 fn parse_object(text: &[u8]) -> Result<Map<String, Value>, KeySetError> {
     match serde_json::from_slice(text) {
         Ok(Value::Object(set)) if set.get("keys").is_some_and(Value::is_array) => Ok(set),
-        _ => Err(KeySetError::Malformed("no JSON object with a list of keys".to_string())),
+        _ => Err(KeySetError::Malformed("not a JSON object with a list \"keys\"".to_string())),
     }
 }
 
-/// Adds a key to a set, or makes a set of it; an error where the result would not be accepted.
+/// Adds a key to a set, or creates a set if `text` is `None`.
+///
+/// # Errors
+///
+/// The text is not a key set, or the resulting set would be rejected.
 pub fn add_key(text: Option<&[u8]>, key: Value) -> Result<Zeroizing<String>, KeySetError> {
     let mut set = match text {
         Some(text) => parse_object(text)?,
@@ -48,31 +54,37 @@
     if let Some(Value::Array(keys)) = set.get_mut("keys") {
         keys.push(key);
     }
-    finish(set)
+    checked_text(set)
 }
 
-/// Adds a key that signs from now on. Keys that signed with the same algorithm stop signing, and stay valid
-/// for `overlap` seconds, so that what they signed is still accepted.
+/// Adds a key that signs from now on (`now` is in Unix seconds). Keys that signed with the same algorithm may
+/// no longer sign. They stay valid for at most `overlap` more seconds, so that tokens signed by them are
+/// still accepted.
+///
+/// # Errors
+///
+/// The text is not a key set, or the resulting set would be rejected.
 pub fn rotate(text: &[u8], key: Value, now: u64, overlap: u64) -> Result<Zeroizing<String>, KeySetError> {
     let mut set = parse_object(text)?;
     let until = now.saturating_add(overlap);
     if let Some(Value::Array(keys)) = set.get_mut("keys") {
-        let signs_alike = |old: &&mut Value| {
+        let is_replaced = |old: &&mut Value| {
             let can_sign =
                 old["key_ops"].as_array().is_some_and(|operations| operations.contains(&json!("sign")));
             can_sign && old["alg"] == key["alg"] && old["exp"].as_u64().is_none_or(|exp| exp > now)
         };
-        for old in keys.iter_mut().filter(signs_alike) {
+        for old in keys.iter_mut().filter(is_replaced) {
             old["key_ops"] = json!(["verify"]);
-            // A rotation never extends a key's stated validity.
+            // A rotation never extends the validity period of an existing key.
             old["exp"] = json!(old["exp"].as_u64().unwrap_or(u64::MAX).min(until));
         }
         keys.push(key);
     }
-    finish(set)
+    checked_text(set)
 }
 
-fn finish(set: Map<String, Value>) -> Result<Zeroizing<String>, KeySetError> {
+/// Formats a set, after checking that it would be accepted.
+fn checked_text(set: Map<String, Value>) -> Result<Zeroizing<String>, KeySetError> {
     let text =
         serde_json::to_string_pretty(&set).map_err(|error| KeySetError::Malformed(error.to_string()))?;
     let text = Zeroizing::new(text + "\n");
--- a/crates/signed-urls/src/keys.rs
+++ b/crates/signed-urls/src/keys.rs
@@ -1,5 +1,5 @@
-//! Key sets: JSON Web Key Sets (RFC 7517) of keys with an id, one algorithm, permitted operations and a
-//! validity period. A set is accepted as a whole or not at all.
+//! Key sets: JSON Web Key Sets (RFC 7517). Each key has an id, a single algorithm, its permitted operations
+//! and a validity period. One unusable key rejects the whole set.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,24 +10,25 @@
 use serde::Deserialize;
 use zeroize::{Zeroize, Zeroizing};
 
-/// Keys in a set, at most.
+/// The maximum number of keys in a set.
 pub const MAX_KEYS: usize = 256;
-/// Size of a set's text, in bytes, at most.
+/// The maximum size of a set's text, in bytes.
 pub const MAX_BYTES: usize = 256 << 10;
 
-/// Size of a key's id, in bytes, at most.
+/// The maximum size of a key's id, in bytes.
 const MAX_KEY_ID_BYTES: usize = 128;
-/// Size of an HMAC secret, in bytes, at least.
+/// The minimum size of an HMAC secret, in bytes.
 const MIN_SECRET_BYTES: usize = 32;
-/// Size of a P-256 coordinate and of an Ed25519 public key, in bytes.
+/// The size of a P-256 coordinate and of an Ed25519 public key, in bytes.
 const COORDINATE_BYTES: usize = 32;
 /// The first byte of an uncompressed point (SEC 1, section 2.3.3).
 const UNCOMPRESSED_POINT: u8 = 4;
 
-/// A key's signature algorithm. A token that names another algorithm than its key's is rejected.
+/// The signature algorithm of a key. A token that names a different algorithm than that of its key is
+/// rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum Algorithm {
-    /// HMAC with SHA-256, secrets of 32 bytes or more.
+    /// HMAC with SHA-256. Secrets have at least 32 bytes.
     #[serde(rename = "HS256")]
     Hs256,
     /// ECDSA on P-256 with SHA-256.
@@ -39,7 +40,7 @@
 }
 
 impl Algorithm {
-    /// The algorithm's name in `alg` (RFC 7518, RFC 8037).
+    /// Returns the algorithm's name in `alg` (RFC 7518, RFC 8037).
     pub fn name(self) -> &'static str {
         match self {
             Self::Hs256 => "HS256",
@@ -49,16 +50,16 @@
     }
 }
 
-/// Why a key set is rejected. The texts never quote a secret.
+/// The reason why a key set is rejected. The texts never quote a secret.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeySetError {
-    /// The text is not a key set; says where it breaks.
+    /// The text is not a key set. Carries a description that includes the position, if it is known.
     #[error("key set: {0}")]
     Malformed(String),
-    /// There are too many keys, or too many bytes.
+    /// The set has too many keys, or its text has too many bytes.
     #[error("key set: over {MAX_KEYS} keys or {MAX_BYTES} bytes")]
     TooLong,
-    /// A key can't be used: its id, and why.
+    /// A key can't be used. Carries the key's id and the reason.
     #[error("key {0:?}: {1}")]
     Key(String, &'static str),
 }
@@ -69,17 +70,17 @@
     KeyPair(signature::Ed25519KeyPair),
 }
 
-/// One key.
+/// A key of a set.
 pub struct Key {
-    /// The id by which tokens name it.
+    /// The id by which tokens refer to the key.
     pub id: String,
-    /// Its one algorithm.
+    /// The only algorithm that the key may be used with.
     pub algorithm: Algorithm,
-    /// Whether it may sign; every key may verify.
+    /// Whether the key may sign. Every key may verify.
     pub can_sign: bool,
-    /// From when its signatures are accepted, in Unix seconds.
+    /// The time from which the key's signatures are accepted, in Unix seconds.
     pub valid_from: u64,
-    /// Until when its signatures are accepted, in Unix seconds.
+    /// The time until which the key's signatures are accepted, in Unix seconds.
     pub valid_until: u64,
     material: KeyMaterial,
 }
@@ -98,7 +99,7 @@
 }
 
 impl Key {
-    /// Whether this key made the signature; compares in constant time.
+    /// Returns whether this key created the signature. Compares in constant time.
     pub fn verifies(&self, message: &[u8], signature: &[u8]) -> bool {
         match &self.material {
             KeyMaterial::Secret(key) => hmac::verify(key, message, signature).is_ok(),
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Signs a message; none where the key may not sign.
+    /// Signs a message. `None` if the key may not sign.
     pub fn sign(&self, message: &[u8]) -> Option<Vec<u8>> {
         match &self.material {
             _ if !self.can_sign => None,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Whether the time, in Unix seconds, lies in its validity period.
+    /// Returns whether the time, in Unix seconds, lies within the key's validity period.
     pub fn is_valid_at(&self, unix: u64) -> bool {
         (self.valid_from..self.valid_until).contains(&unix)
     }
@@ -132,9 +133,10 @@
 #[derive(Deserialize)]
 struct JsonKeySet {
     keys: Vec<JsonKey>,
-    /// Ids of revoked keys, and of revoked tokens.
+    /// The ids of revoked keys.
     #[serde(default)]
     revoked_keys: BTreeSet<String>,
+    /// The ids of revoked tokens.
     #[serde(default)]
     revoked_tokens: BTreeSet<String>,
 }
@@ -167,7 +169,7 @@
     u64::MAX
 }
 
-/// The text of a secret, zeroed when dropped.
+/// The text of a secret. Its memory is overwritten with zeros when it is dropped.
 #[derive(Default, Deserialize)]
 struct SecretText(String);
 
@@ -187,15 +189,15 @@
             && self.kid.len() <= MAX_KEY_ID_BYTES
             && self.kid.bytes().all(|byte| byte.is_ascii_graphic());
         if !well_formed {
-            return Err(self.error("its id is empty, over 128 bytes or no plain text"));
+            return Err(self.error("its id is not 1 to 128 printable ASCII characters without spaces"));
         }
         let material = self.material()?;
         let can_sign = self.key_ops.iter().any(|operation| operation == "sign");
         if can_sign && matches!(material, KeyMaterial::Public(_)) {
-            return Err(self.error("it is to sign and has no private part"));
+            return Err(self.error("key_ops contains \"sign\", but the private part is missing"));
         }
         if self.nbf >= self.exp {
-            return Err(self.error("it ends before it begins"));
+            return Err(self.error("exp is not after nbf"));
         }
         let (id, algorithm) = (self.kid.clone(), self.alg);
         Ok(Key { id, algorithm, can_sign, valid_from: self.nbf, valid_until: self.exp, material })
@@ -206,12 +208,12 @@
             (Algorithm::Hs256, "oct", "") => self.hmac_key(),
             (Algorithm::Es256, "EC", "P-256") => self.ecdsa_key(),
             (Algorithm::EdDsa, "OKP", "Ed25519") => self.ed25519_key(),
-            _ => Err(self.error("kty, crv and alg do not go together")),
+            _ => Err(self.error("kty, crv and alg do not match, or are not supported")),
         }
     }
 
     fn hmac_key(&self) -> Result<KeyMaterial, KeySetError> {
-        let secret = self.decode(&self.k.0, "k is no base64url")?;
+        let secret = self.decode(&self.k.0, "k is not base64url without padding")?;
         if secret.len() < MIN_SECRET_BYTES {
             return Err(self.error("k is under 32 bytes"));
         }
@@ -219,8 +221,8 @@
     }
 
     fn ecdsa_key(&self) -> Result<KeyMaterial, KeySetError> {
-        let x = self.decode(&self.x, "x is no base64url")?;
-        let y = self.decode(&self.y, "y is no base64url")?;
+        let x = self.decode(&self.x, "x is not base64url without padding")?;
+        let y = self.decode(&self.y, "y is not base64url without padding")?;
         if x.len() != COORDINATE_BYTES || y.len() != COORDINATE_BYTES {
             return Err(self.error("x and y are not 32 bytes each"));
         }
@@ -230,7 +232,7 @@
     }
 
     fn ed25519_key(&self) -> Result<KeyMaterial, KeySetError> {
-        let public = self.decode(&self.x, "x is no base64url")?;
+        let public = self.decode(&self.x, "x is not base64url without padding")?;
         if public.len() != COORDINATE_BYTES {
             return Err(self.error("x is not 32 bytes"));
         }
@@ -238,9 +240,9 @@
             let key = signature::UnparsedPublicKey::new(&signature::ED25519, public.to_vec());
             return Ok(KeyMaterial::Public(key));
         }
-        let seed = self.decode(&self.d.0, "d is no base64url")?;
+        let seed = self.decode(&self.d.0, "d is not base64url without padding")?;
         let pair = signature::Ed25519KeyPair::from_seed_and_public_key(&seed, &public);
-        pair.map(KeyMaterial::KeyPair).map_err(|_| self.error("d and x are no pair"))
+        pair.map(KeyMaterial::KeyPair).map_err(|_| self.error("d and x are not a key pair"))
     }
 
     fn decode(&self, text: &str, reason: &'static str) -> Result<Zeroizing<Vec<u8>>, KeySetError> {
@@ -252,7 +254,7 @@
     }
 }
 
-/// Keys by their ids, and revocations.
+/// The keys of a set by their ids, and the revoked keys and tokens.
 #[derive(Debug, Default)]
 pub struct KeySet {
     keys: BTreeMap<String, Key>,
@@ -261,14 +263,14 @@
 }
 
 impl KeySet {
-    /// Parses a set; an unusable key rejects the whole set.
+    /// Parses a key set. One unusable key rejects the whole set.
     pub fn parse(text: &[u8]) -> Result<Self, KeySetError> {
         if text.len() > MAX_BYTES {
             return Err(KeySetError::TooLong);
         }
         let set: JsonKeySet = serde_json::from_slice(text).map_err(|error| {
-            // The library's message may quote a secret: only the position is given.
-            KeySetError::Malformed(format!("line {}, column {}", error.line(), error.column()))
+            // The library's message may quote a secret, so only the position is reported.
+            KeySetError::Malformed(format!("invalid at line {}, column {}", error.line(), error.column()))
         })?;
         if set.keys.len() > MAX_KEYS {
             return Err(KeySetError::TooLong);
@@ -277,29 +279,30 @@
         let mut keys = BTreeMap::new();
         for jwk in set.keys {
             let key = jwk.into_key()?;
-            if let Some(twice) = keys.insert(key.id.clone(), key) {
-                return Err(KeySetError::Key(twice.id, "two keys have this id"));
+            if let Some(duplicate) = keys.insert(key.id.clone(), key) {
+                return Err(KeySetError::Key(duplicate.id, "two keys have this id"));
             }
         }
         Ok(Self { keys, revoked_keys, revoked_tokens })
     }
 
-    /// The key with that id, unless it is revoked.
+    /// Returns the key with this id. `None` if it does not exist or is revoked.
     pub fn key(&self, id: &str) -> Option<&Key> {
         self.keys.get(id).filter(|_| !self.revoked_keys.contains(id))
     }
 
-    /// Whether the key, or the token with that id, is revoked.
+    /// Returns whether the key with the id `key`, or the token with the id `token`, is revoked.
     pub fn is_revoked(&self, key: &str, token: Option<&str>) -> bool {
         self.revoked_keys.contains(key) || token.is_some_and(|token| self.revoked_tokens.contains(token))
     }
 
-    /// All keys that are not revoked.
+    /// Returns all keys that are not revoked.
     pub fn iter(&self) -> impl Iterator<Item = &Key> {
         self.keys.values().filter(|key| !self.revoked_keys.contains(&key.id))
     }
 
-    /// The key to sign with at that time (Unix seconds): the valid one that stays valid longest.
+    /// Returns the key to sign with at this time (Unix seconds): of the valid keys that may sign, the one
+    /// that stays valid longest. `None` if there is no such key.
     pub fn signing_key(&self, unix: u64) -> Option<&Key> {
         self.iter()
             .filter(|key| key.can_sign && key.is_valid_at(unix))
--- a/crates/signed-urls/src/playback.rs
+++ b/crates/signed-urls/src/playback.rs
@@ -1,7 +1,7 @@
-//! Lets a playback that started under a valid signed URL continue past the URL's expiry, up to a stated end.
-//! Each response carries a renewal token signed by the router, so that any router with the same keys accepts
-//! it without shared state (chained tokens, RFC 9246 section 4; the claims differ, as RFC 9246's renewal
-//! would move the end each time).
+//! Allows a playback that was started with a valid signed URL to continue after the URL has expired, up to a
+//! fixed end. Each response carries a renewal token that the router signs. Any router with the same keys
+//! accepts this token, without shared state. These are chained tokens as in RFC 9246, section 4, but with
+//! different claims, as the renewal of RFC 9246 would move the end each time.
 
 use std::net::IpAddr;
 
@@ -12,26 +12,27 @@
 use crate::claims::{Claims, ClientNetwork, TokenError, VerificationContext, VerificationTime};
 use crate::keys::KeySet;
 
-/// Size of a renewal token, in bytes, at most.
+/// The maximum size of a renewal token, in bytes.
 const MAX_TOKEN_BYTES: usize = 2 << 10;
-/// The `typ` of renewal tokens.
+/// The `typ` in the header of renewal tokens.
 const TOKEN_TYPE: &str = "tindoor-playback";
 
-/// Limits of playbacks.
+/// The limits of a playback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlaybackLimits {
-    /// Lifetime of one renewal, in seconds: a longer pause ends the playback, unless its URL is still valid.
+    /// The lifetime of one renewal token, in seconds. A longer pause ends the playback, unless its URL is
+    /// still valid.
     pub renewal_seconds: u64,
-    /// Duration of a playback from its first part, in seconds, at most.
+    /// The maximum duration of a playback from its first part on, in seconds.
     pub max_seconds: u64,
-    /// How long it may continue past the expiry of its URL, in seconds.
+    /// How long a playback may continue after its URL has expired, in seconds.
     pub grace_seconds: u64,
-    /// Renewals in a row, at most.
+    /// The maximum number of renewals of one playback.
     pub max_renewals: u32,
 }
 
 impl PlaybackLimits {
-    /// The limits of a router.
+    /// The limits that the router uses.
     pub const DEFAULT: Self =
         Self { renewal_seconds: 60, max_seconds: 7200, grace_seconds: 900, max_renewals: 10_000 };
 }
@@ -48,28 +49,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Playback {
-    /// When this renewal expires.
+    /// The time at which this renewal expires.
     #[serde(rename = "exp")]
     expires: u64,
-    /// When the playback ends at the latest.
+    /// The time at which the playback ends at the latest.
     #[serde(rename = "ends")]
     ends_at: u64,
+    /// The time at which the playback started.
     #[serde(rename = "began")]
     started_at: u64,
-    /// How many renewals came before.
+    /// The number of previous renewals.
     #[serde(rename = "nth")]
     renewals: u32,
-    /// The client's address, or its /64 network with IPv6.
+    /// The client's IPv4 address, or its IPv6 network with 64 bits.
     client: String,
-    /// The path prefix of the object's parts: a seek within it belongs to the playback.
+    /// The path prefix of the object's parts. A seek to another part with this prefix belongs to the
+    /// playback.
     path: String,
-    /// The key and the token id of the signed URL, which may be revoked meanwhile.
+    /// The id of the key that signed the URL. The key may be revoked during the playback.
     key: String,
+    /// The token id of the signed URL, which may be revoked during the playback as well.
     #[serde(skip_serializing_if = "Option::is_none")]
     id: Option<String>,
 }
 
-/// The network that a renewal is bound to, so that another client can't use a copy.
+/// Returns the network that a renewal is bound to, so that no other client can use a copy of it.
 fn client_network(client: IpAddr) -> String {
     match client.to_canonical() {
         IpAddr::V4(address) => address.to_string(),
@@ -80,14 +84,15 @@
     }
 }
 
-/// The path prefix of the object that a part belongs to, with its slash.
+/// Returns the path prefix of the object that a part belongs to, including the final slash. `None` for a part
+/// at the root.
 fn object_path(path: &str) -> Option<&str> {
     path.rfind('/').map(|at| &path[..=at]).filter(|path| path.len() > 1)
 }
 
 impl Playback {
-    /// Starts a playback with the first part that a signed URL authorized; none for a URL that does not
-    /// expire.
+    /// Starts a playback with the first part that a signed URL has authorized. `None` if the URL does not
+    /// expire, or if the part is at the root of the path.
     pub fn start(
         claims: &Claims,
         context: &VerificationContext,
@@ -95,7 +100,7 @@
         limits: &PlaybackLimits,
     ) -> Option<Self> {
         let unix = now.unix_ms / 1000;
-        // Reckoned from the stated expiry without skew: a fast clock must not extend it.
+        // Computed from the URL's expiry without the tolerated skew, so that a fast clock does not extend it.
         let ends_at =
             claims.expires?.saturating_add(limits.grace_seconds).min(unix.saturating_add(limits.max_seconds));
         Some(Self {
@@ -110,28 +115,29 @@
         })
     }
 
-    /// The next renewal; none once the playback, or the number of renewals, is at its end.
+    /// Returns the next renewal. `None` if the playback has ended, or has reached the maximum number of
+    /// renewals.
     pub fn renew(&self, now: VerificationTime, limits: &PlaybackLimits) -> Option<Self> {
         let unix = now.unix_ms / 1000;
         let renewals = self.renewals + 1;
-        // Limits that were lowered meanwhile apply to running playbacks, too.
+        // If the maximum duration was lowered during the playback, the lower one applies.
         let ends_at = self.ends_at.min(self.started_at.saturating_add(limits.max_seconds));
         let expires = unix.saturating_add(limits.renewal_seconds).min(ends_at);
-        let goes_on = renewals <= limits.max_renewals && unix < ends_at;
-        goes_on.then(|| Self { expires, ends_at, renewals, ..self.clone() })
+        let may_continue = renewals <= limits.max_renewals && unix < ends_at;
+        may_continue.then(|| Self { expires, ends_at, renewals, ..self.clone() })
     }
 
-    /// The path prefix of its parts.
+    /// Returns the path prefix of the playback's parts.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// The remaining lifetime of this renewal, in seconds.
+    /// Returns the remaining lifetime of this renewal, in seconds.
     pub fn remaining_seconds(&self, now: VerificationTime) -> u64 {
         self.expires.saturating_sub(now.unix_ms / 1000)
     }
 
-    /// Signs the renewal with the current signing key; none where there is none.
+    /// Signs the renewal with the current signing key. `None` if no key may sign at this time.
     pub fn sign(&self, keys: &KeySet, now: VerificationTime) -> Option<String> {
         let key = keys.signing_key(now.unix_ms / 1000)?;
         let head = Header { alg: key.algorithm.name().into(), kid: key.id.clone(), typ: TOKEN_TYPE.into() };
@@ -141,7 +147,7 @@
         Some(format!("{text}.{}", URL_SAFE_NO_PAD.encode(signature)))
     }
 
-    /// Verifies a renewal token for a request.
+    /// Verifies a renewal token for a request, including its expiry, client and path.
     pub fn verify(
         token: &str,
         keys: &KeySet,
@@ -164,7 +170,8 @@
         if header.alg != key.algorithm.name() || header.typ != TOKEN_TYPE {
             return Err(TokenError::AlgorithmMismatch);
         }
-        // Only keys that the router signs with: signers of URLs must not be able to make renewals.
+        // Only keys that the router itself signs with are accepted: those who sign URLs must not be able to
+        // create renewals.
         if !key.can_sign || !key.verifies(&token.as_bytes()[..head.len() + 1 + body.len()], &part(signature)?)
         {
             return Err(TokenError::InvalidSignature);
--- a/crates/signed-urls/src/uri_signing.rs
+++ b/crates/signed-urls/src/uri_signing.rs
@@ -1,4 +1,4 @@
-//! URI signing for CDN interconnection (RFC 9246): a JSON token in `URISigningPackage`.
+//! URI Signing for CDN Interconnection (RFC 9246): a JSON Web Token in `URISigningPackage`.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -9,17 +9,17 @@
 use crate::claims::{Claims, ClientNetwork, Renewal, Scope, TokenError, VerificationContext};
 use crate::keys::{Key, KeySet};
 
-/// Size of a token, in bytes, at most.
+/// The maximum size of a token, in bytes.
 const MAX_TOKEN_BYTES: usize = 8 << 10;
-/// Size of a regular expression's text, in bytes, at most.
+/// The maximum size of a regular expression's text, in bytes.
 const MAX_EXPRESSION_BYTES: usize = 1 << 10;
-/// Size of a compiled regular expression, in bytes, at most.
+/// The maximum size of a compiled regular expression, in bytes.
 const MAX_COMPILED_EXPRESSION_BYTES: usize = 256 << 10;
 
 /// The URI signing format.
 #[derive(Clone, Debug, Default)]
 pub struct UriSigningFormat {
-    /// The audience that a token's `aud` has to name, where it has one.
+    /// The audience that a token's `aud` claim must contain, if the token has this claim. `None` accepts any.
     pub audience: Option<String>,
 }
 
@@ -38,8 +38,8 @@
     Many(Vec<String>),
 }
 
-/// The claims by their names in RFC 9246. A claim that occurs twice rejects the token; unknown ones matter
-/// only where they are critical.
+/// The claims, with their names from RFC 9246. A token is rejected if a claim occurs twice. Unknown claims
+/// are ignored unless they are marked as critical.
 #[derive(Deserialize)]
 struct Payload {
     cdniv: Option<u64>,
@@ -55,41 +55,42 @@
     aud: Option<Audience>,
 }
 
-/// The version of the claims (`cdniv`) that is supported.
+/// The supported version of the claims (`cdniv`).
 const CLAIMS_VERSION: u64 = 1;
 
+/// The claims that may be marked as critical (`cdnicrit`).
 const KNOWN_CLAIMS: [&str; 12] = [
     "cdniv", "cdnicrit", "cdniip", "cdniuc", "cdniets", "cdnistt", "cdnistd", "exp", "nbf", "iat", "jti",
     "aud",
 ];
 
-/// The claims to sign, by their names in RFC 9246.
+/// The claims to sign, with their names from RFC 9246.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct UriSigningClaims {
-    /// The URI container: which URLs are covered.
+    /// The URI container, which states the covered URLs.
     pub cdniuc: String,
-    /// When the token expires, in Unix seconds.
+    /// The time at which the token expires, in Unix seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub exp: Option<u64>,
-    /// From when it is valid, in Unix seconds.
+    /// The time from which the token is valid, in Unix seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub nbf: Option<u64>,
-    /// The token's own id.
+    /// The id of the token itself.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub jti: Option<String>,
-    /// The audience.
+    /// The audience of the token.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub aud: Option<String>,
-    /// The client network.
+    /// The client network that may use the token.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cdniip: Option<String>,
-    /// Lifetime of a renewed token, in seconds.
+    /// The lifetime of a renewed token, in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cdniets: Option<u64>,
-    /// How a renewed token is sent.
+    /// How a renewed token is sent: 0 for no renewal, 1 for a cookie, 2 for the query.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cdnistt: Option<u8>,
-    /// How many path segments a renewed token covers.
+    /// The number of path segments that a renewed token covers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cdnistd: Option<u32>,
 }
@@ -99,7 +100,7 @@
 }
 
 impl UriSigningFormat {
-    /// Signs the claims; none where the key may not sign.
+    /// Signs the claims. `None` if the key may not sign.
     pub fn sign(&self, key: &Key, claims: &UriSigningClaims) -> Option<String> {
         #[derive(Serialize)]
         struct SignedHeader<'a> {
@@ -113,7 +114,7 @@
         Some(format!("{text}.{}", URL_SAFE_NO_PAD.encode(signature)))
     }
 
-    /// The container (`cdniuc`) that covers exactly this URL.
+    /// Returns the container (`cdniuc`) that covers only this URL.
     pub fn hash_container(url: &str) -> String {
         let hash = ring::digest::digest(&ring::digest::SHA256, url.as_bytes());
         format!("hash:sha-256;{}", URL_SAFE_NO_PAD.encode(hash))
@@ -125,7 +126,7 @@
         if expression.len() > MAX_EXPRESSION_BYTES {
             return Err(TokenError::TooLong);
         }
-        // Anchored, so that the expression has to match the whole URL.
+        // Anchored on both sides, so that the expression must match the whole URL.
         let built = RegexBuilder::new(&format!("^(?:{expression})$"))
             .size_limit(MAX_COMPILED_EXPRESSION_BYTES)
             .build();
@@ -152,7 +153,7 @@
             return Err(TokenError::TooLong);
         }
         let (key, body) = verify_signature(token, keys)?;
-        // Claims are parsed only once the signature is verified.
+        // The claims are parsed only after the signature has been verified.
         let payload: Payload = serde_json::from_slice(&body)
             .map_err(|_| TokenError::Malformed("claims that are missing, twice or of the wrong kind"))?;
         payload.check_critical()?;
@@ -178,7 +179,7 @@
     }
 }
 
-/// Verifies the signature of a token; returns its key and its decoded payload.
+/// Verifies the signature of a token. Returns its key and its decoded payload.
 fn verify_signature<'k>(token: &str, keys: &'k KeySet) -> Result<(&'k Key, Vec<u8>), TokenError> {
     let mut parts = token.split('.');
     let (Some(header), Some(body), Some(signature), None) =
@@ -190,7 +191,8 @@
     let header: Header = serde_json::from_slice(&decode_part(header)?)
         .map_err(|_| TokenError::Malformed("a header without alg and kid"))?;
     let key = keys.key(&header.kid).ok_or(TokenError::UnknownKey)?;
-    // The algorithm is the key's: a token that chooses its own may turn a public key into a secret.
+    // The key determines the algorithm. If the token could choose it, a forged token could name HMAC and use
+    // a public key as the secret.
     if header.alg != key.algorithm.name() {
         return Err(TokenError::AlgorithmMismatch);
     }
@@ -204,7 +206,7 @@
 }
 
 impl Payload {
-    /// Rejects critical claims that are not supported, and other versions of the claims.
+    /// Rejects unsupported critical claims, and unsupported versions of the claims.
     fn check_critical(&self) -> Result<(), TokenError> {
         let critical = self.cdnicrit.as_deref().unwrap_or_default();
         let unknown = critical.split(',').any(|claim| !claim.is_empty() && !KNOWN_CLAIMS.contains(&claim));
@@ -212,6 +214,7 @@
         if unknown || other_version { Err(TokenError::UnknownCriticalClaim) } else { Ok(()) }
     }
 
+    /// Returns how the token is renewed. `None` if it is not.
     fn renewal(&self) -> Result<Option<Renewal>, TokenError> {
         match (self.cdniets, self.cdnistt.unwrap_or(0)) {
             (_, 0) | (None, _) => Ok(None),
--- a/crates/signed-urls/src/verification_cache.rs
+++ b/crates/signed-urls/src/verification_cache.rs
@@ -1,5 +1,5 @@
-//! Caches verified tokens, and limits how many verifications a client may cause. Both tables are bounded:
-//! they have two generations, and the older one is dropped when the newer one is full.
+//! Caches verified tokens, and limits the number of verifications that a client may cause. Both tables are
+//! bounded. Each has two generations; when the current generation is full, the previous one is dropped.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hash, Hasher};
@@ -12,7 +12,7 @@
 use crate::keys::KeySet;
 use crate::{TokenFormat, check_key};
 
-/// Passes hashes through: the keys of the maps are hashes already.
+/// Uses a key as its own hash, since the keys of the maps are hashes already.
 #[derive(Default)]
 struct IdentityHasher(u64);
 
@@ -30,10 +30,11 @@
     }
 }
 
-/// A map with a bounded number of entries, which drops those that were not used for a generation.
+/// A map with a bounded number of entries. It evicts entries that have not been used for a whole generation.
 struct GenerationalMap<V> {
     current: HashMap<u128, V, BuildHasherDefault<IdentityHasher>>,
     previous: HashMap<u128, V, BuildHasherDefault<IdentityHasher>>,
+    /// The maximum number of entries in both generations together.
     capacity: usize,
 }
 
@@ -67,23 +68,24 @@
     }
 }
 
-/// Tokens that a failed verification takes from a client's budget; a successful one takes one.
+/// The number of tokens that a failed verification takes from the client's token bucket. A successful one
+/// takes one.
 const FAILED_VERIFICATION_COST: f64 = 4.0;
 
-/// Limits of the cache and of the verifications that a client may cause.
+/// The limits of the cache, and of the verifications that a client may cause.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Cached tokens, at most.
+    /// The maximum number of cached tokens.
     pub entries: usize,
-    /// How long a token stays cached, in milliseconds, at most.
+    /// The maximum time that a token stays cached, in milliseconds.
     pub entry_lifetime_ms: u64,
-    /// Clients whose verifications are counted, at most.
+    /// The maximum number of clients whose verifications are counted.
     pub clients: usize,
-    /// Verifications that a client may cause at once.
+    /// The number of verifications that a client may cause at once.
     pub burst: f64,
-    /// Verifications that a client may cause a second.
+    /// The number of verifications that a client may cause per second.
     pub rate: f64,
-    /// Clients that may use one token while it is cached.
+    /// The number of clients that may use the same token while it is cached.
     pub clients_per_token: usize,
 }
 
@@ -101,16 +103,18 @@
 }
 
 struct Entry {
-    /// The result of the signature check; time, client and scope are checked on each use.
+    /// The result of the signature check. Time, client and scope are checked on each use.
     verification: Result<Arc<Claims>, TokenError>,
+    /// The time at which the entry expires, in Unix milliseconds.
     expires_ms: u64,
-    /// The clients that used it since, by their keys.
+    /// The clients that have used the token since it was cached, by their keys.
     clients: Vec<u128>,
 }
 
-/// A token bucket of verifications.
+/// The token bucket that limits the verifications of one client.
 struct ClientBudget {
     tokens: f64,
+    /// The time of the last refill, in Unix milliseconds.
     refilled_ms: u64,
 }
 
@@ -119,16 +123,17 @@
 pub struct Verified {
     /// The token's claims.
     pub claims: Arc<Claims>,
-    /// Until when the request is authorized, in Unix milliseconds.
+    /// The time at which the authorization of the request expires, in Unix milliseconds.
     pub expires_ms: u64,
 }
 
-/// Why a token was not verified.
+/// The reason why a token was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerificationError {
     /// The token does not authorize the request.
     Token(TokenError),
-    /// The client caused too many verifications; may retry after so many milliseconds.
+    /// The client has caused too many verifications. Carries the time after which it may retry, in
+    /// milliseconds.
     RateLimited(u64),
 }
 
@@ -138,13 +143,13 @@
     seed: (u64, u64),
     entries: GenerationalMap<Entry>,
     budgets: GenerationalMap<ClientBudget>,
-    /// Tokens found in the cache so far.
+    /// The number of tokens that were found in the cache so far.
     pub hits: u64,
-    /// Signatures checked so far.
+    /// The number of signatures that were checked so far.
     pub checks: u64,
 }
 
-/// Identifies a client: by its IPv4 address, or its /64 network with IPv6.
+/// Returns the key that identifies a client: a hash of its IPv4 address, or of its IPv6 network with 64 bits.
 fn client_key(client: IpAddr) -> u128 {
     match client.to_canonical() {
         IpAddr::V4(address) => u128::from(address.to_bits()).wrapping_mul(0x9E37_79B9_7F4A_7C15),
@@ -153,24 +158,25 @@
 }
 
 impl VerificationCache {
-    /// `seed` must be secret: it prevents tokens made to share an entry.
+    /// Creates an empty cache. `seed` must be secret, as whoever knows it could craft tokens that share a
+    /// cache entry.
     pub fn new(limits: Limits, seed: (u64, u64)) -> Self {
-        let (known, budgets) = (GenerationalMap::new(limits.entries), GenerationalMap::new(limits.clients));
-        Self { limits, seed, entries: known, budgets, hits: 0, checks: 0 }
+        let (entries, budgets) = (GenerationalMap::new(limits.entries), GenerationalMap::new(limits.clients));
+        Self { limits, seed, entries, budgets, hits: 0, checks: 0 }
     }
 
-    /// Drops all cached tokens, as after the keys were read again.
+    /// Drops all cached tokens, for example after the keys were reloaded.
     pub fn clear(&mut self) {
         self.entries = GenerationalMap::new(self.limits.entries);
     }
 
-    /// Cached tokens.
+    /// Returns the number of cached tokens.
     pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
 
-    /// The key of a cache entry. It covers the format's configuration, as two formats of one name may accept
-    /// other keys or audiences.
+    /// Returns the key of a cache entry. It includes the format's configuration, as two formats with the same
+    /// name may accept different keys or audiences.
     fn digest(&self, format: &dyn TokenFormat, token: &str, path: &str) -> u128 {
         let mut hasher = SipHasher24::new_with_keys(self.seed.0, self.seed.1);
         (format.name(), format.parameters(), token, path).hash(&mut hasher);
@@ -186,45 +192,48 @@
         context: &VerificationContext,
         now: VerificationTime,
     ) -> Result<Verified, VerificationError> {
-        // Some formats sign the path without naming it, so an entry is for token and path.
+        // Some formats sign the path without containing it, so an entry is valid for one token and one path.
         let digest = self.digest(format, token, &context.target.path);
-        let verification = match self.entries.get(digest).filter(|known| known.expires_ms > now.unix_ms) {
-            Some(known) => {
+        let verification = match self.entries.get(digest).filter(|entry| entry.expires_ms > now.unix_ms) {
+            Some(entry) => {
                 self.hits += 1;
-                known.verification.clone()
+                entry.verification.clone()
             }
             None => self.verify_uncached(format, keys, token, context, now, digest)?,
         };
         let claims = verification.map_err(VerificationError::Token)?;
         check_key(&claims, keys, now).map_err(VerificationError::Token)?;
         match claims.authorize(context, now) {
-            // Counted only when the token would be accepted, so that others take no place.
+            // A client is counted only if the token would be accepted for it, so that rejected clients do not
+            // use up the limit.
             Ok(_) if !self.admit_client(digest, client_key(context.client)) => {
                 Err(VerificationError::Token(TokenError::TooManyClients))
             }
             Ok(expires_ms) => Ok(Verified { claims, expires_ms }),
-            Err(refusal) => {
-                if matches!(refusal, TokenError::Expired(_)) {
+            Err(error) => {
+                if matches!(error, TokenError::Expired(_)) {
                     self.entries.remove(digest);
                 }
-                Err(VerificationError::Token(refusal))
+                Err(VerificationError::Token(error))
             }
         }
     }
 
+    /// Returns whether a client may use the token, and records the client if it may.
     fn admit_client(&mut self, digest: u128, client: u128) -> bool {
         let capacity = self.limits.clients_per_token;
-        let Some(known) = self.entries.get(digest) else { return true };
-        if known.clients.contains(&client) {
+        let Some(entry) = self.entries.get(digest) else { return true };
+        if entry.clients.contains(&client) {
             return true;
         }
-        let has_capacity = known.clients.len() < capacity;
+        let has_capacity = entry.clients.len() < capacity;
         if has_capacity {
-            known.clients.push(client);
+            entry.clients.push(client);
         }
         has_capacity
     }
 
+    /// Verifies a token that is not cached, if the client's budget allows it, and caches the result.
     fn verify_uncached(
         &mut self,
         format: &dyn TokenFormat,
--- a/crates/signed-urls/tests/golden.rs
+++ b/crates/signed-urls/tests/golden.rs
@@ -1,6 +1,9 @@
-//! Golden files of signed URLs: a key set made for this test alone, and one token of each form signed by it.
-//! In `tests/golden/tokens.txt` each line has a name, a tab and the token. Signing is deterministic in every
-//! form (HMAC and Ed25519), so each token is signed again and compared; and each recorded one is verified.
+//! Golden files of signed URLs: a key set that only this test uses, and tokens of each format signed with it.
+//! Each line of `tests/golden/tokens.txt` has a name, a tab and the token. Signing is deterministic in every
+//! format (HMAC and Ed25519), so the test signs each token again and compares it. It also verifies each
+//! recorded token.
+//!
+//! To record the tokens again:
 //!
 //! ```sh
 //! cargo test -p tindoor-signed-urls --test golden -- --ignored record
@@ -19,9 +22,10 @@
 use tindoor_signed_urls::url_prefix::UrlPrefixFormat;
 use tindoor_signed_urls::{TokenFormat, check_key};
 
-/// Unix seconds at which tokens are verified, and at which they end.
+/// The time at which tokens are verified, in Unix seconds.
 const NOW: u64 = 1_700_000_000;
-const END: u64 = NOW + 3600;
+/// The time at which tokens expire, in Unix seconds.
+const EXPIRES: u64 = NOW + 3600;
 const BASE: &str = "https://videos.example";
 const PATH: &str = "/lessons/3/video.mp4";
 
@@ -53,24 +57,24 @@
     UriSigningFormat { audience: Some("edge".into()) }
 }
 
-/// The form that a token's name says.
+/// Returns the format of a token by its name.
 fn format_of(name: &str) -> Box<dyn TokenFormat> {
     match name {
         _ if name.starts_with("hmac") => Box::new(hmac_format()),
         _ if name.starts_with("uri-signing") => Box::new(uri_signing()),
         _ if name.starts_with("url-prefix") => Box::new(UrlPrefixFormat),
-        _ => panic!("{name}: no such form"),
+        _ => panic!("{name}: unknown format"),
     }
 }
 
 fn hmac_for_one_path(key: &Key) -> Option<String> {
-    hmac_format().sign(key, &HmacFields { expires: END, ..HmacFields::default() }, PATH)
+    hmac_format().sign(key, &HmacFields { expires: EXPIRES, ..HmacFields::default() }, PATH)
 }
 
 fn hmac_for_patterns(key: &Key) -> Option<String> {
     let fields = HmacFields {
         not_before: Some(NOW - 60),
-        expires: END,
+        expires: EXPIRES,
         patterns: vec!["/lessons/*".into(), "/maps/?".into()],
         client: Some("10.1.0.0/16".into()),
         id: Some("token-1".into()),
@@ -82,7 +86,7 @@
 fn uri_claims() -> UriSigningClaims {
     UriSigningClaims {
         cdniuc: "regex:https://videos\\.example/lessons/[0-9]+/.*".into(),
-        exp: Some(END),
+        exp: Some(EXPIRES),
         nbf: Some(NOW - 60),
         jti: Some("token-2".into()),
         aud: Some("edge".into()),
@@ -91,7 +95,7 @@
     }
 }
 
-fn link_tokens() -> Vec<(&'static str, String)> {
+fn url_tokens() -> Vec<(&'static str, String)> {
     let keys = keys();
     let [hmac, ed25519] = ["hmac-key", "ed25519-key"].map(|id| keys.key(id).unwrap());
     let tokens = [
@@ -99,12 +103,12 @@
         ("hmac-patterns", hmac_for_patterns(hmac)),
         ("uri-signing-hs256", uri_signing().sign(hmac, &uri_claims())),
         ("uri-signing-eddsa", uri_signing().sign(ed25519, &uri_claims())),
-        ("url-prefix-ed25519", UrlPrefixFormat.sign(ed25519, "https://videos.example/lessons/", END)),
+        ("url-prefix-ed25519", UrlPrefixFormat.sign(ed25519, "https://videos.example/lessons/", EXPIRES)),
     ];
     tokens.map(|(name, token)| (name, token.unwrap())).to_vec()
 }
 
-/// What a token says, once its signature, key, time and scope are verified.
+/// Returns the claims of a token after verifying its signature, key, time and scope.
 fn verify(name: &str, token: &str, now: VerificationTime) -> Result<Claims, TokenError> {
     let (keys, target) = (keys(), target());
     let claims = format_of(name).verify(token, &keys, &request(&target))?;
@@ -113,11 +117,11 @@
     Ok(claims)
 }
 
-/// The tokens of a playback session that begins with the first link: its first renewal and the next.
-fn session_tokens() -> Vec<(&'static str, String)> {
+/// Returns the first and the second renewal token of a playback that starts with the first signed URL.
+fn renewal_tokens() -> Vec<(&'static str, String)> {
     let (keys, target) = (keys(), target());
-    let (name, link) = link_tokens().swap_remove(0);
-    let claims = verify(name, &link, at(NOW)).unwrap();
+    let (name, token) = url_tokens().swap_remove(0);
+    let claims = verify(name, &token, at(NOW)).unwrap();
     let first = Playback::start(&claims, &request(&target), at(NOW), &PlaybackLimits::DEFAULT).unwrap();
     let next = first.renew(at(NOW + 10), &PlaybackLimits::DEFAULT).unwrap();
     vec![
@@ -128,7 +132,7 @@
 
 fn tokens_file() -> String {
     let line = |(name, token): (&str, String)| format!("{name}\t{token}\n");
-    link_tokens().into_iter().chain(session_tokens()).map(line).collect()
+    url_tokens().into_iter().chain(renewal_tokens()).map(line).collect()
 }
 
 fn recorded_tokens() -> Vec<(String, String)> {
@@ -143,26 +147,26 @@
 }
 
 #[test]
-fn recorded_link_tokens_are_verified_until_they_expire() {
-    let links = recorded_tokens().into_iter().filter(|(name, _)| !name.starts_with("session"));
+fn recorded_url_tokens_are_accepted_until_they_expire() {
+    let url_tokens = recorded_tokens().into_iter().filter(|(name, _)| !name.starts_with("session"));
     let mut verified = 0;
-    for (name, token) in links {
+    for (name, token) in url_tokens {
         let claims = verify(&name, &token, at(NOW)).unwrap();
-        assert_eq!(claims.expires, Some(END), "{name}");
-        assert_eq!(verify(&name, &token, at(END)).unwrap_err(), TokenError::Expired(0), "{name}");
+        assert_eq!(claims.expires, Some(EXPIRES), "{name}");
+        assert_eq!(verify(&name, &token, at(EXPIRES)).unwrap_err(), TokenError::Expired(0), "{name}");
         verified += 1;
     }
     assert_eq!(verified, 5);
 }
 
 #[test]
-fn recorded_session_tokens_are_verified() {
+fn recorded_renewal_tokens_are_accepted() {
     let (keys, target) = (keys(), target());
-    let sessions = recorded_tokens().into_iter().filter(|(name, _)| name.starts_with("session"));
+    let renewals = recorded_tokens().into_iter().filter(|(name, _)| name.starts_with("session"));
     let mut verified = 0;
-    for (name, token) in sessions {
-        let session = Playback::verify(&token, &keys, &request(&target), at(NOW + 10)).unwrap();
-        assert_eq!(session.path(), "/lessons/3/", "{name}");
+    for (name, token) in renewals {
+        let playback = Playback::verify(&token, &keys, &request(&target), at(NOW + 10)).unwrap();
+        assert_eq!(playback.path(), "/lessons/3/", "{name}");
         verified += 1;
     }
     assert_eq!(verified, 2);
--- a/crates/signed-urls/tests/playback.rs
+++ b/crates/signed-urls/tests/playback.rs
@@ -1,4 +1,5 @@
-//! A video across the end of its link: what goes on, for whom, and until when.
+//! Playbacks that continue after their signed URL has expired: for which requests and clients, and until
+//! when.
 
 use std::net::IpAddr;
 
@@ -23,8 +24,8 @@
     KeySet::parse(set.to_string().as_bytes()).unwrap()
 }
 
-fn link(expires: u64) -> Claims {
-    let (key, id) = ("school".to_string(), Some("t1".to_string()));
+fn claims(expires: u64) -> Claims {
+    let (key, id) = ("url-key".to_string(), Some("t1".to_string()));
     let (not_before, client, renewal) = (None, None, None);
     let scope = Scope::Path("/v".into());
     Claims { key, not_before, expires: Some(expires), scope, client, id, renewal }
@@ -42,56 +43,64 @@
     VerificationTime { unix_ms: unix * 1000, skew_ms: 0 }
 }
 
-/// The renewals of a playback that asks each so many seconds from a moment on, until it is refused.
-fn play(from: u64, every: u64, ends: u64, bounds: &PlaybackLimits) -> (u64, TokenError) {
+/// Starts a playback at `started_at` and requests a part every `interval` seconds until a request is
+/// rejected. Returns the time and the error of the rejection; `TokenError::Missing` if there is no further
+/// renewal. Times are in Unix seconds.
+fn play_until_rejected(
+    started_at: u64,
+    interval: u64,
+    url_expires: u64,
+    limits: &PlaybackLimits,
+) -> (u64, TokenError) {
     let keys = keys(json!({}));
     let first = part(0);
-    let mut playback = Playback::start(&link(ends), &context(&first), at(from), bounds).unwrap();
+    let mut playback =
+        Playback::start(&claims(url_expires), &context(&first), at(started_at), limits).unwrap();
     for nth in 1.. {
-        let (now, target) = (at(from + u64::from(nth) * every), part(nth));
+        let (now, target) = (at(started_at + u64::from(nth) * interval), part(nth));
         let token = playback.sign(&keys, now).unwrap();
         match Playback::verify(&token, &keys, &context(&target), now) {
-            Ok(held) => match held.renew(now, bounds) {
+            Ok(verified) => match verified.renew(now, limits) {
                 Some(next) => playback = next,
                 None => return (now.unix_ms / 1000, TokenError::Missing),
             },
-            Err(refusal) => return (now.unix_ms / 1000, refusal),
+            Err(error) => return (now.unix_ms / 1000, error),
         }
     }
     unreachable!()
 }
 
 #[test]
-fn a_video_that_began_in_time_goes_on_past_its_link_to_the_stated_end_and_no_further() {
-    let (end, refusal) = play(1000, 10, 1200, &LIMITS);
-    assert_eq!((end, refusal), (1500, TokenError::Expired(0)), "300 s past the link's end at 1200");
+fn a_playback_started_in_time_continues_after_its_url_expires_up_to_the_limits() {
+    let (end, error) = play_until_rejected(1000, 10, 1200, &LIMITS);
+    assert_eq!((end, error), (1500, TokenError::Expired(0)), "300 s after the URL expired at 1200");
     assert_eq!(
-        play(1000, 10, 90_000, &LIMITS),
+        play_until_rejected(1000, 10, 90_000, &LIMITS),
         (4600, TokenError::Expired(0)),
-        "nor longer than the longest"
+        "the maximum duration is 3600 s"
     );
-    let short = PlaybackLimits { max_renewals: 5, ..LIMITS };
+    let few_renewals = PlaybackLimits { max_renewals: 5, ..LIMITS };
     assert_eq!(
-        play(1000, 10, 1200, &short),
+        play_until_rejected(1000, 10, 1200, &few_renewals),
         (1060, TokenError::Missing),
-        "nor with more renewals than the chain has"
+        "the sixth renewal is over the limit"
     );
 }
 
 #[test]
-fn a_pause_over_what_a_renewal_holds_ends_it() {
+fn a_pause_longer_than_a_renewals_lifetime_ends_the_playback() {
     assert_eq!(
-        play(1000, 59, 1200, &LIMITS),
+        play_until_rejected(1000, 59, 1200, &LIMITS),
         (1531, TokenError::Expired(31_000)),
-        "eight times on, to the end"
+        "renewed eight times, until the playback ends at 1500"
     );
-    assert_eq!(play(1000, 61, 1200, &LIMITS), (1061, TokenError::Expired(1000)));
+    assert_eq!(play_until_rejected(1000, 61, 1200, &LIMITS), (1061, TokenError::Expired(1000)));
 }
 
 #[test]
-fn a_seek_within_the_object_passes_and_a_copy_to_another_client_or_object_does_not() {
+fn a_renewal_covers_seeks_within_its_object_but_no_other_client_or_object() {
     let (keys, first) = (keys(json!({})), part(0));
-    let playback = Playback::start(&link(1200), &context(&first), at(1000), &LIMITS).unwrap();
+    let playback = Playback::start(&claims(1200), &context(&first), at(1000), &LIMITS).unwrap();
     let token = playback.sign(&keys, at(1000)).unwrap();
     let seek = part(900);
     assert!(Playback::verify(&token, &keys, &context(&seek), at(1001)).is_ok());
@@ -104,65 +113,65 @@
 }
 
 #[test]
-fn another_router_of_the_branch_and_one_with_rotated_keys_take_it_and_a_revoked_link_ends_it() {
+fn another_router_accepts_a_renewal_until_its_url_or_key_is_revoked() {
     let (old, first) = (keys(json!({})), part(0));
-    let playback = Playback::start(&link(1200), &context(&first), at(1000), &LIMITS).unwrap();
+    let playback = Playback::start(&claims(1200), &context(&first), at(1000), &LIMITS).unwrap();
     let token = playback.sign(&old, at(1000)).unwrap();
     assert!(
         Playback::verify(&token, &keys(json!({})), &context(&first), at(1001)).is_ok(),
-        "no shared state"
+        "a second key set with the same keys, without shared state"
     );
-    let revoked = |change| Playback::verify(&token, &keys(change), &context(&first), at(1001));
-    assert_eq!(revoked(json!({"revoked_tokens": ["t1"]})), Err(TokenError::Revoked));
-    assert_eq!(revoked(json!({"revoked_keys": ["school"]})), Err(TokenError::Revoked));
-    assert!(matches!(revoked(json!({"revoked_keys": ["a", "b"]})), Err(TokenError::UnknownKey)));
+    let verify_with = |change| Playback::verify(&token, &keys(change), &context(&first), at(1001));
+    assert_eq!(verify_with(json!({"revoked_tokens": ["t1"]})), Err(TokenError::Revoked));
+    assert_eq!(verify_with(json!({"revoked_keys": ["url-key"]})), Err(TokenError::Revoked));
+    assert!(matches!(verify_with(json!({"revoked_keys": ["a", "b"]})), Err(TokenError::UnknownKey)));
 }
 
 #[test]
-fn a_clock_ten_seconds_fast_moves_no_stated_end() {
+fn a_clock_ten_seconds_fast_does_not_extend_a_playback() {
     let (keys, first) = (keys(json!({})), part(0));
     let fast = VerificationTime { unix_ms: 1_010_000, skew_ms: 10_000 };
-    let playback = Playback::start(&link(1200), &context(&first), fast, &LIMITS).unwrap();
+    let playback = Playback::start(&claims(1200), &context(&first), fast, &LIMITS).unwrap();
     let last = VerificationTime { unix_ms: 1_495_000, skew_ms: 0 };
-    let late = playback.renew(last, &LIMITS).unwrap();
+    let renewed = playback.renew(last, &LIMITS).unwrap();
     assert_eq!(
-        late.remaining_seconds(last),
+        renewed.remaining_seconds(last),
         5,
-        "to the link's end and 300 s, whatever the clock said at its begin"
+        "until 300 s after the URL expires, whatever the clock said when the playback started"
     );
-    let token = late.sign(&keys, last).unwrap();
+    let token = renewed.sign(&keys, last).unwrap();
     let check = |unix_ms, skew_ms| {
         Playback::verify(&token, &keys, &context(&first), VerificationTime { unix_ms, skew_ms })
     };
-    assert!(check(1_509_000, 10_000).is_ok(), "a router that is ten seconds fast still takes it");
+    assert!(check(1_509_000, 10_000).is_ok(), "a router whose clock is ten seconds fast still accepts it");
     assert_eq!(check(1_510_000, 10_000), Err(TokenError::Expired(10_000)));
 }
 
 #[test]
-fn nobody_without_a_signing_key_makes_a_renewal_and_a_link_is_none() {
+fn a_renewal_requires_a_signing_key_and_a_url_that_expires() {
     let (keys, first) = (keys(json!({})), part(0));
-    let playback = Playback::start(&link(1200), &context(&first), at(1000), &LIMITS).unwrap();
+    let playback = Playback::start(&claims(1200), &context(&first), at(1000), &LIMITS).unwrap();
     let token = playback.sign(&keys, at(1000)).unwrap();
-    // The same secrets, held only to check.
+    // The same secrets, but the keys may only verify.
     let mut set = json!({"keys": []});
     for (id, byte) in [("a", 1u8), ("b", 2)] {
         let key = json!({"kid": id, "kty": "oct", "alg": "HS256", "k": URL_SAFE_NO_PAD.encode([byte; 32])});
         set["keys"].as_array_mut().unwrap().push(key);
     }
-    let checkers = KeySet::parse(set.to_string().as_bytes()).unwrap();
-    assert_eq!(playback.sign(&checkers, at(1000)), None);
+    let verifying_keys = KeySet::parse(set.to_string().as_bytes()).unwrap();
+    assert_eq!(playback.sign(&verifying_keys, at(1000)), None);
     assert_eq!(
-        Playback::verify(&token, &checkers, &context(&first), at(1001)),
+        Playback::verify(&token, &verifying_keys, &context(&first), at(1001)),
         Err(TokenError::InvalidSignature)
     );
-    let bent = token.replace('.', "..");
+    let malformed = token.replace('.', "..");
     assert!(matches!(
-        Playback::verify(&bent, &keys, &context(&first), at(1001)),
+        Playback::verify(&malformed, &keys, &context(&first), at(1001)),
         Err(TokenError::Malformed(_))
     ));
-    let endless = Claims { expires: None, ..link(0) };
+    let without_expiry = Claims { expires: None, ..claims(0) };
     assert!(
-        Playback::start(&endless, &context(&first), at(1000), &LIMITS).is_none(),
-        "there is no class to outlive"
+        Playback::start(&without_expiry, &context(&first), at(1000), &LIMITS).is_none(),
+        "a URL that never expires needs no renewals"
     );
 }
