--- a/crates/extproc/src/frames.rs
+++ b/crates/extproc/src/frames.rs
@@ -1,27 +1,33 @@
-//! gRPC's framing of messages: a flag, four bytes of length, the message.
+//! The framing of gRPC messages: one byte for the compression flag, four bytes for the length, then the
+//! message.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 
-/// The flag and the length before a message.
+/// The size of the flag and the length in front of a message, in bytes.
 const PREFIX_BYTES: usize = 5;
 
-/// Why a frame can't be read.
+/// The reason why a frame can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The message is over the limit.
-    #[error("a message is over the limit")]
+    /// The message exceeds the size limit.
+    #[error("message over the size limit")]
     TooLong,
-    /// The message is compressed, and no encoding was agreed.
-    #[error("a message is compressed, and no encoding was agreed")]
+    /// The message is compressed, although no encoding was negotiated.
+    #[error("compressed message, although no encoding was negotiated")]
     Compressed,
-    /// The bytes are no message.
-    #[error("a message can't be read")]
+    /// The bytes are not a message of the expected type.
+    #[error("message can't be decoded")]
     Unreadable,
 }
 
-/// Takes the first message from the start of `read`; none while it is incomplete. Its length is checked
-/// against `max_bytes` before more of it is waited for.
+/// Removes the first message from the front of `read` and returns it. `None` if the message is still
+/// incomplete.
+///
+/// # Errors
+///
+/// The message is compressed, malformed or longer than `max_bytes`. The length is checked as soon as it is
+/// known, so that the caller does not wait for the rest of a message that is too long.
 pub fn decode<M: Message + Default>(read: &mut BytesMut, max_bytes: usize) -> Result<Option<M>, FrameError> {
     let Some(&[flag, length @ ..]) = read.first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(length) as usize;
@@ -38,7 +44,7 @@
     M::decode(read.split_to(length).freeze()).map(Some).map_err(|_| FrameError::Unreadable)
 }
 
-/// A message in its frame.
+/// Encodes a message together with its frame.
 pub fn encode(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
     let mut out = BytesMut::with_capacity(PREFIX_BYTES + length);
--- a/crates/extproc/src/headers.rs
+++ b/crates/extproc/src/headers.rs
@@ -1,10 +1,11 @@
-//! Headers of a request or a response, read strictly.
+//! Strict parsing of the headers of a request or a response.
 
 use serde::Deserialize;
 
+/// The maximum size of a value that is read with [`Headers::text`], in bytes.
 const MAX_VALUE_BYTES: usize = 256;
 
-/// Which headers say what, in lower case.
+/// The names of the headers to read, in lower case.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct HeaderNames {
@@ -13,23 +14,24 @@
     /// The correlation id, 16 hex digits.
     #[serde(rename = "ticket", alias = "correlation_id")]
     pub correlation_id: String,
-    /// The proxy's request id; its hash is the correlation id where that is missing.
+    /// The proxy's request id. If the correlation id is missing, a hash of the request id is used in its
+    /// place.
     #[serde(rename = "request")]
     pub request_id: String,
-    /// How long the client waits, in milliseconds.
+    /// How long the client still waits, in milliseconds.
     #[serde(rename = "patience")]
     pub time_remaining: String,
-    /// The proxy's timeout, in milliseconds; used where `time_remaining` is missing.
+    /// The proxy's timeout, in milliseconds. It is used if `time_remaining` is missing.
     pub timeout: String,
     /// The idempotency key, 32 hex digits.
     #[serde(rename = "mark", alias = "idempotency_key")]
     pub idempotency_key: String,
-    /// The group of the object.
+    /// The purge group of the object.
     pub group: String,
-    /// Whether the client says that it retries.
+    /// Whether the client marks the request as a retry.
     #[serde(rename = "repeat", alias = "client_retry")]
     pub client_retry: String,
-    /// The attempt, counted by the proxy from 1.
+    /// The number of the attempt, which the proxy counts from 1.
     pub attempt: String,
 }
 
@@ -50,13 +52,13 @@
     }
 }
 
-/// A header that is missing, given twice or can't be used. Its text goes to the proxy.
+/// The error for a header that is missing, duplicate or invalid. The proxy receives its text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{header}: {problem}")]
 pub struct HeaderError {
-    /// The name of the header.
+    /// The name of the header at fault.
     pub header: String,
-    /// What is wrong with it.
+    /// What is wrong with the header.
     pub problem: &'static str,
 }
 
@@ -66,18 +68,21 @@
     }
 }
 
-/// The headers of a request or a response, by lower-case names.
+/// The headers of a request or a response, as pairs of a lower-case name and a value.
 pub struct Headers<'a>(pub Vec<(&'a str, &'a [u8])>);
 
 impl<'a> Headers<'a> {
-    /// The text of a header that is given once, of any length.
+    /// Returns the value of a header as text of any length. `None` if the header is missing, occurs more than
+    /// once or is not UTF-8.
     pub fn one(&self, name: &str) -> Option<&'a str> {
         let mut values = self.values(name);
         let value = values.next().filter(|_| values.next().is_none())?;
         std::str::from_utf8(value).ok()
     }
 
-    /// The value of a header: graphic text of bounded length, given once.
+    /// Returns the value of a header. `None` if the header is missing. It is an error if the header occurs
+    /// more than once, or if the value is not 1 to `MAX_VALUE_BYTES` printable ASCII characters without
+    /// spaces.
     pub(crate) fn text(&self, name: &str) -> Result<Option<&'a str>, HeaderError> {
         let mut values = self.values(name);
         let Some(value) = values.next() else { return Ok(None) };
@@ -90,7 +95,8 @@
         text.map(Some).ok_or_else(|| HeaderError::new(name, "no plain text"))
     }
 
-    /// A whole number from `min` to `max`, in its canonical form.
+    /// Returns the value of a header as a whole number. `None` if the header is missing. It is an error if
+    /// the number is not in canonical form, or not from `min` to `max`.
     pub(crate) fn number(&self, name: &str, [min, max]: [u64; 2]) -> Result<Option<u64>, HeaderError> {
         let Some(text) = self.text(name)? else { return Ok(None) };
         let number = text.parse::<u64>().ok();
@@ -103,13 +109,13 @@
     }
 }
 
-/// Whether a text is digits alone, without leading zeros: parsers accept other forms, too.
+/// Returns whether a text consists only of digits, without leading zeros. Parsers also accept other forms.
 pub(crate) fn is_canonical_number(text: &str) -> bool {
     text.bytes().all(|byte| byte.is_ascii_digit()) && (text == "0" || !text.starts_with('0'))
 }
 
-/// A hexadecimal number of exactly so many digits.
+/// Parses a hexadecimal number with exactly `digits` digits.
 pub(crate) fn parse_hex(text: &str, digits: usize) -> Option<u128> {
-    let is_whole = text.len() == digits && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    u128::from_str_radix(text, 16).ok().filter(|_| is_whole)
+    let is_hex = text.len() == digits && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    u128::from_str_radix(text, 16).ok().filter(|_| is_hex)
 }
--- a/crates/extproc/src/lib.rs
+++ b/crates/extproc/src/lib.rs
@@ -1,5 +1,5 @@
-//! The external processing service as proxies speak it, without I/O: its messages and their gRPC framing,
-//! what headers of requests and reports say, and the responses to a proxy.
+//! Envoy's external processing protocol, without I/O: the messages and their gRPC framing, the parsing of
+//! headers of requests and reports, and the responses to a proxy.
 
 pub mod frames;
 mod headers;
--- a/crates/extproc/src/messages.rs
+++ b/crates/extproc/src/messages.rs
@@ -1,17 +1,17 @@
 //! The messages of `envoy.service.ext_proc.v3.ExternalProcessor/Process`, with the field numbers that Envoy's
 //! API publishes (`envoy/service/ext_proc/v3/external_processor.proto`, `envoy/config/core/v3/base.proto`,
-//! `envoy/extensions/filters/http/ext_proc/v3/processing_mode.proto`). Fields that the router has no use for
-//! are left out: a reader of protocol buffers passes over them.
+//! `envoy/extensions/filters/http/ext_proc/v3/processing_mode.proto`). Fields that the router does not use
+//! are left out; protocol buffer decoders skip them.
 
 use prost::{Enumeration, Message, Oneof};
 
-/// A message of a proxy.
+/// A message from a proxy.
 #[derive(Clone, PartialEq, Message)]
 pub struct ProcessingRequest {
-    /// What it is about.
+    /// The part of the request or response that the message carries.
     #[prost(oneof = "Phase", tags = "2, 3, 4, 5, 6, 7")]
     pub phase: Option<Phase>,
-    /// Whether the proxy waits for no reply and takes none.
+    /// Whether the proxy neither waits for a reply nor accepts one.
     #[prost(bool, tag = "10")]
     pub observability_mode: bool,
 }
@@ -39,13 +39,13 @@
     ResponseTrailers(HttpTrailers),
 }
 
-/// Headers, with whether a body follows.
+/// The headers of a request or a response.
 #[derive(Clone, PartialEq, Message)]
 pub struct HttpHeaders {
     /// The headers.
     #[prost(message, optional, tag = "1")]
     pub headers: Option<HeaderMap>,
-    /// Whether nothing follows.
+    /// Whether neither a body nor trailers follow.
     #[prost(bool, tag = "3")]
     pub end_of_stream: bool,
 }
@@ -53,15 +53,15 @@
 /// A piece of a body.
 #[derive(Clone, PartialEq, Message)]
 pub struct HttpBody {
-    /// Its bytes.
+    /// The bytes of the piece.
     #[prost(bytes = "bytes", tag = "1")]
     pub body: bytes::Bytes,
-    /// Whether nothing follows.
+    /// Whether neither a further piece of the body nor trailers follow.
     #[prost(bool, tag = "2")]
     pub end_of_stream: bool,
 }
 
-/// Trailers.
+/// The trailers of a request or a response.
 #[derive(Clone, PartialEq, Message)]
 pub struct HttpTrailers {
     /// The trailers.
@@ -72,21 +72,21 @@
 /// A list of headers.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeaderMap {
-    /// In the order in which they were sent.
+    /// The headers, in the order in which they were sent.
     #[prost(message, repeated, tag = "1")]
     pub headers: Vec<HeaderValue>,
 }
 
-/// One header; its value is in one of the two forms, by the proxy's settings.
+/// A header. The proxy's settings determine which of the two fields carries the value.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeaderValue {
-    /// Its name, in lower case.
+    /// The name, in lower case.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its value as text.
+    /// The value as text.
     #[prost(string, tag = "2")]
     pub value: String,
-    /// Its value as bytes.
+    /// The value as bytes.
     #[prost(bytes = "vec", tag = "3")]
     pub raw_value: Vec<u8>,
 }
@@ -94,10 +94,10 @@
 /// A message to a proxy.
 #[derive(Clone, PartialEq, Message)]
 pub struct ProcessingResponse {
-    /// What to do with the phase that was sent.
+    /// How to continue with the phase that the proxy has sent.
     #[prost(oneof = "Reply", tags = "1, 2, 3, 4, 5, 6, 7")]
     pub reply: Option<Reply>,
-    /// Which phases to send from now on.
+    /// The phases that the proxy is to send from now on.
     #[prost(message, optional, tag = "9")]
     pub mode_override: Option<ProcessingMode>,
 }
@@ -105,30 +105,31 @@
 /// The reply to a phase.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Reply {
-    /// To the headers of the request.
+    /// Reply to the headers of the request.
     #[prost(message, tag = "1")]
     RequestHeaders(HeadersResponse),
-    /// To the headers of the response.
+    /// Reply to the headers of the response.
     #[prost(message, tag = "2")]
     ResponseHeaders(HeadersResponse),
-    /// To a piece of the body of the request.
+    /// Reply to a piece of the body of the request.
     #[prost(message, tag = "3")]
     RequestBody(HeadersResponse),
-    /// To a piece of the body of the response.
+    /// Reply to a piece of the body of the response.
     #[prost(message, tag = "4")]
     ResponseBody(HeadersResponse),
-    /// To the trailers of the request.
+    /// Reply to the trailers of the request.
     #[prost(message, tag = "5")]
     RequestTrailers(TrailersResponse),
-    /// To the trailers of the response.
+    /// Reply to the trailers of the response.
     #[prost(message, tag = "6")]
     ResponseTrailers(TrailersResponse),
-    /// Responds to the client at once.
+    /// Responds to the client immediately.
     #[prost(message, tag = "7")]
     Immediate(ImmediateResponse),
 }
 
-/// `HeadersResponse` and `BodyResponse` have the same form.
+/// The reply to headers or to a piece of a body. Envoy's `HeadersResponse` and `BodyResponse` have the same
+/// fields.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeadersResponse {
     /// How to continue.
@@ -136,20 +137,20 @@
     pub response: Option<CommonResponse>,
 }
 
-/// Trailers continue unchanged.
+/// The reply to trailers, which continue unchanged.
 #[derive(Clone, PartialEq, Message)]
 pub struct TrailersResponse {}
 
 /// How to continue.
 #[derive(Clone, PartialEq, Message)]
 pub struct CommonResponse {
-    /// 0 is to continue.
+    /// 0 means that the proxy continues.
     #[prost(int32, tag = "1")]
     pub status: i32,
-    /// Changes of the headers.
+    /// The changes to the headers.
     #[prost(message, optional, tag = "2")]
     pub header_mutation: Option<HeaderMutation>,
-    /// Has the proxy choose its route again, by the headers as they are now.
+    /// Whether the proxy must choose its route again, based on the changed headers.
     #[prost(bool, tag = "5")]
     pub clear_route_cache: bool,
 }
@@ -157,16 +158,16 @@
 /// A response to the client in place of the endpoint's.
 #[derive(Clone, PartialEq, Message)]
 pub struct ImmediateResponse {
-    /// Its status.
+    /// The HTTP status.
     #[prost(message, optional, tag = "1")]
     pub status: Option<HttpStatus>,
-    /// Its headers.
+    /// The headers.
     #[prost(message, optional, tag = "2")]
     pub headers: Option<HeaderMutation>,
-    /// Its body.
+    /// The body.
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
-    /// For the log of the proxy.
+    /// A text for the proxy's log.
     #[prost(string, tag = "5")]
     pub details: String,
 }
@@ -174,12 +175,12 @@
 /// An HTTP status.
 #[derive(Clone, PartialEq, Message)]
 pub struct HttpStatus {
-    /// Its code.
+    /// The status code.
     #[prost(int32, tag = "1")]
     pub code: i32,
 }
 
-/// Changes of headers.
+/// Changes to headers.
 #[derive(Clone, PartialEq, Message)]
 pub struct HeaderMutation {
     /// Headers to set.
@@ -196,42 +197,42 @@
     /// The header.
     #[prost(message, optional, tag = "1")]
     pub header: Option<HeaderValue>,
-    /// What becomes of a header of that name.
+    /// What happens to existing headers with this name.
     #[prost(enumeration = "AppendAction", tag = "3")]
     pub append_action: i32,
 }
 
-/// What becomes of a header that is there already.
+/// What happens to an existing header with the name of a header to set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum AppendAction {
-    /// Both stay.
+    /// The existing header is kept, and the new one is added.
     AppendIfExistsOrAdd = 0,
-    /// The old one stays.
+    /// The existing header is kept, and the new one is dropped.
     AddIfAbsent = 1,
-    /// The new one replaces it.
+    /// The new header replaces the existing one.
     OverwriteIfExistsOrAdd = 2,
 }
 
-/// Which phases a proxy sends from now on.
+/// The phases that a proxy sends from now on.
 #[derive(Clone, PartialEq, Message)]
 pub struct ProcessingMode {
-    /// Of the request's headers.
+    /// The mode of the request's headers.
     #[prost(enumeration = "HeaderSend", tag = "1")]
     pub request_header_mode: i32,
-    /// Of the response's headers.
+    /// The mode of the response's headers.
     #[prost(enumeration = "HeaderSend", tag = "2")]
     pub response_header_mode: i32,
-    /// 0 is none.
+    /// The mode of the request's body; 0 means that it is not sent.
     #[prost(int32, tag = "3")]
     pub request_body_mode: i32,
-    /// 0 is none.
+    /// The mode of the response's body; 0 means that it is not sent.
     #[prost(int32, tag = "4")]
     pub response_body_mode: i32,
-    /// Of the request's trailers.
+    /// The mode of the request's trailers.
     #[prost(enumeration = "HeaderSend", tag = "5")]
     pub request_trailer_mode: i32,
-    /// Of the response's trailers.
+    /// The mode of the response's trailers.
     #[prost(enumeration = "HeaderSend", tag = "6")]
     pub response_trailer_mode: i32,
 }
--- a/crates/extproc/src/request.rs
+++ b/crates/extproc/src/request.rs
@@ -1,5 +1,5 @@
-//! What the headers of a proxy ask for and report. Both codecs use it, external processing and the plain
-//! call.
+//! Reads requests, and reports on attempts, from the headers that a proxy sends. The external processing
+//! service and the plain HTTP call both use this module.
 
 use std::time::Duration;
 
@@ -21,18 +21,18 @@
 const MAX_GROUP: u64 = 255;
 const MAX_MS: u64 = u32::MAX as u64;
 
-/// What reading a request takes of its class.
+/// The properties of a request class that reading a request depends on.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// As in paths.
+    /// The name of the class in paths.
     pub name: String,
-    /// Whether its requests are idempotent by a key.
+    /// Whether requests of the class must have an idempotency key.
     pub requires_idempotency_key: bool,
-    /// How long a client waits that does not say so.
+    /// How long the client waits if the request does not state it.
     pub default_deadline: Duration,
 }
 
-/// Reads a request; an error names the header at fault.
+/// Reads a request from its headers. An error names the header at fault.
 pub fn read_request(
     headers: &Headers,
     names: &HeaderNames,
@@ -54,7 +54,7 @@
     })
 }
 
-/// What a path names.
+/// The parts of a request path.
 struct Target {
     /// The index of the class.
     class: usize,
@@ -112,7 +112,7 @@
     Ok(millis.map_or(default, Span::millis))
 }
 
-/// The key is checked wherever it is given, and used by classes that require one.
+/// Reads the idempotency key. A key is checked for every class, but only used for classes that require one.
 fn read_idempotency_key(
     headers: &Headers,
     names: &HeaderNames,
@@ -137,7 +137,8 @@
     }
 }
 
-/// Reads what the headers of an endpoint's response, or of a proxy's own, say of the attempt.
+/// Reads the result of an attempt from the headers of a response, which the endpoint or the proxy itself
+/// created.
 pub fn read_report(headers: &Headers) -> Result<Report, HeaderError> {
     let status = headers.number(":status", [100, 999])?;
     let is_shed = headers.text("x-shed")? == Some("1");
@@ -159,7 +160,7 @@
     })
 }
 
-/// What a proxy says where no response came.
+/// Returns the attempt status for the word that a proxy reports if there was no response.
 fn proxy_failure(word: &str) -> Result<AttemptStatus, HeaderError> {
     match word {
         "unreachable" => Ok(AttemptStatus::Unreachable),
@@ -171,9 +172,9 @@
     }
 }
 
-/// What the status of a response says. A gateway error that endpoints never send may be the proxy's own, for
-/// an endpoint that it did not reach or that broke off: the attempt may have run, and the endpoint did not
-/// say so.
+/// Returns the attempt status for the status of a response. A gateway error (502 to 504) that endpoints never
+/// send may come from the proxy, because it did not reach the endpoint or the connection to the endpoint
+/// broke. The attempt may have run without a response from the endpoint, so it is treated as incomplete.
 fn response_status(status: Option<u64>, is_shed: bool) -> Result<AttemptStatus, HeaderError> {
     let status = status.ok_or_else(|| HeaderError::new(":status", "missing"))?;
     Ok(tindoor_http::attempt_status(status as u16, is_shed).unwrap_or(match status {
--- a/crates/extproc/src/response.rs
+++ b/crates/extproc/src/response.rs
@@ -1,4 +1,4 @@
-//! What the router responds to a proxy, as headers and as messages of the external processing service.
+//! The router's responses to a proxy, as headers and as messages of the external processing protocol.
 
 use tindoor::host::FillDirectives;
 use tindoor::time::Span;
@@ -12,57 +12,58 @@
 const MICROS_PER_MILLI: u64 = 1000;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Why a request was refused, or what is wrong with it.
+/// The header with the reason why a request was rejected or failed, or with what is wrong with the request.
 pub const REASON: &str = "x-tindoor-reason";
 
-/// Headers that only a decision may set: what a client put there is removed.
+/// The headers that only a routing decision may set. Values sent by the client are removed.
 pub const DECISION_HEADERS: [&str; 6] =
     ["x-tindoor-again", REASON, "x-source", "x-tier", "x-accept-age", "x-mode"];
 
-/// The endpoint and the source of a decision, by name.
+/// The endpoint and the fill source of a routing decision, by their names.
 #[derive(Clone, Debug)]
 pub struct RoutingTarget {
     /// The endpoint's id.
     pub endpoint: String,
-    /// Its address.
+    /// The endpoint's address.
     pub address: String,
-    /// The source's id; none where nothing may be filled, or where the endpoint is its own source.
+    /// The id of the fill source. `None` if nothing may be filled, or if the endpoint is its own source.
     pub source: Option<String>,
 }
 
 /// A header to set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderField {
-    /// Its name, in lower case.
+    /// The name, in lower case.
     pub name: &'static str,
-    /// Its value.
+    /// The value.
     pub value: String,
 }
 
 impl HeaderField {
-    /// A header with this value.
+    /// Creates a header with this name and value.
     pub fn new(name: &'static str, value: impl Into<String>) -> Self {
         Self { name, value: value.into() }
     }
 }
 
-/// A response in place of an endpoint's.
+/// A response that the client receives in place of one from an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalResponse {
     /// The HTTP status.
     pub status: u16,
-    /// Its headers.
+    /// The headers.
     pub fields: Vec<HeaderField>,
 }
 
 impl FinalResponse {
-    /// A response that gives its reason.
+    /// Creates a response that states its reason in the header [`REASON`].
     pub fn with_reason(status: u16, reason: impl Into<String>) -> Self {
         Self { status, fields: vec![HeaderField::new(REASON, reason)] }
     }
 }
 
-/// The headers of a decision. Those of the platform's protocol are as endpoints read them.
+/// Returns the headers of a routing decision. The headers of the platform's protocol have the form that
+/// endpoints expect.
 pub fn decision_headers(
     request: &ExternalRequest,
     decision: &RoutingDecision,
@@ -89,8 +90,8 @@
     if directives.retention_rank > 0 {
         fields.push(HeaderField::new("x-tier", directives.retention_rank.to_string()));
     }
-    // Rounded down, but not to 0, which would accept any fresh copy. The limit stays valid while the decision
-    // waits for its use: a copy ages as fast as the purge that bounds its age recedes.
+    // Rounded down, but not to 0, which would accept any fresh copy. The limit stays correct if the proxy
+    // uses the decision later: a copy ages at the same rate as the purge that limits its age.
     let max_age = directives.max_age.map(|max_age| millis(max_age).max(1).to_string());
     fields.extend(max_age.map(|max_age| HeaderField::new("x-accept-age", max_age)));
     let modes = [(directives.join_fill, "j"), (directives.only_if_cached, "h"), (directives.refresh, "r")];
@@ -100,7 +101,7 @@
     }
 }
 
-/// The word that proxies receive for a reason.
+/// Returns the word that proxies receive for a reason.
 fn reason_word(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::GaveUp => "given-up",
@@ -114,7 +115,8 @@
     }
 }
 
-/// A final reply as a response; none for one that is not final or passes the endpoint's response through.
+/// Converts a final reply to a response. `None` if the reply is not final, or passes the endpoint's response
+/// through.
 pub fn final_response(reply: &CallReply) -> Option<FinalResponse> {
     match reply {
         CallReply::Rejected(retry_after, reason) => {
@@ -134,7 +136,8 @@
     }
 }
 
-/// Retry-After in whole seconds, rounded up, and the same in milliseconds.
+/// Returns `Retry-After` in whole seconds, rounded up, and the same time in milliseconds in a header of its
+/// own.
 fn retry_fields(retry_after: Span) -> [HeaderField; 2] {
     let seconds = retry_after.as_micros().div_ceil(MICROS_PER_SECOND).max(1);
     [
@@ -143,8 +146,8 @@
     ]
 }
 
-/// Forwards the request with a decision; of what follows, only the headers of the response are sent to the
-/// router.
+/// Has the proxy forward the request with the headers of a decision. After this, the proxy sends only the
+/// headers of the response to the router.
 pub fn forward_request(fields: Vec<HeaderField>) -> ProcessingResponse {
     let mode = ProcessingMode {
         request_header_mode: HeaderSend::Default as i32,
@@ -158,7 +161,8 @@
     ProcessingResponse { reply: Some(reply), mode_override: Some(mode) }
 }
 
-/// Passes the endpoint's response through, with a cookie beside those that it may set itself.
+/// Has the proxy pass the endpoint's response through. `cookie` is added to the cookies that the endpoint
+/// sets.
 pub fn pass_through(cookie: Option<String>) -> ProcessingResponse {
     let mutation = cookie.map(|cookie| {
         let field = HeaderField::new("set-cookie", cookie);
@@ -168,12 +172,12 @@
     continue_response(mutation)
 }
 
-/// The endpoint's response is not final: has the proxy retry, if it retries by a header.
+/// Marks the endpoint's response as not final. The proxy retries if it is configured to retry on this header.
 pub fn request_retry() -> ProcessingResponse {
     continue_response(Some(mutation(vec![HeaderField::new("x-tindoor-again", "1")], &[])))
 }
 
-/// Responds in place of whatever was to come.
+/// Has the proxy send this response immediately, in place of any other.
 pub fn immediate(response: FinalResponse) -> ProcessingResponse {
     let reason = response.fields.iter().find(|field| field.name == REASON);
     let details = reason.map(|field| field.value.clone()).unwrap_or_default();
@@ -195,7 +199,7 @@
     HeadersResponse { response: Some(CommonResponse { status: 0, header_mutation, clear_route_cache }) }
 }
 
-/// Sets `fields`, and removes those of `removed` that are not set.
+/// Sets `fields`, and removes the headers in `removed` that are not set.
 fn mutation(fields: Vec<HeaderField>, removed: &[&str]) -> HeaderMutation {
     let is_unset = |name: &&&str| !fields.iter().any(|field| field.name == **name);
     let remove_headers = removed.iter().filter(is_unset).map(ToString::to_string).collect();
--- a/crates/extproc/tests/golden.rs
+++ b/crates/extproc/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The bytes of every message to a proxy, and what is read from a proxy's headers, compared with the recorded
-//! files in `tests/golden/`.
+//! Compares the bytes of every message to a proxy, and the requests and reports read from a proxy's headers,
+//! with the recorded files in `tests/golden/`.
 //!
-//! To record the files anew: `cargo test -p tindoor-extproc --test golden -- --ignored record`
+//! To record the files again: `cargo test -p tindoor-extproc --test golden -- --ignored record`
 
 #[path = "../../testbed/tests/support/golden.rs"]
 mod golden;
@@ -26,7 +26,7 @@
 
 fn recordings() -> Vec<Recording> {
     vec![
-        ("choices.txt", external()),
+        ("choices.txt", decisions()),
         ("refusals.txt", refusals()),
         ("responses.txt", responses()),
         ("requests.txt", requests()),
@@ -50,7 +50,7 @@
     format!("{title}\n    {text}\n")
 }
 
-/// A message in its gRPC frame.
+/// Formats a message in its gRPC frame.
 fn message(title: &str, response: &ProcessingResponse) -> String {
     section(title, &frames::encode(response).escape_ascii().to_string())
 }
@@ -80,7 +80,7 @@
     request::read_request(&headers(pairs), &HeaderNames::default(), &classes())
 }
 
-/// The message of a decision with these directives.
+/// Formats the message for a decision with these directives.
 fn decision(
     title: &str,
     directives: Option<FillDirectives>,
@@ -91,13 +91,18 @@
     let target = response::RoutingTarget { endpoint: "c-1".into(), address: "10.0.0.1:80".into(), source };
     let decision =
         RoutingDecision { attempt_index: 4, endpoint: EndpointId(1), directives, timeout: Span::millis(900) };
-    let [use_within, left] = spans;
-    let fields =
-        response::decision_headers(&call(&[PATH, ID]).unwrap(), &decision, &target, use_within, left);
+    let [use_within, time_remaining] = spans;
+    let fields = response::decision_headers(
+        &call(&[PATH, ID]).unwrap(),
+        &decision,
+        &target,
+        use_within,
+        time_remaining,
+    );
     message(title, &response::forward_request(fields))
 }
 
-fn external() -> String {
+fn decisions() -> String {
     let plain = FillDirectives {
         source: EndpointId(2),
         max_age: None,
@@ -106,7 +111,7 @@
         refresh: false,
         retention_rank: 0,
     };
-    let every = FillDirectives {
+    let all_set = FillDirectives {
         max_age: Some(Span::millis(8000)),
         join_fill: true,
         only_if_cached: true,
@@ -121,7 +126,7 @@
         decision("without terms", None, None, spans),
         decision("from itself", Some(plain), None, spans),
         decision("with a source", Some(plain), Some("p-1"), spans),
-        decision("with every term", Some(every), Some("p-1"), spans),
+        decision("with every term", Some(all_set), Some("p-1"), spans),
         decision("with an age under a millisecond", Some(recent), Some("p-1"), spans),
         decision("with less than a millisecond left", Some(plain), Some("p-1"), short),
     ]
@@ -139,7 +144,7 @@
     out
 }
 
-/// A reason by a name that stays; each has its own place in `REASONS`.
+/// The name of a reason in the recorded files. Each reason must also be listed in `REASONS`.
 fn reason_name(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::GaveUp => "given up",
@@ -164,7 +169,7 @@
     RefusalReason::ShuttingDown,
 ];
 
-/// A response in place of an endpoint's: as status and headers, and as a message.
+/// Formats the response for a final reply, as status and headers, and as a message.
 fn refusal(title: &str, reply: &CallReply) -> String {
     let Some(response) = response::final_response(reply) else { return section(title, "none") };
     let plain = format!("{} {}", response.status, fields_text(&response.fields));
@@ -222,10 +227,10 @@
         group,
         idempotency_key,
         client_retry,
-        time_remaining: left,
+        time_remaining,
         authorization,
     } = *call;
-    let unsigned = match authorization {
+    let authorization = match authorization {
         Authorization::Granted => "free",
         Authorization::NotYetValid(_) => "early",
         Authorization::Expired => "lapsed",
@@ -234,8 +239,8 @@
     let key = idempotency_key.map_or("none".to_string(), |idempotency_key| format!("{idempotency_key:032x}"));
     format!(
         "id {correlation_id:016x}, attempt {attempt}, class {class}, object {object:016x}, part {part}, \
-         group {group}, idempotency key {key}, repeat {client_retry}, left {} us, pass {unsigned}",
-        left.as_micros()
+         group {group}, idempotency key {key}, repeat {client_retry}, left {} us, pass {authorization}",
+        time_remaining.as_micros()
     )
 }
 
@@ -329,7 +334,7 @@
     out
 }
 
-/// How an attempt ended, by a name that stays.
+/// The name of an attempt status in the recorded files.
 fn outcome_name(status: AttemptStatus) -> &'static str {
     match status {
         AttemptStatus::Served => "done",
@@ -344,7 +349,7 @@
     }
 }
 
-/// What the endpoint says of an attempt, by a name that stays.
+/// The name of an outcome detail in the recorded files.
 fn remark_name(detail: OutcomeDetail) -> &'static str {
     match detail {
         OutcomeDetail::Unknown => "none",
@@ -410,7 +415,7 @@
     out + &report(&[])
 }
 
-/// The bytes of a message from a proxy, which are read back as the same message.
+/// Formats the bytes of a message from a proxy, and checks that they decode to the same message.
 fn from_proxy(title: &str, phase: Option<Phase>, observability_mode: bool) -> String {
     let request = ProcessingRequest { phase, observability_mode };
     let bytes = frames::encode(&request);
--- a/crates/extproc/tests/headers.rs
+++ b/crates/extproc/tests/headers.rs
@@ -1,5 +1,5 @@
-//! Requests and reports are read strictly and within bounds; decisions and refusals become headers; messages
-//! are framed.
+//! Strict parsing of requests and reports within limits, the headers of decisions and rejections, and the
+//! framing of messages.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     vec![class("pages", false), class("saves", true)]
 }
 
-fn call(fields: &[(&str, &str)]) -> Result<tindoor_external_requests::ExternalRequest, HeaderError> {
+fn read_request(fields: &[(&str, &str)]) -> Result<tindoor_external_requests::ExternalRequest, HeaderError> {
     let headers = Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect());
     request::read_request(&headers, &HeaderNames::default(), &classes())
 }
@@ -32,40 +32,42 @@
 const CORRELATION_ID: (&str, &str) = ("x-ticket", "9b1f03aa5c7e2d41");
 
 #[test]
-fn what_a_proxy_leaves_out_has_its_documented_default() {
-    let asked = call(&[PATH, CORRELATION_ID]).unwrap();
+fn headers_that_a_proxy_leaves_out_have_defaults() {
+    let request = read_request(&[PATH, CORRELATION_ID]).unwrap();
     assert_eq!(
-        (asked.correlation_id, asked.object, asked.part),
+        (request.correlation_id, request.object, request.part),
         (0x9b1f_03aa_5c7e_2d41, 0x7f3a_9c21_e0b4_d655, 3)
     );
     assert_eq!(
-        (asked.attempt, asked.group, asked.client_retry, asked.time_remaining),
+        (request.attempt, request.group, request.client_retry, request.time_remaining),
         (1, 0, false, Span::millis(3000))
     );
-    let by_request = |id| call(&[PATH, ("x-request-id", id)]).unwrap().correlation_id;
-    assert_eq!(by_request("a"), by_request("a"));
-    assert_ne!(by_request("a"), by_request("b"));
-    let timed = call(&[PATH, CORRELATION_ID, ("x-envoy-expected-rq-timeout-ms", "900")]).unwrap();
-    assert_eq!(timed.time_remaining, Span::millis(900));
-    let both = call(&[PATH, CORRELATION_ID, ("x-envoy-expected-rq-timeout-ms", "900"), ("x-max-ms", "700")])
-        .unwrap();
-    assert_eq!(both.time_remaining, Span::millis(700));
+    let correlation_id_of = |id| read_request(&[PATH, ("x-request-id", id)]).unwrap().correlation_id;
+    assert_eq!(correlation_id_of("a"), correlation_id_of("a"));
+    assert_ne!(correlation_id_of("a"), correlation_id_of("b"));
+    let with_timeout =
+        read_request(&[PATH, CORRELATION_ID, ("x-envoy-expected-rq-timeout-ms", "900")]).unwrap();
+    assert_eq!(with_timeout.time_remaining, Span::millis(900));
+    let with_both =
+        read_request(&[PATH, CORRELATION_ID, ("x-envoy-expected-rq-timeout-ms", "900"), ("x-max-ms", "700")])
+            .unwrap();
+    assert_eq!(with_both.time_remaining, Span::millis(700));
 }
 
 #[test]
 fn an_idempotency_key_is_used_only_by_classes_that_require_one() {
     let key = ("x-nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-    assert_eq!(call(&[PATH, CORRELATION_ID, key]).unwrap().idempotency_key, None);
+    assert_eq!(read_request(&[PATH, CORRELATION_ID, key]).unwrap().idempotency_key, None);
     let write = (":path", "/v1/store/saves/7f3a9c21e0b4d655/0");
     assert_eq!(
-        call(&[write, CORRELATION_ID, key]).unwrap().idempotency_key,
+        read_request(&[write, CORRELATION_ID, key]).unwrap().idempotency_key,
         Some(0x5c0f_6e1a_2b3d_4c59_a8b7_c6d5_e4f3_0211)
     );
-    assert_eq!(call(&[write, CORRELATION_ID]).unwrap_err().header, "x-nonce");
+    assert_eq!(read_request(&[write, CORRELATION_ID]).unwrap_err().header, "x-nonce");
 }
 
 #[test]
-fn a_report_blames_an_endpoint_for_no_more_than_it_said() {
+fn a_report_has_the_status_and_detail_that_its_headers_state() {
     let read = |fields: &[(&str, &str)]| {
         request::read_report(&Headers(fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect()))
     };
@@ -101,8 +103,8 @@
 }
 
 #[test]
-fn a_decision_sets_what_the_endpoint_reads_and_removes_what_a_client_put_there() {
-    let asked = call(&[PATH, CORRELATION_ID]).unwrap();
+fn a_decision_sets_its_headers_and_removes_those_of_the_client() {
+    let request = read_request(&[PATH, CORRELATION_ID]).unwrap();
     let target =
         response::RoutingTarget { endpoint: "c-1".into(), address: "10.0.0.1:80".into(), source: None };
     let max_age = Some(Span::micros(300));
@@ -120,13 +122,14 @@
         directives: Some(directives),
         timeout: Span::millis(900),
     };
-    let fields = response::decision_headers(&asked, &decision, &target, Span::millis(200), Span::millis(700));
+    let fields =
+        response::decision_headers(&request, &decision, &target, Span::millis(200), Span::millis(700));
     let field = |name: &str| fields.iter().find(|field| field.name == name).map(|field| field.value.as_str());
     assert_eq!(
         (field("x-tier"), field("x-mode"), field("x-tindoor-nth")),
         (Some("2"), Some("j+r"), Some("4"))
     );
-    assert_eq!(field("x-accept-age"), Some("1"), "0 would mean that any fresh copy will do");
+    assert_eq!(field("x-accept-age"), Some("1"), "0 would accept any fresh copy");
     assert_eq!(field("x-source"), None);
     let Some(tindoor_extproc::messages::Reply::RequestHeaders(reply)) =
         response::forward_request(fields).reply
@@ -160,48 +163,48 @@
 }
 
 #[test]
-fn a_message_is_decoded_from_any_pieces_and_never_over_its_limit() {
+fn a_message_is_decoded_from_single_bytes_and_rejected_over_the_limit() {
     let body = HttpBody { body: vec![7; 900].into(), end_of_stream: true };
     let message = ProcessingRequest { phase: Some(Phase::RequestBody(body)), observability_mode: false };
-    let whole = frames::encode(&message);
+    let encoded = frames::encode(&message);
     let mut read = BytesMut::new();
-    for byte in &whole[..whole.len() - 1] {
+    for byte in &encoded[..encoded.len() - 1] {
         read.extend_from_slice(&[*byte]);
         assert_eq!(frames::decode::<ProcessingRequest>(&mut read, 1000), Ok(None));
     }
-    read.extend_from_slice(&whole[whole.len() - 1..]);
+    read.extend_from_slice(&encoded[encoded.len() - 1..]);
     assert_eq!(frames::decode(&mut read, 1000), Ok(Some(message)));
     let mut too_long = BytesMut::from(&[0, 0, 0, 4, 0][..]);
     assert_eq!(
         frames::decode::<ProcessingRequest>(&mut too_long, 1000),
         Err(FrameError::TooLong),
-        "refused before it is read"
+        "rejected before the message has arrived"
     );
 }
 
 proptest! {
-    /// Whatever comes is decoded or refused, and nothing over its limit is waited for.
+    /// Arbitrary bytes are decoded or rejected without a panic, and no decoded message is oversized.
     #[test]
-    fn arbitrary_bytes_are_decoded_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut read = BytesMut::from(&bytes[..]);
         while let Ok(Some(message)) = frames::decode::<ProcessingRequest>(&mut read, 200) {
             prop_assert!(message.encoded_len() <= 4096);
         }
     }
 
-    /// No header's value stands for another: what is accepted is what was written.
+    /// An accepted number has only one spelling: formatting the parsed number returns the original text.
     #[test]
     fn a_number_is_accepted_in_its_canonical_form_only(text in "[0-9+ -]{1,7}") {
-        if let Ok(asked) = call(&[PATH, CORRELATION_ID, ("x-max-ms", &text)]) {
-            prop_assert_eq!(format!("{}", asked.time_remaining.as_micros() / 1000), text);
+        if let Ok(request) = read_request(&[PATH, CORRELATION_ID, ("x-max-ms", &text)]) {
+            prop_assert_eq!(format!("{}", request.time_remaining.as_micros() / 1000), text);
         }
     }
 
     #[test]
-    fn arbitrary_paths_are_read_or_refused(path in "/?v1/store/[a-z]{0,6}/[0-9a-fA-F]{14,18}/[0-9/]{0,4}") {
-        if let Ok(asked) = call(&[(":path", &path), CORRELATION_ID]) {
-            let class = &classes()[usize::from(asked.class)].name;
-            let canonical = format!("/v1/store/{class}/{:016x}/{}", asked.object, asked.part);
+    fn accepted_paths_are_canonical(path in "/?v1/store/[a-z]{0,6}/[0-9a-fA-F]{14,18}/[0-9/]{0,4}") {
+        if let Ok(request) = read_request(&[(":path", &path), CORRELATION_ID]) {
+            let class = &classes()[usize::from(request.class)].name;
+            let canonical = format!("/v1/store/{class}/{:016x}/{}", request.object, request.part);
             prop_assert_eq!(canonical, path.to_lowercase());
         }
     }
