--- a/crates/discovery/src/events.rs
+++ b/crates/discovery/src/events.rs
@@ -1,25 +1,25 @@
-//! Events of the change stream. Field names of its JSON are mapped to the router's terms here.
+//! Events of the change stream. This module maps the field names of their JSON to the router's terms.
 
 use serde::Deserialize;
 
 /// A change of the endpoint list, a purge, or both.
 #[derive(Debug, Deserialize)]
 pub struct WatchEvent {
-    /// The number of the event; each is one higher than the last.
+    /// The sequence number of the event, which is one higher than that of the previous event.
     #[serde(rename = "seq")]
     pub sequence: u64,
-    /// Changed endpoints.
+    /// The changed endpoints. `None` if the event changes none.
     #[serde(rename = "fleet")]
     pub endpoints: Option<EndpointList>,
-    /// Objects whose copies are out of date.
+    /// The objects whose copies are out of date. `None` if the event is not a purge.
     #[serde(rename = "invalidate")]
     pub purge: Option<Purge>,
 }
 
-/// Endpoints with their present state.
+/// A list of endpoints with their current state.
 #[derive(Debug, Deserialize)]
 pub struct EndpointList {
-    /// The list names all endpoints: those that it does not name are removed.
+    /// Whether the list contains all endpoints. If so, endpoints that are not in the list are removed.
     #[serde(default)]
     pub complete: bool,
     /// The endpoints.
@@ -32,41 +32,41 @@
 pub struct EndpointEntry {
     /// The endpoint's name.
     pub id: String,
-    /// Host address and port; may be no address at all.
+    /// The host address and port. The text is not necessarily a valid address.
     #[serde(rename = "host_port")]
     pub address: String,
-    /// The location, by its name.
+    /// The name of the location.
     #[serde(rename = "locality", default)]
     pub location: String,
-    /// The kind of endpoint, by its name.
+    /// The name of the endpoint kind.
     #[serde(rename = "flavor", default)]
     pub kind: String,
-    /// The failure domain within the location.
+    /// The cell, a failure domain within the location.
     #[serde(default)]
     pub cell: u16,
-    /// Where it stands in its lifecycle.
+    /// The phase of the endpoint's lifecycle.
     pub phase: EndpointPhase,
-    /// Its size in relation to the others.
+    /// The capacity in relation to the other endpoints.
     #[serde(default)]
     pub size: f32,
-    /// When it started, in Unix milliseconds; 0 where that is unknown.
+    /// When the endpoint started, in Unix milliseconds. 0 if unknown.
     #[serde(rename = "up_since_ms", default)]
     pub started_unix_ms: u64,
 }
 
-/// Where an endpoint stands in its lifecycle.
+/// The phase of an endpoint's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum EndpointPhase {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     #[serde(rename = "active")]
     Active,
-    /// It finishes requests in flight and takes no new ones.
+    /// The endpoint finishes requests in flight and accepts no new ones.
     #[serde(rename = "leaving")]
     Draining,
-    /// It is gone.
+    /// The endpoint no longer exists.
     #[serde(rename = "left")]
     Removed,
-    /// A word that this version does not know.
+    /// A phase that this version does not know.
     #[serde(other)]
     Unknown,
 }
@@ -74,23 +74,23 @@
 /// A purge of an object or of a purge group.
 #[derive(Debug, Deserialize)]
 pub struct Purge {
-    /// The object, as 16 hexadecimal digits.
+    /// The object's id, as 16 hexadecimal digits. `None` if the purge names no object.
     pub object: Option<String>,
-    /// The purge group.
+    /// The purge group. `None` if the purge names no group.
     #[serde(rename = "bucket")]
     pub group: Option<u32>,
-    /// When the purge was made, in Unix milliseconds.
+    /// When the purge was requested, in Unix milliseconds.
     #[serde(rename = "time")]
     pub unix_ms: u64,
 }
 
-/// A text that is no object id: not 16 hexadecimal digits.
+/// The error for a text that is not an object id, which has 16 hexadecimal digits.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not an object id: {0:?}")]
+#[error("not an object id of 16 hexadecimal digits: {0:?}")]
 pub struct InvalidObjectId(pub String);
 
 impl Purge {
-    /// The id of the purged object, if the purge names one.
+    /// Returns the id of the purged object. `None` if the purge names no object.
     ///
     /// # Errors
     ///
@@ -101,7 +101,7 @@
     }
 }
 
-/// Parses an object id of 16 hexadecimal digits.
+/// Parses an object id. `None` if the text is not 16 hexadecimal digits.
 pub fn parse_object_id(text: &[u8]) -> Option<u64> {
     if text.len() != 16 || !text.iter().all(u8::is_ascii_hexdigit) {
         return None;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,5 +1,5 @@
-//! The discovery watch: lines of the change stream that carry changes of the endpoint list, purges, and a
-//! heartbeat each second. The crate does no I/O.
+//! The discovery watch: parses the lines of the change stream and tracks the position in it. The lines carry
+//! changes of the endpoint list, purges, and a heartbeat every second. The crate does no I/O.
 
 mod events;
 mod lines;
--- a/crates/discovery/src/lines.rs
+++ b/crates/discovery/src/lines.rs
@@ -1,17 +1,18 @@
-//! Lines of the change stream.
+//! Splits the change stream into lines and parses them.
 
 use crate::events::WatchEvent;
 
 /// The content of one line.
 #[derive(Debug)]
 pub enum WatchMessage {
-    /// The number of the last event, sent each second.
+    /// A heartbeat, sent every second. Carries the sequence number of the last event.
     Heartbeat(u64),
-    /// A change.
+    /// A change of the endpoint list, a purge, or both.
     Event(WatchEvent),
 }
 
-/// Takes the next complete line from the front of `buffer`, without its line feed.
+/// Removes the next complete line from the front of `buffer` and returns it without its line feed. `None` if
+/// there is no complete line.
 pub fn take_line(buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
     let end = buffer.iter().position(|byte| *byte == b'\n')?;
     let rest = buffer.split_off(end + 1);
--- a/crates/discovery/src/position.rs
+++ b/crates/discovery/src/position.rs
@@ -1,65 +1,68 @@
-//! How far the change stream has been applied, and when it has to be asked for again.
+//! Tracks how far the change stream has been applied, and when a part of it must be requested again.
 
 use crate::events::WatchEvent;
 use crate::lines::{WatchMessage, parse_line};
 
 /// The position in the change stream.
 ///
-/// A missing event or a line that can't be parsed is asked for again once, on a new connection. Where it is
-/// the same on the second connection, the stream itself has the fault, and the watch goes on behind it.
+/// If an event is missing or a line can't be parsed, the stream is requested again once, on a new connection.
+/// If the same fault occurs on the second connection, the stream itself is faulty, and the watch continues
+/// after the fault.
 #[derive(Debug, Default)]
 pub struct WatchPosition {
-    /// The number of the last applied event.
+    /// The sequence number of the last applied event.
     pub sequence: u64,
-    /// Lines since then that could not be parsed: as many event numbers may be missing.
+    /// The number of lines since then that could not be parsed. Each may have been an event, so this many
+    /// sequence numbers may be missing.
     unparsed_lines: u64,
-    /// The last applied event before the line that could not be parsed and was asked for again.
-    retried_after: Option<u64>,
-    /// The event number before which a gap was found and asked for again.
+    /// The last applied event before a line that could not be parsed. The stream was requested again from
+    /// there.
+    retried_unparsed: Option<u64>,
+    /// The sequence number before which events were missing. The stream was requested again for them.
     retried_gap: Option<u64>,
 }
 
-/// What a line leads to.
+/// The result of accepting a line.
 #[derive(Debug)]
 pub enum Progress {
-    /// Nothing: a heartbeat, or an event that was applied before.
+    /// There is nothing to do: the line is a heartbeat, or an event that was already applied.
     UpToDate,
-    /// The event is to be applied.
+    /// The caller must apply the event.
     Event(WatchEvent),
-    /// The line could not be parsed twice and is left out.
+    /// The line could not be parsed a second time and is skipped.
     Skipped(serde_json::Error),
 }
 
-/// Why the connection has to be made anew.
+/// The reason why the watch must reconnect.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// A heartbeat names a later event than the last one that came.
-    #[error("the stream is at event {0}, which did not come")]
+    /// A heartbeat names a later event than the last received one. Carries the number in the heartbeat.
+    #[error("heartbeat names event {0}, which was not received")]
     MissingEvents(u64),
-    /// Events before this one did not come.
-    #[error("a gap before event {0}")]
+    /// The events directly before this one were not received.
+    #[error("event {0} received, but the events before it are missing")]
     Gap(u64),
-    /// A line can't be parsed; it may have been damaged on its way.
-    #[error("a line can't be parsed: {0}")]
+    /// A line can't be parsed. It may have been corrupted in transit.
+    #[error("line can't be parsed: {0}")]
     UnparsedLine(#[source] serde_json::Error),
 }
 
 impl WatchPosition {
-    /// The position behind this event.
+    /// Returns the position after this event.
     pub fn after(sequence: u64) -> Self {
         Self { sequence, ..Self::default() }
     }
 
-    /// A new connection asks for everything after [`sequence`](Self::sequence).
+    /// Must be called when a new connection has requested all events after [`sequence`](Self::sequence).
     pub fn reconnected(&mut self) {
         self.unparsed_lines = 0;
     }
 
-    /// Takes one line, without its line feed.
+    /// Accepts one line, without its line feed.
     ///
     /// # Errors
     ///
-    /// Something is missing and is to be asked for again.
+    /// An event is missing or the line can't be parsed, and the stream must be requested again.
     pub fn accept_line(&mut self, line: &[u8]) -> Result<Progress, WatchError> {
         match parse_line(line) {
             Ok(WatchMessage::Heartbeat(sequence)) => self.accept_heartbeat(sequence),
@@ -91,8 +94,8 @@
     }
 
     fn accept_unparsed(&mut self, error: serde_json::Error) -> Result<Progress, WatchError> {
-        if self.retried_after != Some(self.sequence) {
-            self.retried_after = Some(self.sequence);
+        if self.retried_unparsed != Some(self.sequence) {
+            self.retried_unparsed = Some(self.sequence);
             return Err(WatchError::UnparsedLine(error));
         }
         self.unparsed_lines += 1;
--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -1,6 +1,6 @@
-//! What is read from lines of the watch stream, compared with the recorded files in `tests/golden/`.
+//! Compares the contents of parsed lines of the change stream with the recorded files in `tests/golden/`.
 //!
-//! To record the files anew: `cargo test -p tindoor-discovery --test golden -- --ignored record`
+//! To record the files again: `cargo test -p tindoor-discovery --test golden -- --ignored record`
 
 #[path = "../../testbed/tests/support/golden.rs"]
 mod golden;
@@ -66,7 +66,7 @@
     format!("    event {sequence}\n{list}{purge}")
 }
 
-/// The kind and place of an error; its words name the program's own types.
+/// Returns the kind and position of an error. Its text is not compared, as it contains names of Rust types.
 fn error_text(error: &serde_json::Error) -> String {
     let kind = match error.classify() {
         Category::Io => "input",
@@ -143,7 +143,7 @@
     format!("{:?}", bytes.escape_ascii().to_string())
 }
 
-/// Which lines are taken from the front of what has been read, and what is left.
+/// Returns the lines that are taken from the front of the received bytes, and the remaining bytes.
 fn taken() -> String {
     let samples: [&[u8]; 6] = [b"", b"41", b"41\n", b"41\r\n42\n4", b"\n\n", b"a\xff\nb"];
     let dump = |bytes: &&[u8]| {
--- a/crates/discovery/tests/parsing.rs
+++ b/crates/discovery/tests/parsing.rs
@@ -28,8 +28,8 @@
     assert_eq!(object.object_id(), Ok(Some(0x7f3a_9c21_e0b4_d655)));
     let group = purge(r#"{"seq":43,"invalidate":{"bucket":17,"time":5}}"#);
     assert_eq!((group.object_id(), group.group, group.unix_ms), (Ok(None), Some(17), 5));
-    let odd = purge(r#"{"seq":44,"invalidate":{"object":"+f3a9c21e0b4d655","time":5}}"#);
-    assert!(odd.object_id().is_err());
+    let invalid = purge(r#"{"seq":44,"invalidate":{"object":"+f3a9c21e0b4d655","time":5}}"#);
+    assert!(invalid.object_id().is_err());
 }
 
 #[test]
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn lines_are_taken_only_when_complete() {
+fn only_complete_lines_are_returned() {
     let (mut read, mut lines) = (Vec::new(), Vec::new());
     for byte in b"41\n{\"seq\":42}\n\nrest" {
         read.push(*byte);
--- a/crates/discovery/tests/position.rs
+++ b/crates/discovery/tests/position.rs
@@ -1,4 +1,4 @@
-//! When the watch asks for lines again, and when it goes on behind a fault of the stream.
+//! When the watch requests the stream again, and when it continues after a fault of the stream.
 
 use tindoor_discovery::{Progress, WatchError, WatchPosition};
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_gap_is_asked_for_again_once() {
+fn missing_events_are_requested_again_once() {
     let mut position = WatchPosition::after(4);
     assert!(matches!(position.accept_line(&event(7)), Err(WatchError::Gap(7))));
     assert_eq!(position.sequence, 4);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_heartbeat_that_names_a_later_event_is_checked_once() {
+fn a_heartbeat_that_names_a_missing_event_causes_one_reconnect() {
     let mut position = WatchPosition::after(4);
     assert!(matches!(position.accept_line(b"6"), Err(WatchError::MissingEvents(6))));
     position.reconnected();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_unparsed_line_is_asked_for_again_once_and_may_stand_for_an_event() {
+fn an_unparsed_line_is_requested_again_once_and_may_replace_an_event() {
     let mut position = WatchPosition::after(4);
     assert!(matches!(position.accept_line(b"{"), Err(WatchError::UnparsedLine(_))));
     position.reconnected();
