--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 messages between the router and endpoints: request heads, response heads, and what a response
-//! says about the attempt. The crate does no I/O.
+//! HTTP/1.1 messages between the router and endpoints: encoding of request heads, parsing of response heads,
+//! and the mapping of a response to the outcome of the attempt. The crate does no I/O.
 
 mod outcome;
 mod request;
--- a/crates/http/src/outcome.rs
+++ b/crates/http/src/outcome.rs
@@ -1,9 +1,9 @@
-//! What an endpoint's response says about the attempt.
+//! Maps an endpoint's response to the outcome of the attempt.
 
 use tindoor::host::{AttemptStatus, OutcomeDetail};
 
-/// The attempt status for a status code, with whether `X-Shed` is set; `None` for codes that the protocol
-/// does not name.
+/// Returns the attempt status for a status code. `rejected` states whether `X-Shed` is set. `None` for codes
+/// that the protocol does not define.
 pub fn attempt_status(status: u16, rejected: bool) -> Option<AttemptStatus> {
     match (status, rejected) {
         (200 | 304, _) => Some(AttemptStatus::Served),
@@ -15,7 +15,8 @@
     }
 }
 
-/// The detail for an `X-Remark`; `None` for words that the protocol does not name.
+/// Returns the outcome detail for the value of `X-Remark`. `None` for values that the protocol does not
+/// define.
 pub fn outcome_detail(remark: &str) -> Option<OutcomeDetail> {
     Some(match remark {
         "" => OutcomeDetail::Unknown,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,42 +1,44 @@
-//! Requests to endpoints.
+//! Encodes requests to endpoints.
 
 use std::fmt::Write;
 
-/// A request to an endpoint. Texts are written as they are; the caller has checked that they are printable.
+/// A request to an endpoint. Texts are written without escaping, so the caller must have checked that they
+/// are printable.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointRequest<'a> {
-    /// The request class, by its name.
+    /// The name of the request class.
     pub class: &'a str,
-    /// The object, as 16 hexadecimal digits.
+    /// The object's id, as 16 hexadecimal digits.
     pub object: &'a str,
-    /// The part of the object, as decimal digits.
+    /// The index of the object's part, as decimal digits.
     pub part: &'a str,
-    /// `X-Ticket`: the client's id of the request.
+    /// `X-Ticket`: the correlation id that the client has chosen for the request.
     pub correlation_id: &'a str,
-    /// `X-Max-Ms`: the time until the router stops waiting, in milliseconds.
+    /// `X-Max-Ms`: the time after which the router stops waiting, in milliseconds.
     pub timeout_ms: u64,
     /// `X-Nonce`: the idempotency key.
     pub idempotency_key: Option<&'a str>,
     /// `X-Source`: the endpoint to fill from on a miss.
     pub fill_source: Option<&'a str>,
-    /// `X-Tier`: how long a fill is to be retained; 0 is not sent.
+    /// `X-Tier`: the rank that determines how long a filled copy is retained. 0 is not sent.
     pub retention_rank: u8,
-    /// `X-Accept-Age`: the age of the oldest copy that will do, in milliseconds.
+    /// `X-Accept-Age`: the maximum age of an acceptable copy, in milliseconds.
     pub max_age_ms: Option<u64>,
-    /// `X-Mode: j`: a fill under way may be joined.
+    /// `X-Mode: j`: the request may join a fill that is in progress.
     pub join_fill: bool,
-    /// `X-Mode: h`: a cache-only read.
+    /// `X-Mode: h`: the endpoint serves the request only from its cache.
     pub only_if_cached: bool,
-    /// `X-Mode: r`: the copy is to be refreshed.
+    /// `X-Mode: r`: the endpoint refreshes its copy.
     pub refresh: bool,
-    /// `X-Client-Tag`: the version of the client's own copy.
+    /// `X-Client-Tag`: the version of the copy that the client already has.
     pub client_tag: Option<&'a str>,
     /// The length of the body that follows the head, in bytes.
     pub body_length: usize,
 }
 
 impl EndpointRequest<'_> {
-    /// The head of the request. The method is GET even with a body: endpoints know no other.
+    /// Encodes the head of the request. The method is GET even for a request with a body, as endpoints
+    /// support no other.
     pub fn encode_head(&self) -> String {
         let mut out = String::with_capacity(320);
         let Self { class, object, part, correlation_id, timeout_ms, .. } = self;
@@ -72,6 +74,7 @@
         out
     }
 
+    /// Returns the letters for `X-Mode`.
     fn modes(&self) -> Vec<&'static str> {
         let modes = [(self.join_fill, "j"), (self.only_if_cached, "h"), (self.refresh, "r")];
         modes.into_iter().filter(|(is_set, _)| *is_set).map(|(_, letter)| letter).collect()
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,62 +1,64 @@
-//! The heads of endpoints' responses.
+//! Parses the heads of responses from endpoints.
 
-/// What ends a head.
+/// The bytes that end a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What a response says before its body.
+/// The parsed head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The length of the head itself, in bytes.
+    /// The length of the head, in bytes.
     pub head_length: usize,
     /// The status code.
     pub status: u16,
     /// The length of the body that follows, in bytes.
     pub body_length: usize,
-    /// `X-Shed: 1`: the endpoint rejected the request, which never ran.
+    /// `X-Shed: 1`: the endpoint has rejected the request without running it.
     pub rejected: bool,
-    /// `X-Remark`, as it stands.
+    /// The unparsed value of `X-Remark`. `None` if the header is missing.
     pub remark: Option<String>,
-    /// The endpoint closes the connection behind this response.
+    /// `Connection: close`: the endpoint closes the connection after this response.
     pub closes_connection: bool,
 }
 
 impl ResponseHead {
-    /// Whether this is an informational response (1xx), which any number of may precede the final one.
+    /// Returns whether this is an informational response (1xx). Any number of them may precede the final
+    /// response.
     pub fn is_interim(&self) -> bool {
         (100..200).contains(&self.status)
     }
 
-    /// Whether the status forbids a body, whatever the length says.
+    /// Returns whether a response with this status has no body, regardless of its `Content-Length`.
     fn is_bodiless(&self) -> bool {
         self.is_interim() || matches!(self.status, 204 | 304)
     }
 }
 
-/// Why a response can't be used.
+/// The reason why a response can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
     /// The head is longer than allowed.
-    #[error("the head is over the limit")]
+    #[error("response head over the size limit")]
     HeadTooLong,
     /// The status line is malformed.
-    #[error("the status line can't be read")]
+    #[error("malformed status line")]
     InvalidStatusLine,
     /// A header line is malformed.
-    #[error("a header can't be read")]
+    #[error("malformed header")]
     InvalidHeader,
-    /// The body's length is missing, malformed or ambiguous.
-    #[error("no length of the body is given, or one that can't be used")]
+    /// The body's length is missing, malformed or ambiguous, or `Transfer-Encoding` is set, which is not
+    /// supported.
+    #[error("Content-Length is missing, malformed or ambiguous, or Transfer-Encoding is set")]
     InvalidLength,
     /// The body is longer than allowed.
-    #[error("the body is over the limit")]
+    #[error("response body over the size limit")]
     BodyTooLong,
 }
 
-/// Parses the head at the start of `buffer`; `None` while it is incomplete. The limits are in bytes.
+/// Parses the head at the start of `buffer`. `None` if the head is still incomplete. The limits are in bytes.
 ///
 /// # Errors
 ///
-/// The head is malformed, or it or its body is over the limit.
+/// The head is malformed, or the head or the body exceeds its limit.
 pub fn parse_response_head(
     buffer: &[u8],
     max_head_length: usize,
@@ -101,7 +103,7 @@
     digits.parse().map_err(|_| invalid)
 }
 
-/// Applies one header line.
+/// Parses one header line and applies it to `head` or `content_length`.
 fn apply_header(
     line: &str,
     head: &mut ResponseHead,
@@ -115,7 +117,7 @@
     let name_is = |other: &str| name.eq_ignore_ascii_case(other);
     if name_is("Content-Length") {
         let length = parse_content_length(value)?;
-        // Two different lengths leave the end of the body open.
+        // With two different lengths, the end of the body is unknown.
         if content_length.is_some_and(|known| known != length) {
             return Err(ParseError::InvalidLength);
         }
--- a/crates/http/tests/golden.rs
+++ b/crates/http/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Heads of requests to caches, what is read from heads of their responses, and what a response says of the
-//! attempt, compared with the recorded files in `tests/golden/`.
+//! Compares the heads of requests to caches, the parsed heads of responses, and the mapping of responses to
+//! outcomes with the recorded files in `tests/golden/`.
 //!
-//! To record the files anew: `cargo test -p tindoor-http --test golden -- --ignored record`
+//! To record the files again: `cargo test -p tindoor-http --test golden -- --ignored record`
 
 #[path = "../../testbed/tests/support/golden.rs"]
 mod golden;
@@ -36,7 +36,7 @@
     format!("{title}\n    {text}\n")
 }
 
-/// What a read of a class that may be filled has at least.
+/// Returns a request with only the required fields.
 fn read<'a>() -> EndpointRequest<'a> {
     EndpointRequest {
         class: "pages",
@@ -55,7 +55,7 @@
 fn requests() -> String {
     let key = Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
     let write = EndpointRequest { class: "saves", idempotency_key: key, body_length: 48_000, ..read() };
-    let every = EndpointRequest {
+    let all_fields = EndpointRequest {
         fill_source: Some("p-1"),
         retention_rank: 2,
         max_age_ms: Some(8000),
@@ -84,7 +84,7 @@
             "write that is not idempotent",
             EndpointRequest { class: "orders", idempotency_key: None, ..write },
         ),
-        request("with every field", every),
+        request("with every field", all_fields),
     ]
     .concat();
     for bits in 0..8 {
@@ -107,7 +107,7 @@
     )
 }
 
-/// The kind of an error; its words are for the log alone.
+/// The name of an error in the recorded files. The text of the error is only logged, and not compared.
 fn error_name(error: ParseError) -> &'static str {
     match error {
         ParseError::HeadTooLong => "long head",
@@ -118,7 +118,7 @@
     }
 }
 
-/// What is read from these bytes with a limit of 200 bytes of head and 100 of body.
+/// Formats the result of parsing these bytes with a limit of 200 bytes for the head and 100 for the body.
 fn response(bytes: &[u8]) -> String {
     let read = match parse_response_head(bytes, 200, 100) {
         Ok(Some(head)) => head_text(&head),
@@ -184,9 +184,9 @@
     samples.iter().map(|bytes| response(bytes)).chain([response(&long), response(&long_whole)]).collect()
 }
 
-/// How an attempt ended, by a name that stays.
-fn outcome_name(verdict: AttemptStatus) -> &'static str {
-    match verdict {
+/// The name of an attempt status in the recorded files.
+fn outcome_name(status: AttemptStatus) -> &'static str {
+    match status {
         AttemptStatus::Served => "done",
         AttemptStatus::Error => "error",
         AttemptStatus::Overloaded => "full",
@@ -199,9 +199,9 @@
     }
 }
 
-/// What the cache tells of an attempt, by a name that stays.
-fn remark_name(note: OutcomeDetail) -> &'static str {
-    match note {
+/// The name of an outcome detail in the recorded files.
+fn remark_name(detail: OutcomeDetail) -> &'static str {
+    match detail {
         OutcomeDetail::Unknown => "none",
         OutcomeDetail::Hit => "hit",
         OutcomeDetail::FilledFromSource => "filled",
@@ -217,7 +217,7 @@
 }
 
 fn statuses() -> String {
-    let name = |status, shed| attempt_status(status, shed).map_or("-", outcome_name);
+    let name = |status, rejected| attempt_status(status, rejected).map_or("-", outcome_name);
     let line = |status| format!("{status}: {}, with X-Shed: {}\n", name(status, false), name(status, true));
     (100..=599).map(line).collect()
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_head_is_parsed_and_its_body_left() {
+fn a_head_is_parsed_without_its_body() {
     let found = parse_response_head(WHOLE, 1000, 100).unwrap().unwrap();
     let remark = Some("jammed".to_string());
     let head_length = WHOLE.len() - 4;
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn interim_responses_are_distinguished() {
+fn interim_responses_are_recognized() {
     let interim = b"HTTP/1.1 103 Early\r\nContent-Length: 7\r\n\r\n";
     let found = parse_response_head(&[interim, WHOLE].concat(), 1000, 100).unwrap().unwrap();
     assert!(found.is_interim());
     assert_eq!(
         (found.head_length, found.body_length),
         (interim.len(), 0),
-        "it has no body, whatever it says"
+        "an interim response has no body, regardless of its Content-Length"
     );
     for end in 0..interim.len() {
         assert_eq!(parse_response_head(&interim[..end], 1000, 100), Ok(None), "cut at {end}");
