--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages between clients and the router: Apache Thrift with framed transport and the strict binary
 //! protocol.
 //!
-//! The crate does no I/O. Parsed values are slices of the frame, and every length is checked against the
-//! bytes that are there before memory is allocated for it.
+//! The crate does no I/O. Parsed values are slices of the frame. Each length is checked against the remaining
+//! bytes of the frame before memory is allocated for it.
 
 mod message;
 mod reader;
--- a/crates/thrift/src/message.rs
+++ b/crates/thrift/src/message.rs
@@ -1,57 +1,57 @@
-//! Frames and the messages in them.
+//! Splits received bytes into frames and parses the messages in them.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::reader::Reader;
 use crate::wire::{FRAME_LENGTH_SIZE, VERSION, VERSION_MASK, field_type, message_type};
 
-/// One message of a client.
+/// A message from a client.
 #[derive(Debug, PartialEq)]
 pub enum Message {
     /// A request for an object.
     Call {
-        /// The number that the answer carries.
+        /// The sequence id, which is repeated in the answer.
         sequence_id: i32,
         /// The request's fields.
         fields: Fields,
-        /// The request's body; empty for reads.
+        /// The request's body. Empty for reads.
         body: Bytes,
     },
-    /// Withdraws a call; it is not answered.
+    /// Cancels a call. This message itself has no answer.
     Cancel {
-        /// The number of the call.
+        /// The sequence id of the call to cancel.
         sequence_id: i32,
     },
-    /// Asks whether the router takes requests.
+    /// Asks whether the router accepts requests.
     Health {
-        /// The number that the answer carries.
+        /// The sequence id, which is repeated in the answer.
         sequence_id: i32,
     },
 }
 
-/// Why a frame is no message.
+/// The reason why a frame can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// The message header can't be read, so nothing can be answered.
+    /// The message can't be identified or has no answer, so no error can be sent to the client.
     #[error("unreadable frame: {0}")]
     Unreadable(&'static str),
     /// The message names a method that does not exist.
     #[error("unknown method in message {sequence_id}")]
     UnknownMethod {
-        /// The number of the message.
+        /// The sequence id of the message.
         sequence_id: i32,
     },
-    /// The arguments can't be read, but the call can be answered.
-    #[error("bad arguments in message {sequence_id}: {reason}")]
+    /// The arguments are malformed, but the message can be answered.
+    #[error("malformed arguments in message {sequence_id}: {reason}")]
     BadArguments {
-        /// The number of the message.
+        /// The sequence id of the message.
         sequence_id: i32,
-        /// What is wrong, in the words that the client gets.
+        /// The reason, in the words that are sent to the client.
         reason: &'static str,
     },
 }
 
-/// The string map of a call, as slices of its frame. Each name occurs once.
+/// The string map of a call. Names and values are slices of the frame. Each name occurs once.
 #[derive(Debug, Default, PartialEq)]
 pub struct Fields(pub(crate) Vec<Field>);
 
@@ -63,13 +63,14 @@
 }
 
 impl Fields {
-    /// The value of the field with this name.
+    /// Returns the value of the field with this name. `None` if there is no such field.
     pub fn get(&self, name: &str) -> Option<&Bytes> {
         self.0.iter().find(|field| field.name == name.as_bytes()).map(|field| &field.value)
     }
 }
 
-/// Takes the next frame from the front of `buffer`, or `None` while it is incomplete.
+/// Removes the next frame from the front of `buffer` and returns it without its length. `None` if the frame
+/// is still incomplete.
 ///
 /// # Errors
 ///
@@ -77,9 +78,9 @@
 pub fn take_frame(buffer: &mut BytesMut, max_size: usize) -> Result<Option<Bytes>, ParseError> {
     let Some(length) = buffer.first_chunk::<FRAME_LENGTH_SIZE>() else { return Ok(None) };
     let length = i32::from_be_bytes(*length);
-    let size = usize::try_from(length).map_err(|_| ParseError::Unreadable("a frame of negative length"))?;
+    let size = usize::try_from(length).map_err(|_| ParseError::Unreadable("the frame length is negative"))?;
     if size > max_size {
-        return Err(ParseError::Unreadable("a frame over the limit"));
+        return Err(ParseError::Unreadable("the frame length is over the limit"));
     }
     if buffer.len() < FRAME_LENGTH_SIZE + size {
         return Ok(None);
@@ -92,7 +93,7 @@
 ///
 /// # Errors
 ///
-/// The frame is no message that a client may send; see [`ParseError`].
+/// The frame does not contain a message that a client may send; see [`ParseError`].
 pub fn parse(frame: Bytes) -> Result<Message, ParseError> {
     let mut reader = Reader(frame);
     let header = reader.u32().map_err(ParseError::Unreadable)?;
@@ -105,16 +106,17 @@
     match (&method[..], header as u8) {
         (b"call", message_type::CALL) => {
             let (fields, body) = reader.call_arguments().map_err(bad_arguments)?;
-            // A wrong length may leave a part of the message behind its end.
+            // If an inner length is wrong, a part of the message may remain after its apparent end.
             if !reader.0.is_empty() {
                 return Err(bad_arguments("bytes behind the call"));
             }
             Ok(Message::Call { sequence_id, fields, body })
         }
-        // A one-way message has no answer that could carry an error.
+        // A one-way message has no answer, so its error can't be reported to the client.
         (b"cancel", message_type::ONEWAY) => {
             let cancelled = reader.cancel_arguments().ok().flatten();
-            let sequence_id = cancelled.ok_or(ParseError::Unreadable("a cancel that names no call"))?;
+            let sequence_id = cancelled
+                .ok_or(ParseError::Unreadable("a cancel message without the sequence id of a call"))?;
             Ok(Message::Cancel { sequence_id })
         }
         (b"health", message_type::CALL) => {
@@ -122,6 +124,6 @@
             Ok(Message::Health { sequence_id })
         }
         (_, message_type::CALL) => Err(ParseError::UnknownMethod { sequence_id }),
-        _ => Err(ParseError::Unreadable("neither a call nor one-way")),
+        _ => Err(ParseError::Unreadable("the message is neither a call nor a one-way message")),
     }
 }
--- a/crates/thrift/src/reader.rs
+++ b/crates/thrift/src/reader.rs
@@ -1,22 +1,23 @@
-//! Reads values of the binary protocol from the front of a frame.
+//! Reads values of the binary protocol from the front of a frame. The error texts are sent to clients and
+//! must not change.
 
 use bytes::{Buf, Bytes};
 
 use crate::message::{Field, Fields};
 use crate::wire::field_type;
 
-/// How deep structs and collections may nest in values that are skipped.
+/// The maximum nesting depth of structs and collections in skipped values.
 const MAX_NESTING_DEPTH: u32 = 16;
-/// How many fields a call may have; the protocol names nine.
+/// The maximum number of fields in a call. The protocol defines nine.
 const MAX_FIELDS: usize = 64;
 
-/// The unread rest of a frame.
+/// Reads the remaining bytes of a frame.
 pub(crate) struct Reader(pub(crate) Bytes);
 
-/// The error is the reason that the client gets.
+/// The result of reading a value. The error is the reason that is sent to the client.
 type ReadResult<T> = Result<T, &'static str>;
 
-/// What stands in front of each value of a struct.
+/// The type and id in front of each value of a struct.
 struct FieldHeader {
     field_type: u8,
     id: i16,
@@ -47,7 +48,7 @@
         self.bytes(size)
     }
 
-    /// The header of the next field; `None` at the end of the struct.
+    /// Reads the header of the next field. `None` at the end of the struct.
     fn field_header(&mut self) -> ReadResult<Option<FieldHeader>> {
         match self.u8()? {
             field_type::STOP => Ok(None),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The fields and the body of a call.
+    /// Reads the fields and the body of a call. A missing argument is empty.
     pub(crate) fn call_arguments(&mut self) -> ReadResult<(Fields, Bytes)> {
         let mut fields = None;
         let mut body = None;
@@ -77,7 +78,7 @@
         if count > 0 && (key_type, value_type) != (field_type::STRING, field_type::STRING) {
             return Err("fields are not a map of strings");
         }
-        // Not allocated by the claimed count, which may be far more than there is.
+        // No memory is reserved for the stated count, which may exceed the actual number of fields by far.
         let mut fields: Vec<Field> = Vec::new();
         for _ in 0..count {
             let name = self.string()?;
@@ -90,7 +91,7 @@
         Ok(Fields(fields))
     }
 
-    /// The sequence id that a cancel names.
+    /// Reads the sequence id of the call to cancel. `None` if the message contains none.
     pub(crate) fn cancel_arguments(&mut self) -> ReadResult<Option<i32>> {
         let mut sequence_id = None;
         while let Some(header) = self.field_header()? {
@@ -102,7 +103,7 @@
         Ok(sequence_id)
     }
 
-    /// Skips a value of this type.
+    /// Skips a value of this type. `depth` is the nesting depth of the value.
     pub(crate) fn skip(&mut self, value_type: u8, depth: u32) -> ReadResult<()> {
         if depth > MAX_NESTING_DEPTH {
             return Err("nested too deep");
--- a/crates/thrift/src/reply.rs
+++ b/crates/thrift/src/reply.rs
@@ -1,51 +1,52 @@
-//! Replies to clients.
+//! Encodes replies to clients.
 
 use bytes::Bytes;
 
 use crate::wire::{FRAME_LENGTH_SIZE, VERSION, field_type, message_type};
 
-/// A frame to a client in three parts, so that the body is not copied.
+/// A frame for a client. It consists of three parts so that the body does not have to be copied.
 #[derive(Debug)]
 pub struct Reply {
-    /// The frame's length and what stands before the body.
+    /// The frame's length and the bytes in front of the body.
     pub head: Bytes,
-    /// The body as it came.
+    /// The body, unchanged.
     pub body: Bytes,
-    /// What stands behind the body.
+    /// The bytes after the body.
     pub tail: Bytes,
 }
 
-/// A name and a value of a reply's string map.
+/// A name and a value in the string map of a reply.
 pub type TextField<'a> = (&'a str, &'a str);
 
 /// The result of a method.
 #[derive(Debug, Default)]
 pub struct Answer<'a> {
-    /// The object, or empty.
+    /// The object's content. Empty if there is none.
     pub body: Bytes,
     /// The answer's string map.
     pub fields: &'a [TextField<'a>],
-    /// The field `good`: true for every served call, and for `health` while requests are taken.
+    /// The field `good`: true for every served call, and for `health` if the router accepts requests.
     pub good: bool,
 }
 
-/// The types of application exceptions of Thrift that the router uses.
+/// The types of Thrift application exceptions that the router sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplicationExceptionKind {
     /// The method does not exist.
     UnknownMethod = 1,
-    /// The sequence id can't be used.
+    /// The sequence id is invalid.
     BadSequenceId = 4,
-    /// The message breaks the protocol.
+    /// The message violates the protocol.
     ProtocolError = 7,
 }
 
 impl Reply {
-    /// The bytes of all three parts.
+    /// Returns the size of all three parts, in bytes.
     pub fn size(&self) -> usize {
         self.head.len() + self.body.len() + self.tail.len()
     }
 
+    /// Creates a reply without a body from a frame whose length is not set yet.
     fn from_frame(mut frame: Vec<u8>) -> Self {
         let size = frame.len() - FRAME_LENGTH_SIZE;
         write_frame_length(&mut frame, size);
@@ -53,7 +54,7 @@
     }
 }
 
-/// The result of `method`: `call` or `health`.
+/// Encodes the result of `method`, which is `call` or `health`.
 pub fn answer(method: &str, sequence_id: i32, answer: Answer) -> Reply {
     let Answer { body, fields, good } = answer;
     let mut head = begin_message(message_type::REPLY, method, sequence_id);
@@ -70,17 +71,17 @@
     Reply { head: head.into(), body, tail: tail.into() }
 }
 
-/// The exception `Trylater`: the call never ran, and a retry is safe.
+/// Encodes the exception `Trylater`: the call has not run, and a retry is safe.
 pub fn try_later(sequence_id: i32, fields: &[TextField]) -> Reply {
     exception(sequence_id, 1, fields)
 }
 
-/// The exception `Aborted`: the call may have run.
+/// Encodes the exception `Aborted`: the call may have run.
 pub fn aborted(sequence_id: i32, fields: &[TextField]) -> Reply {
     exception(sequence_id, 2, fields)
 }
 
-/// An application exception with this message.
+/// Encodes an application exception with this message.
 pub fn application_exception(sequence_id: i32, kind: ApplicationExceptionKind, message: &str) -> Reply {
     let mut frame = begin_message(message_type::EXCEPTION, "call", sequence_id);
     write_field_header(&mut frame, field_type::STRING, 1);
@@ -91,7 +92,7 @@
     Reply::from_frame(frame)
 }
 
-/// A declared exception of `call`, by its field id in the result.
+/// Encodes a declared exception of `call`. `field_id` is its field in the result struct.
 fn exception(sequence_id: i32, field_id: i16, fields: &[TextField]) -> Reply {
     let mut frame = begin_message(message_type::REPLY, "call", sequence_id);
     write_field_header(&mut frame, field_type::STRUCT, field_id);
@@ -101,7 +102,7 @@
     Reply::from_frame(frame)
 }
 
-/// A message header behind room for the frame's length.
+/// Starts a frame: space for the frame's length, followed by the message header.
 fn begin_message(message_type: u8, method: &str, sequence_id: i32) -> Vec<u8> {
     let mut frame = Vec::with_capacity(96);
     frame.extend([0; FRAME_LENGTH_SIZE]);
--- a/crates/thrift/src/wire.rs
+++ b/crates/thrift/src/wire.rs
@@ -4,7 +4,7 @@
 pub(crate) const VERSION: u32 = 0x8001_0000;
 /// The bits of the first word that hold [`VERSION`].
 pub(crate) const VERSION_MASK: u32 = 0xffff_0000;
-/// The bytes of the length in front of each frame.
+/// The size of the length in front of each frame, in bytes.
 pub(crate) const FRAME_LENGTH_SIZE: usize = 4;
 
 /// Message types.
--- a/crates/thrift/tests/golden.rs
+++ b/crates/thrift/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The bytes of every answer to a client, and what is read from requests, compared with the recorded files in
+//! Compares the bytes of every answer to a client, and the parsed requests, with the recorded files in
 //! `tests/golden/`.
 //!
-//! To record the files anew: `cargo test -p tindoor-thrift --test golden -- --ignored record`
+//! To record the files again: `cargo test -p tindoor-thrift --test golden -- --ignored record`
 
 #[path = "../../testbed/tests/support/golden.rs"]
 mod golden;
@@ -29,7 +29,7 @@
     format!("{title}\n    {text}\n")
 }
 
-/// The three parts of an answer, one after another.
+/// Formats the three parts of an answer.
 fn parts(title: &str, reply: Reply) -> String {
     let whole = [&reply.head[..], &reply.body, &reply.tail].concat();
     assert_eq!(whole.len(), reply.size());
@@ -41,7 +41,7 @@
     let body = |text: &'static str| Bytes::from_static(text.as_bytes());
     let pause = [("pause", "250")];
     let reason = [("reason", "tag")];
-    let two = [("reason", "patience"), ("more", "")];
+    let two_fields = [("reason", "patience"), ("more", "")];
     let exception = |kind| application_exception(6, kind, "what is wrong");
     [
         parts("answer, good", answer("call", 1, Answer { body: body("object"), fields: &[], good: true })),
@@ -59,7 +59,7 @@
         ),
         parts(
             "answer with two fields",
-            answer("call", -1, Answer { body: body("x"), fields: &two, good: true }),
+            answer("call", -1, Answer { body: body("x"), fields: &two_fields, good: true }),
         ),
         parts("health, good", answer("health", 4, Answer { body: Bytes::new(), fields: &[], good: true })),
         parts(
@@ -70,7 +70,7 @@
         parts("try later with pause", try_later(5, &pause)),
         parts("aborted without fields", aborted(i32::MIN, &[])),
         parts("aborted with one field", aborted(6, &reason)),
-        parts("aborted with two fields", aborted(6, &two)),
+        parts("aborted with two fields", aborted(6, &two_fields)),
         parts("unknown method", exception(ApplicationExceptionKind::UnknownMethod)),
         parts("bad sequence number", exception(ApplicationExceptionKind::BadSequenceId)),
         parts("protocol error", exception(ApplicationExceptionKind::ProtocolError)),
@@ -78,7 +78,7 @@
     .concat()
 }
 
-/// The names of fields that a request may have; others can't be looked up without knowing them.
+/// The names of the fields that a request may have. `Fields` can only be looked up by name.
 const FIELD_NAMES: [&str; 9] =
     ["route", "trace", "patience", "entity", "chunk", "tag", "nonce", "known", "redo"];
 
@@ -92,7 +92,7 @@
     format!("[{}]", texts.join(" "))
 }
 
-/// An error with its words where the client gets them; those of an unreadable frame are for the log alone.
+/// Formats an error. The text of an unreadable frame is only logged, and not compared.
 fn error_text(error: &ParseError) -> String {
     match error {
         ParseError::Unreadable(_) => "unreadable".to_string(),
@@ -113,35 +113,35 @@
     }
 }
 
-fn text(out: &mut Vec<u8>, text: &[u8]) {
+fn write_text(out: &mut Vec<u8>, text: &[u8]) {
     out.extend((text.len() as u32).to_be_bytes());
     out.extend(text);
 }
 
-/// A message in the strict binary protocol.
+/// Encodes a message in the strict binary protocol.
 fn message(kind: u8, method: &str, sequence_id: i32, arguments: &[u8]) -> Vec<u8> {
     let mut out = vec![0x80, 1, 0, kind];
-    text(&mut out, method.as_bytes());
+    write_text(&mut out, method.as_bytes());
     out.extend(sequence_id.to_be_bytes());
     out.extend(arguments);
     out
 }
 
-/// The argument that holds the fields.
+/// Encodes the argument with the fields.
 fn field_map(fields: &[(&str, &str)]) -> Vec<u8> {
     let mut out = vec![13, 0, 1, 11, 11];
     out.extend((fields.len() as u32).to_be_bytes());
     for (name, value) in fields {
-        text(&mut out, name.as_bytes());
-        text(&mut out, value.as_bytes());
+        write_text(&mut out, name.as_bytes());
+        write_text(&mut out, value.as_bytes());
     }
     out
 }
 
-/// The argument that holds the body.
+/// Encodes the argument with the body.
 fn body_argument(body: &[u8]) -> Vec<u8> {
     let mut out = vec![11, 0, 2];
-    text(&mut out, body);
+    write_text(&mut out, body);
     out
 }
 
@@ -157,7 +157,7 @@
     ("redo", "1"),
 ];
 
-/// An argument of each type that a reader has to pass over.
+/// Encodes an unknown argument of each type, which a reader must skip.
 fn unknown_arguments() -> Vec<u8> {
     let scalars: [&[u8]; 7] = [
         &[2, 0, 9, 1],
@@ -183,7 +183,7 @@
     field_map(&fields)
 }
 
-/// Messages that can be read, and one for each way in which one can't.
+/// Valid messages, and a message for each kind of error.
 fn sample_messages() -> Vec<(&'static str, Vec<u8>)> {
     [sample_calls(), incomplete_messages(), other_messages()].concat()
 }
@@ -229,7 +229,7 @@
     ]
 }
 
-/// Messages that end early, and those of another protocol.
+/// Truncated messages, and messages of another protocol.
 fn incomplete_messages() -> Vec<(&'static str, Vec<u8>)> {
     let whole = complete_call();
     let cut = |size: usize| whole[..size].to_vec();
@@ -266,7 +266,7 @@
     ]
 }
 
-/// The bytes as text; of long messages and of nothing the length alone.
+/// Formats the bytes as text. For empty and for long messages, only the length is shown.
 fn bytes_text(bytes: &[u8]) -> String {
     match bytes.len() {
         1..=400 => bytes.escape_ascii().to_string(),
@@ -284,7 +284,8 @@
     sample_messages().into_iter().map(dump).collect()
 }
 
-/// What is taken from the front of these bytes with a limit of 10 bytes, and what is left.
+/// Formats the frame that is taken from the front of these bytes with a limit of 10 bytes, and the remaining
+/// bytes.
 fn taken(title: &str, bytes: &[u8]) -> String {
     let mut read = BytesMut::from(bytes);
     let frame = match take_frame(&mut read, 10) {
--- a/crates/thrift/tests/parsing.rs
+++ b/crates/thrift/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Parsing of complete, truncated and corrupted messages of clients.
+//! Parsing of complete, truncated and corrupted messages from clients.
 
 use bytes::{Bytes, BytesMut};
 use rand::{Rng, SeedableRng};
@@ -23,7 +23,7 @@
     ["route", "pages", "chunk", "3"].iter().for_each(|word| write_text(&mut out, word.as_bytes()));
     out.extend([11, 0, 2]);
     write_text(&mut out, b"body");
-    // A field that is not known yet: a list of structs.
+    // An unknown field: a list of structs.
     out.extend([15, 0, 9, 12, 0, 0, 0, 1, 8, 0, 1, 0, 0, 0, 5, 0, 0]);
     message(1, "call", 7, &out)
 }
@@ -52,11 +52,11 @@
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
     let ok = |arguments: Vec<u8>| parse(message(1, "call", 7, &arguments)).is_ok();
     assert!(ok([fields(&["a", "b"]), vec![0]].concat()));
-    assert!(!ok([fields(&["a", "a"]), vec![0]].concat()), "a name twice");
-    assert!(!ok([fields(&["a"]), fields(&["b"]), vec![0]].concat()), "the fields twice");
-    assert!(!ok([fields(&many), vec![0]].concat()), "too many");
-    assert!(!ok([fields(&["a"]), vec![0, 0]].concat()), "bytes behind it");
-    assert!(!ok(vec![8, 0, 2, 0, 0, 0, 1, 0]), "a body that is a number");
+    assert!(!ok([fields(&["a", "a"]), vec![0]].concat()), "duplicate name");
+    assert!(!ok([fields(&["a"]), fields(&["b"]), vec![0]].concat()), "duplicate fields argument");
+    assert!(!ok([fields(&many), vec![0]].concat()), "too many fields");
+    assert!(!ok([fields(&["a"]), vec![0, 0]].concat()), "bytes after the end");
+    assert!(!ok(vec![8, 0, 2, 0, 0, 0, 1, 0]), "the body is a number");
 }
 
 #[test]
@@ -88,33 +88,33 @@
 
 #[test]
 fn oversized_counts_and_deep_nesting_are_rejected() {
-    // Two thousand million entries, deep nesting, negative lengths.
-    let many = message(1, "call", 1, &[13, 0, 1, 11, 11, 0x7f, 255, 255, 255]);
-    let deep = message(1, "call", 1, &[12, 0, 9].repeat(100_000));
-    let empty = message(1, "call", 1, &[15, 0, 9, 12, 0x7f, 255, 255, 255]);
-    let negative = message(1, "call", 1, &[11, 0, 2, 255, 255, 255, 255]);
-    for frame in [many, deep, empty, negative] {
+    // A map with 2^31 - 1 entries, deep nesting, a list with 2^31 - 1 entries, and a negative length.
+    let huge_map = message(1, "call", 1, &[13, 0, 1, 11, 11, 0x7f, 255, 255, 255]);
+    let deep_nesting = message(1, "call", 1, &[12, 0, 9].repeat(100_000));
+    let huge_list = message(1, "call", 1, &[15, 0, 9, 12, 0x7f, 255, 255, 255]);
+    let negative_length = message(1, "call", 1, &[11, 0, 2, 255, 255, 255, 255]);
+    for frame in [huge_map, deep_nesting, huge_list, negative_length] {
         assert!(matches!(parse(frame), Err(ParseError::BadArguments { sequence_id: 1, .. })));
     }
 }
 
 #[test]
-fn frames_are_taken_complete_and_within_the_limit() {
+fn only_complete_frames_within_the_limit_are_returned() {
     let mut read = BytesMut::new();
     let frames = [[&[0, 0, 0, 3][..], b"one"].concat(), [&[0, 0, 0, 0][..], b""].concat()].concat();
-    let mut taken = Vec::new();
+    let mut returned = Vec::new();
     for byte in frames {
         read.extend_from_slice(&[byte]);
-        taken.extend(take_frame(&mut read, 10).unwrap());
+        returned.extend(take_frame(&mut read, 10).unwrap());
     }
-    assert_eq!(taken, [&b"one"[..], b""]);
+    assert_eq!(returned, [&b"one"[..], b""]);
     for head in [[0, 0, 0, 11], [255, 255, 255, 255]] {
         assert!(take_frame(&mut BytesMut::from(&head[..]), 10).is_err());
     }
 }
 
 #[test]
-fn other_messages_are_distinguished() {
+fn messages_other_than_calls_are_recognized() {
     assert_eq!(
         parse(message(4, "cancel", 0, &[8, 0, 1, 0, 0, 0, 9, 0])),
         Ok(Message::Cancel { sequence_id: 9 })
