--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -1,6 +1,7 @@
 //! Compares the settings that are read from samples with the recorded file in `tests/golden/`. The file was
-//! recorded by the version before the typed settings, with the names and values that it looked up. Values that
-//! this version stored but never used, such as a word in place of a number, are left out of the comparison.
+//! recorded by the version before the typed settings, with the names and values that it looked up. Values
+//! that the old version stored but never used, such as a word in place of a number, are left out of the
+//! comparison.
 
 use std::collections::BTreeSet;
 
--- a/crates/signed-urls/src/claims.rs
+++ b/crates/signed-urls/src/claims.rs
@@ -50,10 +50,10 @@
     /// Too many clients use the token.
     #[error("the token is used from too many addresses")]
     TooManyClients,
-    /// The token is not valid yet. Carries the time until it is, in milliseconds.
+    /// The token is not valid yet. Carries the time until it becomes valid, in milliseconds.
     #[error("the token is not valid yet, in {0} ms")]
     NotYetValid(u64),
-    /// The token has expired. Carries the time since then, in milliseconds.
+    /// The token has expired. Carries the time since its expiry, in milliseconds.
     #[error("the token lapsed {0} ms ago")]
     Expired(u64),
 }
--- a/crates/signed-urls/src/hmac_format.rs
+++ b/crates/signed-urls/src/hmac_format.rs
@@ -51,7 +51,7 @@
 }
 
 /// Returns whether a text is a valid field value: printable ASCII without the separator `~`.
-fn is_plain(text: &str) -> bool {
+fn is_valid_value(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'~')
 }
 
@@ -71,7 +71,7 @@
         }
         parts.extend(fields.id.as_ref().map(|id| format!("id={id}")));
         parts.extend(fields.data.as_ref().map(|data| format!("data={data}")));
-        let all_valid = parts.iter().all(|part| is_plain(part))
+        let all_valid = parts.iter().all(|part| is_valid_value(part))
             && !fields.patterns.iter().any(|pattern| pattern.contains('!'));
         let text = parts.join("~");
         let message = if fields.patterns.is_empty() { format!("{text}~url={path}") } else { text.clone() };
@@ -136,7 +136,7 @@
         if seen.contains(&name) {
             return Err(TokenError::Malformed("a field twice"));
         }
-        if !is_plain(value) {
+        if !is_valid_value(value) {
             return Err(TokenError::Malformed("a field that is no plain text"));
         }
         seen.push(name);
--- a/crates/signed-urls/src/keys.rs
+++ b/crates/signed-urls/src/keys.rs
@@ -124,9 +124,9 @@
         }
     }
 
-    /// Returns whether the time, in Unix seconds, lies within the key's validity period.
-    pub fn is_valid_at(&self, unix: u64) -> bool {
-        (self.valid_from..self.valid_until).contains(&unix)
+    /// Returns whether the time lies within the key's validity period.
+    pub fn is_valid_at(&self, unix_seconds: u64) -> bool {
+        (self.valid_from..self.valid_until).contains(&unix_seconds)
     }
 }
 
@@ -303,9 +303,9 @@
 
     /// Returns the key to sign with at this time (Unix seconds): of the valid keys that may sign, the one
     /// that stays valid longest. `None` if there is no such key.
-    pub fn signing_key(&self, unix: u64) -> Option<&Key> {
+    pub fn signing_key(&self, unix_seconds: u64) -> Option<&Key> {
         self.iter()
-            .filter(|key| key.can_sign && key.is_valid_at(unix))
+            .filter(|key| key.can_sign && key.is_valid_at(unix_seconds))
             .max_by_key(|key| (key.valid_until, key.valid_from))
     }
 }
--- a/crates/signed-urls/src/playback.rs
+++ b/crates/signed-urls/src/playback.rs
@@ -99,14 +99,16 @@
         now: VerificationTime,
         limits: &PlaybackLimits,
     ) -> Option<Self> {
-        let unix = now.unix_ms / 1000;
+        let unix_seconds = now.unix_ms / 1000;
         // Computed from the URL's expiry without the tolerated skew, so that a fast clock does not extend it.
-        let ends_at =
-            claims.expires?.saturating_add(limits.grace_seconds).min(unix.saturating_add(limits.max_seconds));
+        let ends_at = claims
+            .expires?
+            .saturating_add(limits.grace_seconds)
+            .min(unix_seconds.saturating_add(limits.max_seconds));
         Some(Self {
-            expires: unix.saturating_add(limits.renewal_seconds).min(ends_at),
+            expires: unix_seconds.saturating_add(limits.renewal_seconds).min(ends_at),
             ends_at,
-            started_at: unix,
+            started_at: unix_seconds,
             renewals: 0,
             client: client_network(context.client),
             path: object_path(&context.target.path)?.to_string(),
@@ -118,12 +120,12 @@
     /// Returns the next renewal. `None` if the playback has ended, or has reached the maximum number of
     /// renewals.
     pub fn renew(&self, now: VerificationTime, limits: &PlaybackLimits) -> Option<Self> {
-        let unix = now.unix_ms / 1000;
+        let unix_seconds = now.unix_ms / 1000;
         let renewals = self.renewals + 1;
         // If the maximum duration was lowered during the playback, the lower one applies.
         let ends_at = self.ends_at.min(self.started_at.saturating_add(limits.max_seconds));
-        let expires = unix.saturating_add(limits.renewal_seconds).min(ends_at);
-        let may_continue = renewals <= limits.max_renewals && unix < ends_at;
+        let expires = unix_seconds.saturating_add(limits.renewal_seconds).min(ends_at);
+        let may_continue = renewals <= limits.max_renewals && unix_seconds < ends_at;
         may_continue.then(|| Self { expires, ends_at, renewals, ..self.clone() })
     }
 
--- a/crates/signed-urls/src/uri_signing.rs
+++ b/crates/signed-urls/src/uri_signing.rs
@@ -158,7 +158,7 @@
             .map_err(|_| TokenError::Malformed("claims that are missing, twice or of the wrong kind"))?;
         payload.check_critical()?;
         if let (Some(ours), Some(theirs)) = (&self.audience, &payload.aud)
-            && !theirs.names(ours)
+            && !theirs.includes(ours)
         {
             return Err(TokenError::AudienceMismatch);
         }
@@ -227,7 +227,7 @@
 }
 
 impl Audience {
-    fn names(&self, audience: &String) -> bool {
+    fn includes(&self, audience: &String) -> bool {
         match self {
             Self::One(one) => one == audience,
             Self::Many(many) => many.contains(audience),
