--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 //! this crate is the only place that maps them to the engine's names.
 //!
 //! A value that is missing or has the wrong type becomes `None`, and the engine uses its default. If the
-//! engine has no default for the value, reading fails with an [`Error`] that names the key.
+//! engine has no default for the value, reading fails with an [`enum@Error`] that names the key.
 
 use serde_json::Value;
 use thiserror::Error;
--- a/crates/signed-urls/tests/tokens.rs
+++ b/crates/signed-urls/tests/tokens.rs
@@ -30,8 +30,10 @@
 
 fn key_set(more: Value) -> Value {
     let mut set = json!({"keys": [
-        {"kid": "hmac-key", "kty": "oct", "alg": "HS256", "k": URL_SAFE_NO_PAD.encode(SECRET), "key_ops": ["sign"]},
-        {"kid": "ed25519-key", "kty": "OKP", "crv": "Ed25519", "alg": "EdDSA", "x": PUBLIC, "d": SEED, "key_ops": ["sign"]}
+        {"kid": "hmac-key", "kty": "oct", "alg": "HS256", "k": URL_SAFE_NO_PAD.encode(SECRET),
+         "key_ops": ["sign"]},
+        {"kid": "ed25519-key", "kty": "OKP", "crv": "Ed25519", "alg": "EdDSA", "x": PUBLIC, "d": SEED,
+         "key_ops": ["sign"]}
     ]});
     set.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
     set
@@ -463,7 +465,10 @@
         let tokens: [(&dyn TokenFormat, String); 3] = [
             (&hmac, hmac.sign(keys.key("hmac-key").unwrap(), &fields, "").unwrap()),
             (&uri, uri.sign(keys.key("ed25519-key").unwrap(), &signed).unwrap()),
-            (&UrlPrefixFormat, UrlPrefixFormat.sign(keys.key("ed25519-key").unwrap(), "https://videos.example/", 200).unwrap()),
+            (
+                &UrlPrefixFormat,
+                UrlPrefixFormat.sign(keys.key("ed25519-key").unwrap(), "https://videos.example/", 200).unwrap(),
+            ),
         ];
         let (format, token) = &tokens[which];
         prop_assert!(format.verify(token, &keys, &context(&target)).is_ok());
