--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,8 +3,8 @@
 //! Both the simulator adapter and the router use this crate. The JSON keys are the names that operators use;
 //! this crate is the only place that maps them to the engine's names.
 //!
-//! A value that is missing or has the wrong type becomes `None`, and the engine uses its default. If the
-//! engine has no default for the value, reading fails with an [`enum@Error`] that names the key.
+//! A value that is missing or has the wrong type is treated as not set, and a default applies. If there is no
+//! default for the value, reading fails with an [`enum@Error`] that names the key.
 
 use serde_json::Value;
 use thiserror::Error;
