--- a/crates/router/src/configuration/limits.rs
+++ b/crates/router/src/configuration/limits.rs
@@ -1,223 +1,229 @@
-//! Sizes, counts and times that the router keeps to, derived from the configuration at start.
+//! Limits on sizes, counts and times, derived from the configuration at startup.
 
 use std::time::Duration;
 
 use tindoor::time::Span;
 use tindoor_external_requests::Limits as TableLimits;
 
-/// The fewest descriptors set aside for the listener, the watch, signals, timers and logs.
+/// The minimum number of file descriptors reserved for the listener, the watch, signals, timers and logs.
 const MIN_RESERVED_DESCRIPTORS: usize = 16;
-/// The most descriptors set aside for them.
+/// The maximum number of file descriptors reserved for the listener, the watch, signals, timers and logs.
 const MAX_RESERVED_DESCRIPTORS: usize = 32;
-/// The share of the descriptors that clients get.
+/// One in this many file descriptors is for client connections.
 const CLIENT_DESCRIPTORS_DIVISOR: usize = 3;
-/// Time from the first byte of a frame or request head to its last.
+/// The time from the first byte of a frame or request head to its last byte.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a client or proxy to take an answer.
+/// The time for a client or proxy to accept all bytes of a reply.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The least upper bound of a request's timeout.
+/// The smallest value of the maximum request timeout, whatever the deadlines of the request classes.
 const MIN_MAX_REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// Bytes that are read at a time.
+/// The buffer size of a single read, in bytes.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Bytes that are read first where the length of a message is unknown.
+/// The size of the first read if the length of a message is not known yet, in bytes.
 const INITIAL_READ_BYTES: usize = 2 << 10;
-/// The longest deadline that a shutdown waits for: the process may be killed 0.7 s after it.
+/// The longest request deadline that a shutdown waits for. The process may be killed 0.7 s after this time.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// Time after the longest deadline in which requests are still answered during a shutdown.
+/// The time after the longest deadline during which a shutdown still answers requests.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(400);
 
-/// What the configuration says about the machine and about connections.
+/// The configured values from which the limits are derived.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LimitInputs {
-    /// Memory of the process, in megabytes.
+    /// The memory of the process, in megabytes (10^6 bytes).
     pub memory_mb: u64,
-    /// File descriptors of the process.
+    /// The number of file descriptors of the process.
     pub descriptors: usize,
-    /// Time for a connection to an endpoint to be established.
+    /// The timeout for establishing a connection to an endpoint.
     pub connect_timeout: Duration,
-    /// Time after which endpoints close an idle connection.
+    /// The time after which endpoints close an idle connection.
     pub endpoint_idle_timeout: Duration,
-    /// Requests in flight.
+    /// The maximum number of requests in flight.
     pub max_open_requests: usize,
     /// The longest deadline of any request class.
     pub longest_deadline: Duration,
-    /// Time that an endpoint takes to warm up.
+    /// The time that an endpoint takes to warm up.
     pub warm_up: Duration,
 }
 
 /// All limits of the router.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests in flight, of all listeners together.
+    /// The maximum number of requests in flight, over all listeners.
     pub max_open_requests: usize,
-    /// Bytes that all frames and bodies may take together.
+    /// The maximum total size of all buffered frames and bodies, in bytes.
     pub max_buffered_bytes: usize,
-    /// Time between two checks of a condition that has no event.
+    /// The time between two checks of a condition that has no event to wait for.
     pub poll_interval: Duration,
-    /// Time for another process to release the listen address.
+    /// How long startup waits for another process to release the listen address.
     pub bind_timeout: Duration,
-    /// Retry-After of requests that are rejected for want of a lease.
+    /// The Retry-After of requests that are rejected because the router has no lease.
     pub no_lease_retry_after: Duration,
-    /// Clients' connections and calls.
+    /// Limits of client connections and calls.
     pub client: ClientLimits,
-    /// Connections to endpoints.
+    /// Limits of connections to endpoints.
     pub upstream: UpstreamLimits,
-    /// The discovery watch.
+    /// Limits of the discovery watch.
     pub watch: WatchLimits,
-    /// Graceful shutdown.
+    /// Limits of a graceful shutdown.
     pub shutdown: ShutdownLimits,
-    /// Proxies that ask for routing decisions.
+    /// Limits of connections from proxies that request routing decisions.
     pub proxy: ProxyLimits,
-    /// Requests that proxies carry out.
+    /// Limits of requests that proxies forward.
     pub external: ExternalRequestLimits,
 }
 
-/// Limits of clients' connections and calls.
+/// Limits of client connections and calls.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Connections, those being closed included.
+    /// The maximum number of connections, including those being closed.
     pub max_connections: usize,
-    /// Connections of these that are kept free, or are being closed, for new clients.
+    /// How many of `max_connections` are kept available for new clients: connections are closed early enough
+    /// that this many are unused or being closed.
     pub reserved_connections: usize,
-    /// Open calls on one connection.
+    /// The maximum number of open calls on one connection.
     pub max_open_calls: usize,
-    /// Unwritten replies of one connection, above which no more is read from it.
+    /// The number of unwritten replies above which the router stops reading from a connection.
     pub max_unwritten_replies: usize,
-    /// Bytes of one frame, without its length.
+    /// The maximum size of a frame, without its length prefix, in bytes.
     pub max_frame_bytes: usize,
-    /// Bytes up to which a frame is copied, so that a request does not pin the whole read buffer.
+    /// The size up to which a frame is copied, in bytes, so that a request does not keep the whole read
+    /// buffer in memory.
     pub max_copied_frame_bytes: usize,
-    /// Bytes of a text field of a call.
+    /// The maximum size of a text field of a call, in bytes.
     pub max_field_bytes: usize,
-    /// Bytes of the body of a call.
+    /// The maximum size of the body of a call, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes that are read at a time.
+    /// The buffer size of a single read, in bytes.
     pub read_chunk_bytes: usize,
-    /// Bytes that the system may buffer for a client that reads slowly.
+    /// The size of the socket's send buffer, in bytes: how much the system may buffer for a client that reads
+    /// slowly.
     pub send_buffer_bytes: usize,
-    /// Age from which a new connection without a complete frame makes room for others.
+    /// The age from which a new connection that has not sent a complete frame may be closed to make room for
+    /// others.
     pub first_call_timeout: Duration,
-    /// Time to the first complete frame, and from the first byte of a frame to its last.
+    /// The time from the accept to the first complete frame, and from the first byte of a frame to its last
+    /// byte.
     pub frame_timeout: Duration,
-    /// The longest timeout of a request; longer ones are cut to it.
+    /// The maximum timeout of a request. A longer timeout is reduced to this value.
     pub max_request_timeout: Duration,
-    /// Time for a client to take a reply.
+    /// The time for a client to accept all bytes of a reply.
     pub write_timeout: Duration,
-    /// Time for the last replies of a connection that is being closed.
+    /// The time for writing the last replies of a connection that is being closed.
     pub final_write_timeout: Duration,
-    /// Time in which what still arrives is read and dropped once the router has closed its side: unread bytes
-    /// would reset the connection and destroy replies on their way.
+    /// How long the router reads and discards further bytes after it has closed its side of a connection.
+    /// Unread bytes would reset the connection and destroy replies in transit.
     pub linger_timeout: Duration,
-    /// The least of that time where connections run out.
+    /// The minimum linger time, which applies if the connection limit is reached.
     pub min_linger: Duration,
-    /// Time for which there may be more to read from a client without a pause: after it nothing is forwarded
-    /// for the client, as its close may lie behind the unread bytes.
+    /// How long bytes from a client may remain unread without interruption. After that, no request of the
+    /// client is forwarded, because the client may have closed the connection after the unread bytes.
     pub max_read_backlog: Duration,
 }
 
 /// Limits of connections to endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamLimits {
-    /// Connections, idle ones and those being established included.
+    /// The maximum number of connections, including idle ones and those being established.
     pub max_connections: usize,
-    /// Bytes of a response head, with the interim responses before it.
+    /// The maximum size of a response head together with the interim responses before it, in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a response body.
+    /// The maximum size of a response body, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes that are read of a response before its length is known.
+    /// The size of the first read of a response, before its length is known, in bytes.
     pub initial_read_bytes: usize,
-    /// Time for a connection to be established.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Time for which a connection may stay idle; shorter than the endpoint's own.
+    /// How long a connection may stay idle. Shorter than the endpoint's own idle timeout.
     pub idle_timeout: Duration,
-    /// Idle time before a connection is used again: a surplus response, which would be taken for that of the
-    /// next request, may arrive after the first one.
+    /// How long a connection must be idle before it is reused. A surplus response may arrive after the first
+    /// one, and would be mistaken for the response to the next request.
     pub reuse_delay: Duration,
-    /// Time for which the id of a removed endpoint is not given to another.
+    /// How long the id of a removed endpoint is not assigned to another endpoint.
     pub removed_endpoint_retention: Duration,
-    /// Time between two sweeps of idle connections.
+    /// The time between two sweeps of idle connections.
     pub sweep_interval: Duration,
 }
 
 /// Limits of the discovery watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchLimits {
-    /// Bytes of one line.
+    /// The maximum size of a line, in bytes.
     pub max_line_bytes: usize,
-    /// Bytes that are read at a time.
+    /// The buffer size of a single read, in bytes.
     pub read_chunk_bytes: usize,
-    /// Time for the connection to be established.
+    /// The timeout for establishing the connection.
     pub connect_timeout: Duration,
-    /// Time without a byte; the stream has a heartbeat each second.
+    /// The maximum time without receiving a byte. The stream sends a heartbeat every second.
     pub read_timeout: Duration,
-    /// Time for a complete line, however its bytes arrive.
+    /// The time for receiving a complete line, even if single bytes keep arriving.
     pub line_timeout: Duration,
-    /// The least pause before the next connection; jitter adds up to as much again.
+    /// The minimum backoff before the next connection. Jitter adds up to the same time again.
     pub backoff: Duration,
 }
 
 /// Limits of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownLimits {
-    /// Time for which new requests are taken at least.
+    /// The minimum time for which new requests are still accepted.
     pub min_duration: Duration,
-    /// Time after which requests in flight are abandoned.
+    /// The time after which requests in flight are failed.
     pub timeout: Duration,
-    /// Time for the last replies after that.
+    /// The time for writing the last replies after `timeout`.
     pub final_write_timeout: Duration,
 }
 
 /// Limits of connections from proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyLimits {
-    /// Connections.
+    /// The maximum number of connections.
     pub max_connections: usize,
-    /// Open streams on one connection.
+    /// The maximum number of open streams on one connection.
     pub max_streams: usize,
-    /// Bytes of a header list.
+    /// The maximum size of a header list, in bytes.
     pub max_header_list_bytes: usize,
-    /// Bytes of a message.
+    /// The maximum size of a message, in bytes.
     pub max_message_bytes: usize,
-    /// Streams that a proxy may reset before they are accepted, and reset streams that are remembered.
+    /// The maximum number of streams that a proxy may reset before they are accepted, and the number of reset
+    /// streams that are remembered.
     pub max_reset_streams: usize,
-    /// The cost of small frames that wait to be read on one connection, by the reckoning of the HTTP/2
-    /// library.
+    /// The maximum cost of small frames that wait to be read on one connection, in the HTTP/2 library's cost
+    /// units.
     pub data_frame_budget: usize,
-    /// Bytes that may wait on one stream for its flow-control window.
+    /// The maximum number of bytes that may wait on one stream for its flow-control window.
     pub max_unsent_bytes: usize,
-    /// Bytes that are read at a time.
+    /// The buffer size of a single read, in bytes.
     pub read_chunk_bytes: usize,
-    /// Bytes that are read of a request before its length is known.
+    /// The size of the first read of a request, before its length is known, in bytes.
     pub initial_read_bytes: usize,
-    /// Time for which a connection may stay idle.
+    /// How long a connection may stay idle.
     pub idle_timeout: Duration,
-    /// Time for a complete request head or message.
+    /// The time for receiving a complete request head or message.
     pub frame_timeout: Duration,
-    /// Time for a proxy to take an answer.
+    /// The time for a proxy to accept all bytes of an answer.
     pub write_timeout: Duration,
-    /// The longest timeout of a request.
+    /// The maximum timeout of a request.
     pub max_request_timeout: Duration,
 }
 
-/// Limits of requests that proxies carry out.
+/// Limits of requests that proxies forward.
 #[derive(Clone, Copy, Debug)]
 pub struct ExternalRequestLimits {
-    /// Time within which a routing decision is to be used.
+    /// The time within which a proxy must use a routing decision.
     pub decision_timeout: Duration,
-    /// Time after the end of an attempt within which it is to be reported.
+    /// The time after the end of an attempt within which the proxy must report the outcome.
     pub report_timeout: Duration,
-    /// Time for which a request waits for the proxy's next call.
+    /// How long a request is kept for the proxy's next call after an attempt has ended.
     pub retry_timeout: Duration,
-    /// Idempotency keys that are remembered.
+    /// The maximum number of idempotency keys that are remembered.
     pub max_idempotency_keys: usize,
-    /// Correlation ids of finished requests that are remembered.
+    /// The maximum number of correlation ids of finished requests that are remembered.
     pub max_finished_requests: usize,
-    /// Calls that wait for the outcome of one idempotency key.
+    /// The maximum number of calls that wait for the outcome of one idempotency key.
     pub max_waiters_per_key: usize,
 }
 
 impl Limits {
-    /// The limits of a process with this machine and these connections.
+    /// Derives the limits from the configured values.
     pub fn new(inputs: LimitInputs) -> Self {
         let client_connections = inputs.descriptors / CLIENT_DESCRIPTORS_DIVISOR;
         let memory = inputs.memory_mb as usize * 1_000_000;
@@ -242,9 +248,9 @@
         }
     }
 
-    /// Limits of the table of externally processed requests, by the shortest grace period and the longest
-    /// retry window of the deployment. A decision is to be used within half the grace period; the other half
-    /// is for the drain or purge to reach this router.
+    /// Returns the limits of the table of externally processed requests. `grace` is the shortest grace period
+    /// and `window` the longest idempotency window of the deployment. A proxy must use a decision within half
+    /// the grace period; the other half is the time for a drain or purge to reach this router.
     pub fn external_request_limits(&self, grace: Duration, window: Duration) -> TableLimits {
         let span = |time: Duration| Span::micros(time.as_micros() as u64);
         TableLimits {
@@ -353,21 +359,21 @@
 /// Limits of connections between the routers of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerLimits {
-    /// Connections to peers, and as many from them.
+    /// The maximum number of connections to peers, and separately of connections from peers.
     pub max_connections: usize,
-    /// Bytes of a message.
+    /// The maximum size of a message, in bytes.
     pub max_message_bytes: usize,
-    /// Bytes of the first line of a connection.
+    /// The maximum size of the first line of a connection, in bytes.
     pub max_hello_bytes: usize,
-    /// Messages that wait for one peer.
+    /// The maximum number of messages queued for one peer.
     pub max_queued_messages: usize,
-    /// Time for a connection to be established.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Time for a message to be written, or to arrive completely.
+    /// The time for writing a message or for receiving a complete message.
     pub write_timeout: Duration,
-    /// Time for which a connection may stay idle.
+    /// How long a connection may stay idle.
     pub idle_timeout: Duration,
-    /// Pause after a connection that failed.
+    /// The backoff after a failed connection.
     pub backoff: Duration,
 }
 
