--- a/crates/router/src/configuration/error.rs
+++ b/crates/router/src/configuration/error.rs
@@ -1,21 +1,22 @@
-//! What is wrong with a configuration file.
+//! The error type of the configuration file.
 
-/// A value of the configuration file that can't be used.
+/// A missing or invalid value in the configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationError {
-    /// The path of the value, as `settings.request_classes[2].name`; empty for the file as a whole.
+    /// The path of the value, such as `settings.request_classes[2].name`; empty if the error concerns the
+    /// whole file.
     pub path: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub problem: String,
 }
 
 impl ConfigurationError {
-    /// The value at this path has this problem.
+    /// Creates an error about the value at `path`.
     pub fn new(path: impl Into<String>, problem: impl Into<String>) -> Self {
         Self { path: path.into(), problem: problem.into() }
     }
 
-    /// The file as a whole has this problem.
+    /// Creates an error about the whole file.
     pub fn in_file(problem: impl Into<String>) -> Self {
         Self::new("", problem)
     }
--- a/crates/router/src/configuration/file.rs
+++ b/crates/router/src/configuration/file.rs
@@ -1,4 +1,4 @@
-//! The router's configuration file: reads, checks and completes it with defaults.
+//! Parses the router's configuration file, checks it and fills in defaults.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,54 +16,56 @@
 
 type Result<T> = std::result::Result<T, ConfigurationError>;
 
-/// The longest time that may be configured, in microseconds: an hour.
+/// The longest configurable time, in microseconds: one hour.
 const MAX_TIME_US: u64 = 3_600_000_000;
-/// The shortest connection timeouts, in microseconds.
+/// The shortest configurable connect timeout and idle timeout, in microseconds.
 const MIN_CONNECTION_TIME_US: u64 = 1_000;
 const DEFAULT_CONNECT_TIMEOUT_US: u64 = 400_000;
 const DEFAULT_ENDPOINT_IDLE_TIMEOUT_US: u64 = 30_000_000;
 const DEFAULT_WARM_UP_US: u64 = 20_000_000;
 const DEFAULT_MEMORY_MB: u64 = 192;
 const DEFAULT_DESCRIPTORS: u64 = 1024;
+/// The maximum and default number of requests in flight.
 const MAX_OPEN_REQUESTS: u64 = 1 << 12;
-/// The most that may be configured of memory, descriptors or requests.
+/// The largest configurable memory (in megabytes), number of descriptors and number of requests in flight.
 const MAX_COUNT: u64 = 1 << 20;
-/// Keys that a reload applies, or that have no meaning after the start.
+/// Top-level keys that a reload applies, or that are only used at startup.
 const RELOADABLE_KEYS: [&str; 3] = ["changelog", "known", "seed"];
 
 /// The checked configuration of one router.
 pub struct Configuration {
     /// The router's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address of the listener for clients.
     pub listen: SocketAddr,
-    /// The seed of random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Where the change stream is.
+    /// The address of the discovery service's change stream.
     pub discovery: SocketAddr,
-    /// Events of the change stream up to the start.
+    /// Events of the change stream that precede the start of the router.
     pub initial_events: Vec<WatchEvent>,
-    /// The number of the last of them.
+    /// The sequence number of the last of the initial events.
     pub initial_sequence: u64,
-    /// Settings of the routing engine.
+    /// The settings of the routing engine.
     pub engine_settings: Settings,
-    /// Request classes, in the order of the settings.
+    /// The request classes, in the order of the settings.
     pub classes: Vec<RequestClass>,
     /// The names of the locations, in the order of the settings.
     pub locations: Vec<String>,
     /// The names of the kinds of endpoints, in the order of the settings.
     pub endpoint_kinds: Vec<String>,
-    /// The limits that follow from it.
+    /// The limits derived from the configuration.
     pub limits: Limits,
     /// The shorter of the grace periods after a drain and after a purge.
     pub grace: Duration,
-    /// The longest time in which an idempotency key may be used again.
+    /// The longest time within which a client may repeat a request with the same idempotency key, over all
+    /// request classes.
     pub idempotency_window: Duration,
     /// The settings that a reload does not apply.
     pub fixed: FixedSettings,
 }
 
-/// The settings that hold from the start to the end of the process, by top-level key.
+/// The settings that only take effect at startup, by top-level key.
 pub struct FixedSettings(Map<String, Value>);
 
 impl FixedSettings {
@@ -73,14 +75,14 @@
         Self(fixed.map(|(key, value)| (key.clone(), value.clone())).collect())
     }
 
-    /// The keys whose values differ.
+    /// Returns the keys whose values differ between the two.
     pub fn changed_keys<'a>(&'a self, other: &'a Self) -> BTreeSet<&'a str> {
         let keys = self.0.keys().chain(other.0.keys()).map(String::as_str);
         keys.filter(|key| self.0.get(*key) != other.0.get(*key)).collect()
     }
 }
 
-/// What the router itself reads of the settings; the engine's own are read by `tindoor_settings`.
+/// The settings that the router process itself uses. `tindoor_settings` parses those of the routing engine.
 struct DeploymentSettings<'a> {
     classes: Vec<RequestClass>,
     grace: Duration,
@@ -104,20 +106,21 @@
         Ok(Self {
             classes,
             grace: Duration::from_micros(drain_grace.min(purge_grace)),
-            idempotency_window: longest_window(&class_list),
+            idempotency_window: longest_idempotency_window(&class_list),
             warm_up: Duration::from_micros(warm_up),
             locations,
             engine_limits: settings.object("limits")?,
         })
     }
 
-    /// The limits of a process with these bounds on what it may use.
+    /// Computes the limits. `process` is the section with the memory and descriptor bounds of the process;
+    /// `descriptors_allowed` is the number of descriptors that the system allows it.
     fn limits(&self, process: &Section, descriptors_allowed: usize) -> Result<Limits> {
         let memory_mb = process.number_or("memory_mb", 32..=MAX_COUNT, DEFAULT_MEMORY_MB)?;
         let descriptors = process.number_or("sockets", 64..=MAX_COUNT, DEFAULT_DESCRIPTORS)?;
         let connection_time = |key, default| {
-            let time = self.engine_limits.number_or(key, MIN_CONNECTION_TIME_US..=MAX_TIME_US, default);
-            time.map(Duration::from_micros)
+            let time_us = self.engine_limits.number_or(key, MIN_CONNECTION_TIME_US..=MAX_TIME_US, default);
+            time_us.map(Duration::from_micros)
         };
         let connect_timeout = connection_time("connect_timeout", DEFAULT_CONNECT_TIMEOUT_US)?;
         let endpoint_idle_timeout = connection_time("conn_idle", DEFAULT_ENDPOINT_IDLE_TIMEOUT_US)?;
@@ -139,9 +142,10 @@
     }
 }
 
-fn longest_window(classes: &List) -> Duration {
-    let windows = classes.items.iter().filter_map(|class| class.get("window").and_then(Value::as_u64));
-    Duration::from_micros(windows.max().unwrap_or_default().min(MAX_TIME_US))
+/// Returns the longest idempotency window of the request classes; zero if no class has one.
+fn longest_idempotency_window(classes: &List) -> Duration {
+    let windows_us = classes.items.iter().filter_map(|class| class.get("window").and_then(Value::as_u64));
+    Duration::from_micros(windows_us.max().unwrap_or_default().min(MAX_TIME_US))
 }
 
 fn parse_events(list: &List) -> Result<Vec<WatchEvent>> {
@@ -153,11 +157,12 @@
 }
 
 impl Configuration {
-    /// Parses the file's text, for a process that the system allows this many descriptors.
+    /// Parses the text of the file. `descriptors_allowed` is the number of file descriptors that the system
+    /// allows this process.
     ///
     /// # Errors
     ///
-    /// A value is missing or can't be used.
+    /// Fails if the text is not a JSON object, or if a value is missing or invalid.
     pub fn parse(text: &[u8], descriptors_allowed: usize) -> Result<Self> {
         let file: Value = serde_json::from_slice(text)
             .map_err(|error| ConfigurationError::in_file(format!("not JSON: {error}")))?;
@@ -177,7 +182,7 @@
             name: top.text("name")?.to_string(),
             listen: top.address("listen")?,
             seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| ConfigurationError::new("seed", format!("{seed:?} is not hex digits")))?,
+                .map_err(|_| ConfigurationError::new("seed", format!("not a 64-bit hex number: {seed:?}")))?,
             discovery: top.address("changelog")?,
             initial_events: parse_events(&events)?,
             initial_sequence: known.number("seq", 0..=u64::MAX)?,
--- a/crates/router/src/configuration/fronts.rs
+++ b/crates/router/src/configuration/fronts.rs
@@ -1,4 +1,4 @@
-//! The fronts file: what this router offers besides the listener for clients.
+//! The fronts file: listeners for proxies, the fleet and signed URLs, besides the listener for clients.
 
 use std::net::SocketAddr;
 
@@ -11,56 +11,56 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fronts {
-    /// The external processor that proxies call over gRPC.
+    /// The listener of the external processor, which proxies call over gRPC.
     #[serde(default)]
     pub external_processing: Option<Front>,
-    /// The plain HTTP interface for proxies that know sub-requests only.
+    /// The listener of the plain HTTP interface, for proxies that only support sub-requests.
     #[serde(default)]
     pub call: Option<Front>,
     /// The fleet that this router belongs to.
     #[serde(default)]
     pub fleet: Option<FleetConfiguration>,
-    /// Signed URLs that are checked on the fronts of this file.
+    /// The settings of signed URLs, which are checked on the listeners of this file.
     #[serde(default, rename = "links")]
     pub signed_urls: Option<SignedUrlSettings>,
 }
 
-/// One listener for proxies.
+/// A listener for proxies.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Front {
-    /// Where proxies connect.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// The names of the headers that carry a request's fields.
+    /// The names of the headers that carry the fields of a request.
     #[serde(default)]
     pub headers: HeaderNames,
 }
 
-/// What is wrong with a fronts file.
+/// An error in a fronts file.
 #[derive(Debug, thiserror::Error)]
 pub enum FrontsError {
-    /// A value can't be used.
+    /// A value is missing or invalid.
     #[error("line {line}: {path}: {problem}", line = problem.line())]
     Value {
         /// The path of the value.
         path: String,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         problem: serde_json::Error,
     },
-    /// There is more behind the JSON object.
+    /// The JSON object is followed by more text.
     #[error("line {line}: {problem}", line = problem.line())]
     TrailingText {
-        /// What is wrong with it.
+        /// The parser's error at that text.
         problem: serde_json::Error,
     },
 }
 
 impl Fronts {
-    /// Parses the file's text.
+    /// Parses the text of the file.
     ///
     /// # Errors
     ///
-    /// The text is not JSON, or a value can't be used.
+    /// Fails if the text is not JSON, or if a value is missing or invalid.
     pub fn parse(text: &[u8]) -> Result<Self, FrontsError> {
         let mut deserializer = serde_json::Deserializer::from_slice(text);
         let fronts: Self = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
--- a/crates/router/src/configuration/line_numbers.rs
+++ b/crates/router/src/configuration/line_numbers.rs
@@ -1,20 +1,21 @@
-//! Finds the line of a JSON text on which a value stands, for error messages.
+//! Finds the line number of a value in a JSON text, for error messages.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-/// The line, from 1, of the value at `path`, as in `settings.request_classes[2].name`; where a part of the
-/// path is missing, the line on which the enclosing object or list ends. `None` for a text that is not JSON.
+/// Returns the line number, counted from 1, of the value at `path` (such as
+/// `settings.request_classes[2].name`). If a part of the path is missing, returns the line on which the
+/// enclosing object or list ends. `None` if the text is not JSON.
 pub fn line_of_value(text: &[u8], path: &str) -> Option<usize> {
     let steps: Vec<&str> = path.split(['.', '[', ']']).filter(|step| !step.is_empty()).collect();
-    // serde_json reports the line at which a visitor fails, so the visitor fails at the value.
-    let error = Descent(&steps).deserialize(&mut serde_json::Deserializer::from_slice(text)).err()?;
+    // serde_json reports the line at which a visitor fails, so the visitor fails deliberately at the value.
+    let error = PathVisitor(&steps).deserialize(&mut serde_json::Deserializer::from_slice(text)).err()?;
     (error.is_data() && error.line() > 0).then(|| error.line())
 }
 
-/// Follows these steps from a value downwards.
-struct Descent<'a>(&'a [&'a str]);
+/// Follows the remaining steps of a path into nested values, and fails at the last one.
+struct PathVisitor<'a>(&'a [&'a str]);
 
-impl<'de> DeserializeSeed<'de> for Descent<'_> {
+impl<'de> DeserializeSeed<'de> for PathVisitor<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -22,7 +23,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Descent<'_> {
+impl<'de> Visitor<'de> for PathVisitor<'_> {
     type Value = ();
 
     fn expecting(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
@@ -33,7 +34,7 @@
         let Some((step, rest)) = self.0.split_first() else { return Err(A::Error::custom("found")) };
         while let Some(key) = map.next_key::<String>()? {
             if key == *step {
-                map.next_value_seed(Descent(rest))?;
+                map.next_value_seed(PathVisitor(rest))?;
             } else {
                 map.next_value::<IgnoredAny>()?;
             }
@@ -49,7 +50,7 @@
                 return Err(A::Error::custom("missing"));
             }
         }
-        list.next_element_seed(Descent(rest))?;
+        list.next_element_seed(PathVisitor(rest))?;
         Err(A::Error::custom("missing"))
     }
 }
--- a/crates/router/src/configuration/mod.rs
+++ b/crates/router/src/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! The configuration files and the limits that are derived from them. No other module reads configuration.
+//! Parses and checks the configuration files, and derives the router's limits from them. No other module
+//! parses configuration.
 
 mod error;
 mod file;
--- a/crates/router/src/configuration/section.rs
+++ b/crates/router/src/configuration/section.rs
@@ -1,4 +1,4 @@
-//! Typed reads from the objects of a JSON file, with the path of a value in each error.
+//! Typed access to the values of a JSON file. Each error contains the path of the value.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -9,24 +9,24 @@
 
 type Result<T> = std::result::Result<T, ConfigurationError>;
 
-/// A value of the file and its path in it.
+/// A value in the file and its path.
 pub struct Section<'a> {
-    /// The value, or null where it is missing.
+    /// The value; null if it is missing.
     pub value: &'a Value,
-    /// Its path, as errors name it.
+    /// The path of the value, for error messages.
     pub path: String,
 }
 
-/// A list of the file and its path in it.
+/// A list in the file and its path.
 pub struct List<'a> {
     /// The items.
     pub items: &'a [Value],
-    /// The path of the list, as errors name it.
+    /// The path of the list, for error messages.
     pub path: String,
 }
 
 impl<'a> List<'a> {
-    /// Each item with its path.
+    /// Returns each item with its path.
     pub fn sections(&self) -> impl Iterator<Item = Section<'a>> {
         let path = self.path.clone();
         let items = self.items.iter().enumerate();
@@ -35,12 +35,12 @@
 }
 
 impl<'a> Section<'a> {
-    /// The path of the value of this key.
+    /// Returns the path of the value at this key.
     pub fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) }
     }
 
-    /// The value of this key; `None` where it is missing or null.
+    /// Returns the value at this key; `None` if it is missing or null.
     pub fn get(&self, key: &str) -> Option<&'a Value> {
         self.value.get(key).filter(|value| !value.is_null())
     }
@@ -53,16 +53,16 @@
         self.get(key).ok_or_else(|| self.error(key, "missing"))
     }
 
-    /// The object at this key.
+    /// Returns the object at this key.
     pub fn object(&self, key: &str) -> Result<Section<'a>> {
         let value = self.required(key)?;
         if !value.is_object() {
-            return Err(self.error(key, "not an object"));
+            return Err(self.error(key, "expected an object"));
         }
         Ok(Section { value, path: self.path_of(key) })
     }
 
-    /// The object at this key, if there is one.
+    /// Returns the object at this key, or an empty section if it is missing.
     pub fn optional_object(&self, key: &str) -> Result<Section<'a>> {
         match self.get(key) {
             Some(_) => self.object(key),
@@ -70,34 +70,35 @@
         }
     }
 
-    /// The string at this key, which is not empty.
+    /// Returns the non-empty string at this key.
     pub fn text(&self, key: &str) -> Result<&'a str> {
         let text = self.required(key)?.as_str().filter(|text| !text.is_empty());
-        text.ok_or_else(|| self.error(key, "not a string"))
+        text.ok_or_else(|| self.error(key, "expected a non-empty string"))
     }
 
-    /// The list at this key.
+    /// Returns the list at this key.
     pub fn list(&self, key: &str) -> Result<List<'a>> {
-        let items = self.required(key)?.as_array().ok_or_else(|| self.error(key, "not a list"))?;
+        let items = self.required(key)?.as_array().ok_or_else(|| self.error(key, "expected a list"))?;
         Ok(List { items, path: self.path_of(key) })
     }
 
-    /// The list of strings at this key.
+    /// Returns the list of strings at this key.
     pub fn texts(&self, key: &str) -> Result<Vec<String>> {
         let mut texts = Vec::new();
         for item in self.list(key)?.sections() {
-            let text = item.value.as_str().ok_or(ConfigurationError::new(item.path, "not a string"))?;
+            let text = item.value.as_str().ok_or(ConfigurationError::new(item.path, "expected a string"))?;
             texts.push(text.to_string());
         }
         Ok(texts)
     }
 
-    /// The whole number at this key.
+    /// Returns the number at this key, rounded down to a whole number. It must be in `range`.
     pub fn number(&self, key: &str, range: RangeInclusive<u64>) -> Result<u64> {
         self.optional_number(key, range)?.ok_or_else(|| self.error(key, "missing"))
     }
 
-    /// The whole number at this key, or the default where the key is missing.
+    /// Returns the number at this key, rounded down to a whole number, or `default` if the key is missing. A
+    /// number in the file must be in `range`.
     pub fn number_or(&self, key: &str, range: RangeInclusive<u64>, default: u64) -> Result<u64> {
         Ok(self.optional_number(key, range)?.unwrap_or(default))
     }
@@ -105,15 +106,15 @@
     fn optional_number(&self, key: &str, range: RangeInclusive<u64>) -> Result<Option<u64>> {
         let Some(value) = self.get(key) else { return Ok(None) };
         let number = value.as_f64().filter(|number| *number >= 0.0);
-        let number = number.ok_or_else(|| self.error(key, "not a number"))? as u64;
+        let number = number.ok_or_else(|| self.error(key, "expected a number that is not negative"))? as u64;
         if !range.contains(&number) {
-            let problem = format!("{number} is not from {} to {}", range.start(), range.end());
+            let problem = format!("expected {} to {}, found {number}", range.start(), range.end());
             return Err(self.error(key, problem));
         }
         Ok(Some(number))
     }
 
-    /// The address with port at this key.
+    /// Returns the IP address and port at this key.
     pub fn address(&self, key: &str) -> Result<SocketAddr> {
         let text = self.text(key)?;
         text.parse().map_err(|_| self.error(key, format!("{text:?} is no address with a port")))
--- a/crates/router/src/configuration/signed_urls.rs
+++ b/crates/router/src/configuration/signed_urls.rs
@@ -1,39 +1,39 @@
-//! Settings of signed URLs in the fronts file.
+//! The signed URL section of the fronts file.
 
 use std::path::PathBuf;
 
 use serde::Deserialize;
 
-/// How signed URLs are checked.
+/// Settings for checking signed URLs.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedUrlSettings {
-    /// The key set's file, which nobody but its owner may read.
+    /// The path of the key set. Only its owner may have access to the file.
     #[serde(rename = "keys")]
     pub key_file: PathBuf,
-    /// Scheme and host of the URLs, as their signers write them.
+    /// The scheme and host of the URLs, as the signers write them.
     pub base: String,
-    /// How far the signers' clocks and this one may be apart, in milliseconds.
+    /// The maximum difference between this router's clock and the signers' clocks, in milliseconds.
     pub skew_ms: u64,
-    /// The names of request classes that need a signature; all others pass without.
+    /// The names of the request classes that need a signature; all others are served without a signature.
     #[serde(rename = "request_classes", alias = "offerings")]
     pub classes: Vec<String>,
-    /// The formats of tokens, in the order in which they are tried.
+    /// The token formats, in the order in which they are tried.
     #[serde(rename = "forms")]
     pub formats: Vec<TokenFormatSettings>,
-    /// The header with the client's address.
+    /// The name of the header that contains the client's address.
     #[serde(rename = "client", default = "default_client_header")]
     pub client_header: String,
-    /// Lets a playback that began in time go on past the end of its token.
+    /// If set, a playback that started while its token was valid may continue after the token expires.
     #[serde(default)]
     pub playback: Option<PlaybackSettings>,
 }
 
-/// How playbacks are renewed.
+/// Settings for renewing the authorization of a playback.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlaybackSettings {
-    /// The cookie that carries the renewals.
+    /// The name of the cookie that contains the renewal token.
     pub cookie: String,
 }
 
@@ -41,21 +41,21 @@
     "x-envoy-external-address".to_string()
 }
 
-/// A format of tokens and where they stand.
+/// A token format and the part of a request that contains the token.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, tag = "form", rename_all = "kebab-case")]
 pub enum TokenFormatSettings {
-    /// The HMAC format, checked by the keys with these ids.
+    /// The HMAC format, verified with the listed keys.
     Hmac {
-        /// Where the token stands.
+        /// The part of the request that contains the token.
         #[serde(rename = "from")]
         source: TokenSource,
-        /// The ids of the keys.
+        /// The ids of the keys that may verify a token.
         keys: Vec<String>,
     },
-    /// RFC 9246, for this audience where a token names one.
+    /// URI signing tokens (RFC 9246). If a token names an audience, it must be the configured one.
     UriSigning {
-        /// Where the token stands.
+        /// The part of the request that contains the token.
         #[serde(rename = "from")]
         source: TokenSource,
         /// The audience that this router belongs to.
@@ -63,20 +63,20 @@
     },
     /// The Ed25519 prefix signature.
     Prefix {
-        /// Where the token stands.
+        /// The part of the request that contains the token.
         #[serde(rename = "from")]
         source: TokenSource,
     },
 }
 
-/// Where a token stands in a request.
+/// The part of a request that contains a token.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "lowercase")]
 pub enum TokenSource {
-    /// In this query parameter.
+    /// The query parameter with this name.
     Query(String),
-    /// In this cookie.
+    /// The cookie with this name.
     Cookie(String),
-    /// In this header.
+    /// The header with this name.
     Header(String),
 }
