--- a/crates/router/src/signed_urls/cookies.rs
+++ b/crates/router/src/signed_urls/cookies.rs
@@ -1,8 +1,9 @@
-//! Cookies of a request.
+//! Reads the cookies of a request.
 
 use tindoor_extproc::request::Headers;
 
-/// The value of the cookie with this name; `None` where it is missing, or ambiguous as it is given twice.
+/// Returns the value of the cookie with this name; `None` if the cookie is missing, or if it is ambiguous
+/// because it occurs more than once.
 pub fn cookie(headers: &Headers, name: &str) -> Option<String> {
     let headers = headers.0.iter().filter(|header| header.0 == "cookie");
     let texts = headers.filter_map(|header| std::str::from_utf8(header.1).ok());
--- a/crates/router/src/signed_urls/key_file.rs
+++ b/crates/router/src/signed_urls/key_file.rs
@@ -1,4 +1,4 @@
-//! The file of the key set.
+//! Reads the key set file.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -6,15 +6,16 @@
 use anyhow::{Context, Result, bail};
 use tindoor_signed_urls::keys::KeySet;
 
-/// The permission bits of all but the file's owner.
+/// The permission bits of all users other than the file's owner.
 const OTHERS_PERMISSIONS: u32 = 0o077;
 
-/// Reads the key set. A file that others than its owner may read is rejected, as its keys are no secret.
+/// Reads the key set. Rejects a file that users other than its owner may access, because its keys are not
+/// secret then.
 pub fn read_keys(path: &Path) -> Result<KeySet> {
     let file = path.display();
     let mode = std::fs::metadata(path).with_context(|| format!("{file}"))?.permissions().mode();
     if mode & OTHERS_PERMISSIONS != 0 {
-        bail!("{file}: others can read it (mode {:o}); allow its owner alone", mode & 0o777);
+        bail!("{file}: accessible to other users (mode {:o}); allow access to its owner only", mode & 0o777);
     }
     let text = std::fs::read(path).with_context(|| format!("{file}"))?;
     KeySet::parse(&text).with_context(|| format!("{file}"))
--- a/crates/router/src/signed_urls/mod.rs
+++ b/crates/router/src/signed_urls/mod.rs
@@ -1,5 +1,5 @@
-//! Signed URLs on the listeners for proxies: finds the tokens of a request, checks them, and renews
-//! playbacks.
+//! Signed URLs on the listeners for proxies: extracts the tokens of a request, verifies them, and renews the
+//! authorization of playbacks.
 
 mod cookies;
 mod key_file;
@@ -28,23 +28,23 @@
 
 pub use key_file::read_keys;
 
-/// The largest offset of this machine's clock that is corrected.
+/// The largest offset of this machine's clock that is corrected, in milliseconds.
 const MAX_CLOCK_OFFSET_MS: u64 = 15_000;
-/// The largest clock skew that may be configured.
+/// The largest configurable clock skew, in milliseconds.
 const MAX_SKEW_MS: u64 = 60_000;
-/// The smallest offset of this machine's clock that is logged.
+/// The smallest offset of this machine's clock that is logged, in milliseconds.
 const MIN_LOGGED_OFFSET_MS: u64 = 1000;
 
-/// Checks signed URLs.
+/// Authorizes requests by their signed URLs.
 pub struct SignedUrls {
     key_file: PathBuf,
     base: String,
     skew_ms: u64,
-    /// Whether a request class needs a signature, by its number.
+    /// Whether each request class requires a signature, by class number.
     class_needs_signature: Vec<bool>,
     formats: Vec<FormatAtSource>,
     client_header: String,
-    /// The cookie of playback renewals, where playbacks are renewed.
+    /// The name of the cookie with the renewal token; `None` if playbacks are not renewed.
     playback_cookie: Option<String>,
     keys: RefCell<KeySet>,
     verification_cache: RefCell<VerificationCache>,
@@ -52,21 +52,22 @@
     offset_log: LogThrottle,
 }
 
-/// A token format and where its tokens stand.
+/// A token format and the part of a request that contains its tokens.
 struct FormatAtSource {
     format: Box<dyn TokenFormat>,
     source: TokenSource,
 }
 
-/// The result of checking a request.
+/// A request after the authorization check, whether it was granted or refused.
 pub struct AuthorizedRequest {
-    /// The path as it was checked, without tokens: the path to forward.
+    /// The normalized path without tokens, as it was checked. This is the path to forward.
     pub path: String,
     /// Whether the request may be served.
     pub authorization: Authorization,
-    /// Why it may not, for the client and for the log.
+    /// Why the request was refused, for the client and the log; `None` if it was granted.
     pub refusal_reason: Option<String>,
-    /// The playback to sign for the next part once this one is served.
+    /// The playback whose renewal is signed for the next part once this part is served; `None` if there is
+    /// nothing to renew.
     pub playback: Option<Playback>,
 }
 
@@ -85,13 +86,13 @@
 }
 
 impl SignedUrls {
-    /// Checks the settings and reads the keys.
+    /// Checks the settings and reads the key set.
     pub fn start(settings: SignedUrlSettings, classes: &[RequestClass], seed: u64) -> Result<Self> {
         check_settings(&settings, classes)?;
         let keys = read_keys(&settings.key_file).context("links.keys")?;
         check_format_keys(&settings.formats, &keys)?;
         let mut secret = [0; 8];
-        getrandom::fill(&mut secret).context("random numbers")?;
+        getrandom::fill(&mut secret).context("failed to get random numbers from the system")?;
         let verification_cache =
             VerificationCache::new(Limits::default(), (seed, u64::from_ne_bytes(secret)));
         Ok(Self {
@@ -112,7 +113,8 @@
         })
     }
 
-    /// Reads the keys again. Where the file can't be used, the old keys stay.
+    /// Reads the key set again and clears the verification cache. If the file is invalid, the old keys remain
+    /// in use.
     pub fn reload_keys(&self) -> Result<()> {
         if is_disabled("revoked") {
             tracing::info!("keys read again");
@@ -125,12 +127,14 @@
         Ok(())
     }
 
-    /// Notes the time of another clock and when it arrived here, both in Unix milliseconds.
+    /// Records a sample of another participant's clock: its time, and the local time at which the sample
+    /// arrived. Both are in Unix milliseconds.
     pub fn observe_clock(&self, participant: u64, their_unix_ms: u64, our_unix_ms: u64) {
         self.clock.borrow_mut().record(participant, their_unix_ms, our_unix_ms);
     }
 
-    /// Notes the time of a response's `date` (RFC 9110), which is cut to whole seconds and so never ahead.
+    /// Records the `date` header (RFC 9110) of a response as a clock sample. The header is truncated to whole
+    /// seconds, so that it is never ahead of the sender's clock.
     pub fn observe_date_header(&self, participant: u64, headers: &Headers, our_unix_ms: u64) {
         let date = headers.one("date").and_then(|date| httpdate::parse_http_date(date).ok());
         let since_epoch = date.and_then(|date| date.duration_since(UNIX_EPOCH).ok());
@@ -139,7 +143,8 @@
         }
     }
 
-    /// The time to check tokens by: this machine's, corrected by the median of the other clocks.
+    /// Returns the time to verify tokens at: this machine's time, corrected by the median offset of the other
+    /// clocks.
     fn now(&self, unix_ms: u64) -> VerificationTime {
         if is_disabled("clock") {
             return VerificationTime { unix_ms, skew_ms: self.skew_ms };
@@ -149,12 +154,17 @@
             && estimate.offset_ms.unsigned_abs() > self.skew_ms.max(MIN_LOGGED_OFFSET_MS)
             && let Some(times) = self.offset_log.record()
         {
-            tracing::warn!(?estimate, times, "the system clock is off by more than the allowed skew");
+            tracing::warn!(
+                ?estimate,
+                times,
+                "system clock is off by more than the allowed skew; verifying tokens at the corrected time"
+            );
         }
         clock.now(unix_ms, self.skew_ms)
     }
 
-    /// The `Set-Cookie` value that authorizes the next part of a playback.
+    /// Returns the `Set-Cookie` value that authorizes the next part of a playback. `None` if playbacks are
+    /// not renewed or no key can sign now.
     pub fn renewal_cookie(&self, playback: &Playback, unix_ms: u64) -> Option<String> {
         let now = self.now(unix_ms);
         let name = self.playback_cookie.as_ref()?;
@@ -163,7 +173,7 @@
         Some(format!("{name}={token}; Path={path}; Max-Age={max_age}; Secure; HttpOnly; SameSite=Lax"))
     }
 
-    /// Whether requests of this class need a signature.
+    /// Returns whether requests of this class require a signature. An unknown class does.
     pub fn needs_signature(&self, class: u16) -> bool {
         self.class_needs_signature.get(usize::from(class)).copied().unwrap_or(true)
     }
@@ -171,11 +181,11 @@
 
 fn check_settings(settings: &SignedUrlSettings, classes: &[RequestClass]) -> Result<()> {
     if settings.skew_ms > MAX_SKEW_MS {
-        bail!("links.skew_ms: {} is over {MAX_SKEW_MS}", settings.skew_ms);
+        bail!("links.skew_ms: expected at most {MAX_SKEW_MS}, found {}", settings.skew_ms);
     }
     let is_unknown = |name: &&String| !classes.iter().any(|class| class.name == **name);
     if let Some(unknown) = settings.classes.iter().find(is_unknown) {
-        bail!("links.request_classes: {unknown:?} is not known");
+        bail!("links.request_classes: unknown request class {unknown:?}");
     }
     Ok(())
 }
@@ -185,7 +195,7 @@
         if let TokenFormatSettings::Hmac { keys: ids, .. } = format
             && let Some(unknown) = ids.iter().find(|id| keys.key(id).is_none())
         {
-            bail!("links.forms: the key {unknown:?} is not in the set");
+            bail!("links.forms: the key set has no key {unknown:?}");
         }
     }
     Ok(())
--- a/crates/router/src/signed_urls/verification.rs
+++ b/crates/router/src/signed_urls/verification.rs
@@ -1,4 +1,4 @@
-//! The check of one request.
+//! Checks the authorization of a request.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -22,7 +22,7 @@
     text: String,
 }
 
-/// Why the last token was refused, or that there is none.
+/// Why the last token of a request was refused, or that the request has no token.
 struct RequestRefusal(VerificationError);
 
 impl RequestRefusal {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Whether a playback that began in time goes on all the same. A renewal does not make up for a token
-    /// that was tampered with or is for another request.
+    /// Returns whether a valid renewal may authorize the request in spite of the refusal. A renewal does not
+    /// compensate for a token that was tampered with or that is for another request.
     fn allows_renewal(&self) -> bool {
         matches!(&self.0, VerificationError::Token(TokenError::Missing | TokenError::Expired(_)))
     }
@@ -60,11 +60,11 @@
 }
 
 impl SignedUrls {
-    /// Checks a request by its headers.
+    /// Checks whether the tokens in a request's path and headers authorize it.
     ///
     /// # Errors
     ///
-    /// The path has no normal form.
+    /// Fails if the path cannot be normalized.
     pub fn authorize(
         &self,
         path: &str,
@@ -72,11 +72,13 @@
         unix_ms: u64,
     ) -> Result<AuthorizedRequest, normalize::NormalizeError> {
         let mut target = normalize::normalize(path)?;
-        // Each token is taken out, so that the forwarded path is the one that was checked.
+        // The tokens are removed from the path, so that the path that is forwarded is the one that was
+        // checked.
         let tokens = self.take_tokens(&mut target, headers);
         let path = target.to_text();
         let client = headers.one(&self.client_header).and_then(|text| text.parse().ok());
-        // Without an address it fits no token that is for one, and shares one budget with all such requests.
+        // A request without a client address matches no token that is bound to an address, and all such
+        // requests share one verification budget.
         let client = client.unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED));
         let now = self.now(unix_ms);
         if is_disabled("links") {
@@ -88,7 +90,7 @@
             Err(refusal) => refusal,
         };
         if refusal.allows_renewal()
-            && let Some(playback) = self.playback_under_way(headers, &request, now)
+            && let Some(playback) = self.verified_playback(headers, &request, now)
         {
             return Ok(AuthorizedRequest::granted(path, playback.renew(now, &PlaybackLimits::DEFAULT)));
         }
@@ -96,6 +98,7 @@
         Ok(AuthorizedRequest { path, authorization, refusal_reason, playback: None })
     }
 
+    /// Extracts the token of each configured format, and removes query tokens from `target`.
     fn take_tokens(&self, target: &mut normalize::Target, headers: &Headers) -> Vec<Token<'_>> {
         let mut tokens = Vec::new();
         for entry in &self.formats {
@@ -109,8 +112,9 @@
         tokens
     }
 
-    /// The playback that the request's renewal cookie belongs to, where the cookie holds.
-    fn playback_under_way(
+    /// Returns the playback of the request's renewal cookie; `None` if there is no such cookie or it is
+    /// invalid.
+    fn verified_playback(
         &self,
         headers: &Headers,
         request: &VerificationContext,
@@ -120,7 +124,8 @@
         Playback::verify(&renewal, &self.keys.borrow(), request, now).ok()
     }
 
-    /// Checks the tokens in their order until one grants the request; gives the playback that it may begin.
+    /// Verifies the tokens in order until one authorizes the request. Returns the playback that this token
+    /// may start, if any.
     fn check_tokens(
         &self,
         tokens: Vec<Token>,
@@ -132,7 +137,8 @@
         let mut refusal = RequestRefusal::MISSING_TOKEN;
         for Token { format, text } in tokens {
             match verification_cache.verify(format, &keys, &text, request, now) {
-                // Each part that a token grants may begin a playback: its end is bound to the token.
+                // Each part that a token authorizes may start a playback, because the end of the playback is
+                // bound to the token.
                 Ok(checked) if self.playback_cookie.is_some() => {
                     return Ok(Playback::start(&checked.claims, request, now, &PlaybackLimits::DEFAULT));
                 }
--- a/crates/router/tests/signed.rs
+++ b/crates/router/tests/signed.rs
@@ -80,7 +80,10 @@
     std::fs::write(&fronts, told.to_string()).unwrap();
     let start = || check(&named, &fronts);
     let (code, said) = start();
-    assert!(code == Some(1) && said.contains("others can read it") && said.contains("keys.json"), "{said}");
+    assert!(
+        code == Some(1) && said.contains("accessible to other users") && said.contains("keys.json"),
+        "{said}"
+    );
     allow(0o600);
     assert_eq!(start().0, Some(0));
 
