--- a/crates/router/tests/golden_configuration.rs
+++ b/crates/router/tests/golden_configuration.rs
@@ -1,7 +1,11 @@
-//! Which configuration files the router's `check` accepts, and which line and key it names for each that it
-//! rejects, compared with the recorded file in `tests/golden/`. The words about a key are not recorded.
+//! Compares with the recorded files in `tests/golden/` which configuration files `tindoor check` accepts, and
+//! which line and key its error names for each rejected file. The wording of the errors is not recorded.
 //!
-//! To record the file anew: `cargo test -p tindoor-router --test golden_configuration -- --ignored record`
+//! To regenerate the recorded files:
+//!
+//! ```sh
+//! cargo test -p tindoor-router --test golden_configuration -- --ignored record
+//! ```
 
 #[path = "../../testbed/tests/support/golden.rs"]
 mod golden;
@@ -29,10 +33,10 @@
     golden::record(&recordings());
 }
 
-/// A file that is removed in the end.
-struct Scratch(PathBuf);
+/// A temporary file, removed on drop.
+struct TemporaryFile(PathBuf);
 
-impl Scratch {
+impl TemporaryFile {
     fn new(kind: &str, text: &str) -> Self {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -43,16 +47,17 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// What `check` says of these files; the path of the one at fault is replaced by `FILE`.
+/// Runs `check` on these files. Returns its output if it accepts them, and otherwise the line and key that
+/// the error names after the path of the invalid file.
 fn check(configuration: &str, fronts: Option<&str>) -> String {
-    let configuration = Scratch::new("configuration", configuration);
-    let fronts = fronts.map(|text| Scratch::new("fronts", text));
+    let configuration = TemporaryFile::new("configuration", configuration);
+    let fronts = fronts.map(|text| TemporaryFile::new("fronts", text));
     let mut command = Command::new(program());
     command.arg("check").arg(&configuration.0).env_remove("PROXY_CONFIG");
     if let Some(fronts) = &fronts {
@@ -65,11 +70,12 @@
     let text = String::from_utf8(output.stderr).unwrap();
     let paths = [Some(&configuration), fronts.as_ref()].into_iter().flatten();
     let message = paths.fold(text, |text, file| text.replace(&*file.0.to_string_lossy(), "FILE"));
-    let (_, message) = message.split_once("FILE").unwrap_or_else(|| panic!("no file is named: {message}"));
+    let (_, message) =
+        message.split_once("FILE").unwrap_or_else(|| panic!("the error names no file: {message}"));
     format!("rejected, {}", line_and_key(message.trim_start_matches(": ").trim()))
 }
 
-/// The line and the key that a message begins with.
+/// Returns the line and the key at the start of an error message.
 fn line_and_key(message: &str) -> String {
     let (line, rest) = match message.split_once(": ") {
         Some((line, rest)) if line.starts_with("line ") => (line, rest),
@@ -79,17 +85,17 @@
     format!("{line}, key {key}")
 }
 
-/// A configuration with every key, one member of each kind and no change stream that is there.
-fn whole() -> Value {
-    let nowhere = "127.0.0.1:1".parse().unwrap();
-    let members = ["cache", "parent", "origin"].map(|kind| endpoint_entry(kind, nowhere, kind, "active"));
-    configuration(nowhere, members.to_vec())
+/// A configuration with every key and one endpoint of each kind, whose change stream is unreachable.
+fn complete_configuration() -> Value {
+    let unreachable = "127.0.0.1:1".parse().unwrap();
+    let members = ["cache", "parent", "origin"].map(|kind| endpoint_entry(kind, unreachable, kind, "active"));
+    configuration(unreachable, members.to_vec())
 }
 
-/// The text of a configuration with this value at this place; without the key where the value is null.
-fn with(place: &str, value: &Value) -> String {
-    let mut configuration = whole();
-    let (parent, key) = place.rsplit_once('/').unwrap();
+/// The text of the complete configuration with this value at this JSON pointer. A null value removes the key.
+fn configuration_with(pointer: &str, value: &Value) -> String {
+    let mut configuration = complete_configuration();
+    let (parent, key) = pointer.rsplit_once('/').unwrap();
     let parent = configuration.pointer_mut(parent).unwrap();
     match (parent.as_object_mut(), value) {
         (Some(object), Value::Null) => drop(object.remove(key)),
@@ -99,10 +105,10 @@
     format!("{configuration:#}")
 }
 
-/// The values tried at each place; null takes the key out.
-fn values_by_place() -> Vec<(&'static str, Vec<Value>)> {
+/// The values to try at each JSON pointer. A null value removes the key.
+fn values_by_pointer() -> Vec<(&'static str, Vec<Value>)> {
     let numbers = |values: &[i64]| values.iter().map(|value| json!(value)).collect::<Vec<_>>();
-    let mut all = vec![
+    let mut values_by_pointer = vec![
         ("/name", vec![Value::Null, json!(""), json!(1), json!("another")]),
         ("/listen", vec![Value::Null, json!("nowhere"), json!("127.0.0.1"), json!("[::1]:0")]),
         ("/changelog", vec![Value::Null, json!("nowhere"), json!("localhost:1"), json!("[::1]:1")]),
@@ -136,7 +142,7 @@
         ("/settings/family_info/heed_within", vec![Value::Null, json!(-1), json!("long")]),
         ("/another_key", vec![json!(1)]),
     ];
-    all.extend([
+    values_by_pointer.extend([
         ("/settings/request_classes/1", vec![json!(1), json!({})]),
         ("/settings/request_classes/1/name", vec![Value::Null, json!(""), json!(1), json!("pages")]),
         ("/settings/request_classes/1/effect", vec![Value::Null, json!("odd"), json!(1)]),
@@ -144,23 +150,26 @@
         ("/settings/request_classes/2/objective", vec![Value::Null, json!(0), json!(-1)]),
         ("/settings/request_classes/2/window", vec![Value::Null, json!(-1), json!("long")]),
     ]);
-    all
+    values_by_pointer
 }
 
+/// The result of `check` for each sample configuration, one per line.
 fn checked_configurations() -> String {
-    let mut out = format!("whole: {}\n", check(&format!("{:#}", whole()), None));
-    out += &format!("whole, in one line: {}\n", check(&whole().to_string(), None));
+    let mut out = format!("whole: {}\n", check(&format!("{:#}", complete_configuration()), None));
+    out += &format!("whole, in one line: {}\n", check(&complete_configuration().to_string(), None));
     for text in ["{ no", "", "[]", "1", "{}", "null"] {
         out += &format!("{text:?}: {}\n", check(text, None));
     }
-    for (place, values) in values_by_place() {
+    for (pointer, values) in values_by_pointer() {
         for value in values {
-            out += &format!("{place} = {value}: {}\n", check(&with(place, &value), None));
+            let result = check(&configuration_with(pointer, &value), None);
+            out += &format!("{pointer} = {value}: {result}\n");
         }
     }
     out
 }
 
+/// The result of `check` for each sample fronts file, one per line.
 fn checked_fronts() -> String {
     let front = json!({"listen": "127.0.0.1:0"});
     let headers = |headers: Value| json!({"listen": "127.0.0.1:0", "headers": headers});
@@ -189,10 +198,13 @@
         json!(1),
     ];
     for sample in samples {
-        out += &format!("{sample}: {}\n", check(&whole().to_string(), Some(&format!("{sample:#}"))));
+        out += &format!(
+            "{sample}: {}\n",
+            check(&complete_configuration().to_string(), Some(&format!("{sample:#}")))
+        );
     }
     for text in ["{ no", "", "{} {}"] {
-        out += &format!("{text:?}: {}\n", check(&whole().to_string(), Some(text)));
+        out += &format!("{text:?}: {}\n", check(&complete_configuration().to_string(), Some(text)));
     }
     out
 }
@@ -203,7 +215,11 @@
     for key in keys {
         for front in ["external_processing", "call"] {
             let fronts = json!({front: {"listen": "127.0.0.1:0", "headers": {key: "x-other"}}});
-            assert_eq!(check(&whole().to_string(), Some(&fronts.to_string())), "ok", "{front}: {key}");
+            assert_eq!(
+                check(&complete_configuration().to_string(), Some(&fronts.to_string())),
+                "ok",
+                "{front}: {key}"
+            );
         }
     }
 }
--- a/crates/router/tests/unit/control_protocol.rs
+++ b/crates/router/tests/unit/control_protocol.rs
@@ -1,5 +1,8 @@
-//! Golden file of the control socket: the JSON text of each request, and of answers that do not need a
-//! running fleet. In `tests/golden/control-socket.txt` each line has a name, a tab and the JSON text.
+//! Compares the JSON text of the control socket's requests, and of the answers that need no running fleet,
+//! with the golden file `tests/golden/control-socket.txt`. Each line of that file has a name, a tab and the
+//! JSON text.
+//!
+//! To regenerate the golden file:
 //!
 //! ```sh
 //! cargo test -p tindoor-router -- --ignored record_control_socket
@@ -45,7 +48,7 @@
     ]
 }
 
-/// Requests as other clients may write them: what may be left out is left out.
+/// Requests as other clients may write them, without optional fields.
 const SHORT_REQUESTS: [(&str, &str); 3] = [
     (r#"{"found":{}}"#, "request-bootstrap-unchanged"),
     (
@@ -55,7 +58,8 @@
     (r#"{"undo":{"by":"operator"}}"#, "request-rollback-current"),
 ];
 
-fn status(out: Option<UnavailableReason>, complete: bool) -> Value {
+/// A status answer. The optional fields are only set if `complete` is true.
+fn status(unavailable: Option<UnavailableReason>, complete: bool) -> Value {
     let text = |text: &str| complete.then(|| text.to_string());
     json!(Status {
         name: "router-1".into(),
@@ -64,7 +68,7 @@
         index: 1000,
         generation: 300,
         hash: "0011223344556677".into(),
-        unavailable: out,
+        unavailable,
         lease_remaining_ms: 900,
         members: 3,
         voters: vec!["router-1".into(), "router-2".into()],
@@ -103,7 +107,7 @@
     ]
 }
 
-/// All samples, one a line.
+/// The lines of the golden file for all requests and answers.
 fn samples() -> Vec<String> {
     let line = |name: &str, json: String| format!("{name}\t{json}");
     let requests =
@@ -122,21 +126,21 @@
     line.unwrap_or_else(|| panic!("{name} is not recorded"))[prefix.len()..].to_string()
 }
 
-/// `ControlRequest` has no equality of its own: its variant and fields as text.
-fn text(request: &ControlRequest) -> String {
+/// The variant and fields of a request as text, because `ControlRequest` does not implement `PartialEq`.
+fn debug_text(request: &ControlRequest) -> String {
     format!("{request:?}")
 }
 
 #[test]
-fn requests_and_answers_of_the_control_socket_are_written_as_recorded() {
+fn requests_and_answers_are_serialized_as_recorded() {
     assert_eq!(samples(), recorded());
 }
 
 #[test]
-fn recorded_requests_of_the_control_socket_are_parsed() {
+fn recorded_requests_are_parsed() {
     for (name, request) in requests() {
         let parsed: ControlRequest = serde_json::from_str(&recorded_json(name)).unwrap();
-        assert_eq!(text(&parsed), text(&request), "{name}");
+        assert_eq!(debug_text(&parsed), debug_text(&request), "{name}");
     }
 }
 
@@ -144,27 +148,27 @@
 fn requests_without_optional_fields_are_parsed() {
     for (short, name) in SHORT_REQUESTS {
         let parsed: ControlRequest = serde_json::from_str(short).unwrap();
-        let whole: ControlRequest = serde_json::from_str(&recorded_json(name)).unwrap();
-        assert_eq!(text(&parsed), text(&whole), "{short}");
+        let complete: ControlRequest = serde_json::from_str(&recorded_json(name)).unwrap();
+        assert_eq!(debug_text(&parsed), debug_text(&complete), "{short}");
     }
 }
 
 #[test]
-fn requests_with_unknown_parts_are_rejected() {
+fn requests_with_unknown_variants_or_wrong_fields_are_rejected() {
     for request in [r#""restart""#, r#"{"withdraw":{"generation":1,"now":true}}"#, r#"{"forget":{}}"#, "{}"] {
         assert!(serde_json::from_str::<ControlRequest>(request).is_err(), "{request}");
     }
 }
 
 #[test]
-fn recorded_answers_of_the_control_socket_are_parsed() {
+fn recorded_answers_are_parsed() {
     for (name, answer) in answers() {
         let json = recorded_json(name);
-        let written_again = match name.starts_with("answer-status") {
+        let serialized_again = match name.starts_with("answer-status") {
             true => json!(serde_json::from_str::<Status>(&json).unwrap()),
             false => json!(serde_json::from_str::<PastProposal>(&json).unwrap()),
         };
-        assert_eq!(written_again, answer, "{name}");
+        assert_eq!(serialized_again, answer, "{name}");
     }
 }
 
--- a/crates/router/tests/unit/line_numbers.rs
+++ b/crates/router/tests/unit/line_numbers.rs
@@ -1,7 +1,7 @@
 use super::line_of_value;
 
 #[test]
-fn missing_values_are_reported_at_the_end_of_their_object() {
+fn present_values_have_their_own_line_and_missing_ones_the_last_line_of_their_parent() {
     let text = b"{\n \"a\": {\"x\": 1},\n \"b\": {\n  \"list\": [\n\
            {\"name\": \"p\"},\n   {\"name\": 7}\n  ]\n }\n}";
     assert_eq!(line_of_value(text, "a.x"), Some(2));
