--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint.
+//! Connections to endpoints and their permits.
 
 use std::cell::Cell;
 use std::io;
@@ -8,37 +8,37 @@
 
 use async_io::Async;
 
-/// A connection, counted from before it is established until it is dropped.
+/// A connection to an endpoint.
 pub struct EndpointConnection {
     /// The socket.
     pub stream: Async<TcpStream>,
-    /// The generation of the endpoint that it was made to.
+    /// The endpoint's generation when the connection was established.
     pub generation: u64,
-    /// Counts it as open.
+    /// Counts the connection as open from before the connect until it is closed.
     pub _permit: ConnectionPermit,
 }
 
 impl EndpointConnection {
-    /// Whether it is open and has nothing to read.
+    /// Returns whether the connection is open and has no bytes to read.
     pub fn is_quiet(&self) -> bool {
         let peeked = self.stream.get_ref().peek(&mut [0]);
         peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// A connection that waits for its next use.
+/// A connection in the pool.
 pub struct IdleConnection {
     /// The connection.
     pub connection: EndpointConnection,
-    /// Since when it has been idle.
+    /// When it became idle.
     pub since: Instant,
 }
 
-/// One of the connections that there may be at once.
+/// A permit for one open connection; dropping it releases the permit.
 pub struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl ConnectionPermit {
-    /// Counts one more connection.
+    /// Counts one more open connection. Doesn't check the limit.
     pub fn acquire(open_connections: &Rc<Cell<usize>>) -> Self {
         open_connections.set(open_connections.get() + 1);
         Self(Rc::clone(open_connections))
--- a/crates/router/src/upstream/endpoint_table.rs
+++ b/crates/router/src/upstream/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The listed endpoints and those removed lately, by the ids that the routing engine knows them by.
+//! The table of listed and recently removed endpoints, indexed by the ids that the routing engine uses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,15 +12,16 @@
 pub struct Endpoint {
     /// Its id in the endpoint list.
     pub name: String,
-    /// Where it listens.
+    /// Where it listens; `None` if its list entry has no valid address.
     pub address: Option<SocketAddr>,
-    /// Whether it takes requests.
+    /// Whether it is ready, draining or removed.
     pub state: EndpointState,
     /// When its state or address last changed.
     changed: Instant,
-    /// Counts changes of its state and address, also across endpoints that had the same id.
+    /// The number of changes of state, address and name under this id. It continues when the id is reused for
+    /// another endpoint.
     pub generation: u64,
-    /// Its idle connections, the latest last.
+    /// Its idle connections, the most recently used one last.
     pub idle: Vec<IdleConnection>,
 }
 
@@ -29,37 +30,37 @@
         self.state = state;
         self.generation += 1;
         self.changed = Instant::now();
-        // What answers at its address next may be another endpoint.
+        // Another endpoint may be listening at its address by now.
         self.idle = Vec::new();
     }
 }
 
-/// Endpoints by id and by name.
+/// The endpoints, by id and by name.
 #[derive(Default)]
 pub struct EndpointTable {
-    /// The endpoints, by their ids.
+    /// The endpoints; the index is the id.
     pub endpoints: Vec<Endpoint>,
     ids: HashMap<String, EndpointId>,
 }
 
 impl EndpointTable {
-    /// The endpoint with this id.
+    /// Returns the endpoint with this id.
     pub fn get(&self, id: EndpointId) -> &Endpoint {
         &self.endpoints[id.0 as usize]
     }
 
-    /// The endpoint with this id.
+    /// Returns the endpoint with this id.
     pub fn get_mut(&mut self, id: EndpointId) -> &mut Endpoint {
         &mut self.endpoints[id.0 as usize]
     }
 
-    /// The id of the endpoint with this name.
+    /// Returns the id of the endpoint with this name.
     pub fn id_of(&self, name: &str) -> Option<EndpointId> {
         self.ids.get(name).copied()
     }
 
-    /// Adds an endpoint under the id of one that was removed before the retention time and that no request
-    /// refers to, or else under a new id.
+    /// Adds an endpoint and returns its id. Reuses the id of an endpoint that was removed at least
+    /// `retention` ago and that no request refers to; if there is none, assigns a new id.
     pub fn add(
         &mut self,
         name: &str,
@@ -94,7 +95,7 @@
         id
     }
 
-    /// Applies the state and address of an update.
+    /// Sets the state and the address of an endpoint. A change closes its idle connections.
     pub fn update(&mut self, id: EndpointId, address: Option<SocketAddr>, state: EndpointState) {
         let endpoint = self.get_mut(id);
         if endpoint.state != state || endpoint.address != address {
@@ -103,7 +104,7 @@
         endpoint.address = address;
     }
 
-    /// Marks every endpoint as removed that is not among these.
+    /// Marks every endpoint as removed whose id is not in `listed`.
     pub fn retain(&mut self, listed: &[EndpointId]) {
         for (index, endpoint) in self.endpoints.iter_mut().enumerate() {
             let is_listed = listed.contains(&EndpointId(index as u32));
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to an endpoint and its response.
+//! Sends one request to an endpoint and reads its response.
 
 use std::io;
 use std::rc::Rc;
@@ -12,34 +12,34 @@
 use super::memory_budget::{MemoryBudget, MemoryReservation};
 use super::pool::EndpointPool;
 
-/// A request whose head is written at the moment in which it is sent.
+/// A request whose head is encoded only once a connection is available.
 pub trait PendingRequest {
-    /// The head; `None` where the request must not be sent any more.
+    /// Encodes the request head; `None` if the request must no longer be sent.
     async fn encode_head(&self) -> Option<String>;
 
-    /// The body that follows the head.
+    /// Returns the body that follows the head.
     fn body(&self) -> &Bytes;
 
-    /// The request has been written completely, and may run.
+    /// Records that the request was written completely, so that the endpoint may execute it.
     fn mark_sent(&self);
 }
 
-/// How an attempt ended, with what it brought.
+/// The result of an attempt.
 pub struct AttemptResult {
-    /// The status.
+    /// How the attempt ended.
     pub status: AttemptStatus,
-    /// What the endpoint said about it.
+    /// The detail that the endpoint reported in the response head.
     pub detail: OutcomeDetail,
-    /// The client's copy is current.
+    /// Whether the client's copy is current (status 304).
     pub not_modified: bool,
-    /// The object.
+    /// The object; empty unless the response has status 200.
     pub body: Bytes,
-    /// The memory that the body takes.
+    /// The reservation for the memory of the response.
     pub memory: Option<MemoryReservation>,
 }
 
 impl AttemptResult {
-    /// The result of an attempt without a response.
+    /// Creates the result of an attempt without a usable response.
     pub fn without_response(status: AttemptStatus) -> Self {
         Self { status, detail: OutcomeDetail::Unknown, not_modified: false, body: Bytes::new(), memory: None }
     }
@@ -52,22 +52,23 @@
     Io(#[from] io::Error),
     #[error("{0}")]
     Parse(#[from] ParseError),
-    #[error("closed after {0} bytes")]
+    #[error("the endpoint closed the connection after {0} bytes of an incomplete response head")]
     Closed(usize),
 }
 
-/// A response that was read, and whether its connection may be used again.
+/// A complete response.
 struct Response {
     result: AttemptResult,
+    /// Whether the connection may be used for another request.
     is_reusable: bool,
 }
 
-/// A parsed head and the bytes that came with it.
+/// A parsed response head and the bytes that were read with it.
 struct ReadHead {
     head: ResponseHead,
-    /// Starts with the head.
+    /// The read buffer, which starts with the head.
     buffer: BytesMut,
-    /// How many bytes of the buffer were read.
+    /// The number of bytes in the buffer that were read from the connection.
     filled: usize,
 }
 
@@ -79,7 +80,8 @@
         request: &impl PendingRequest,
         budget: &Rc<MemoryBudget>,
     ) -> AttemptResult {
-        // Sends stop before reads do, as each is made only while there is memory for the largest response.
+        // A request is sent only while there is memory for the largest response. When memory runs out, the
+        // router therefore stops sending before it has to abandon responses.
         if budget.free_bytes() < self.limits.max_body_bytes + self.limits.max_head_bytes {
             if let Some(times) = self.exhausted_log.record() {
                 tracing::warn!(times, "no memory for a response; attempt not sent");
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Writes the request on an idle or a new connection; the error is the status of the attempt.
+    /// Writes the request to an idle or a new connection. The error is the status of the attempt.
     async fn send(
         &self,
         endpoint: EndpointId,
@@ -115,10 +117,10 @@
                 Some(connection) => (connection, true),
                 None => (self.connect(endpoint).await?, false),
             };
-            // A connect may have taken so long that the decision is out of date.
+            // The decision may have become outdated while the connection was established.
             let head = request.encode_head().await.ok_or(AttemptStatus::Superseded)?;
             let written = match connection.stream.write(head.as_bytes()).await {
-                // Nothing was taken: the endpoint closed the idle connection as it was used.
+                // No byte was written: the endpoint closed the idle connection just before its reuse.
                 Err(_) | Ok(0) if is_reused => continue,
                 Err(_) | Ok(0) => return Err(AttemptStatus::Unreachable),
                 Ok(written) => written,
@@ -127,13 +129,14 @@
                 connection.stream.write_all(&head.as_bytes()[written..]).await?;
                 connection.stream.write_all(request.body()).await
             };
-            // A request that was not written completely can't have run.
+            // The endpoint can't have executed a request that was not written completely.
             rest.await.map_err(|_| AttemptStatus::Unreachable)?;
             request.mark_sent();
             return Ok(connection);
         }
     }
 
+    /// Reads the response. If there is no memory for it, the attempt counts as cancelled.
     async fn read_response(
         &self,
         connection: &mut EndpointConnection,
@@ -141,11 +144,11 @@
     ) -> Result<Response, ResponseError> {
         let ReadHead { head, mut buffer, filled } = self.read_head(connection).await?;
         let length = head.head_length + head.body_length;
-        // Surplus bytes are no part of the response, but the connection can't be used again.
+        // Surplus bytes don't invalidate the response, but the connection can't be reused after them.
         let has_surplus = filled > length;
         let filled = filled.min(length);
         let Some(memory) = budget.reserve(length) else {
-            // The router stops waiting, which says nothing about the endpoint.
+            // The router abandons the attempt for lack of memory; the endpoint is not at fault.
             let result = AttemptResult::without_response(AttemptStatus::Cancelled);
             return Ok(Response { result, is_reusable: false });
         };
@@ -162,7 +165,8 @@
         Ok(Response { result, is_reusable: !has_surplus && !head.closes_connection })
     }
 
-    /// Reads up to the head of the final response. The interim ones before it share the limit of one head.
+    /// Reads the head of the final response and skips interim responses. All heads together must not exceed
+    /// `max_head_bytes`.
     async fn read_head(&self, connection: &mut EndpointConnection) -> Result<ReadHead, ResponseError> {
         let initial_size = self.limits.initial_read_bytes;
         let mut buffer = BytesMut::zeroed(initial_size);
@@ -194,7 +198,7 @@
         tindoor_http::attempt_status(head.status, head.rejected).unwrap_or_else(|| {
             if let Some(times) = self.unknown_response_log.record() {
                 let (status, rejected) = (head.status, head.rejected);
-                tracing::warn!(status, rejected, times, "response with an unknown status");
+                tracing::warn!(status, rejected, times, "unknown response status; treated as an error");
             }
             AttemptStatus::Error
         })
@@ -204,7 +208,7 @@
         let remark = head.remark.as_deref().unwrap_or_default();
         tindoor_http::outcome_detail(remark).unwrap_or_else(|| {
             if let Some(times) = self.unknown_response_log.record() {
-                tracing::warn!(remark, times, "response with an unknown remark");
+                tracing::warn!(remark, times, "unknown remark in a response; remark ignored");
             }
             OutcomeDetail::Unknown
         })
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to endpoints.
+//! The endpoints and the pool of connections to them.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -15,23 +15,24 @@
 use crate::log_throttle::LogThrottle;
 use crate::timeout::with_timeout;
 
-/// Endpoints and the connections to them.
+/// The endpoints and the pool of connections to them.
 pub struct EndpointPool {
     pub(super) limits: UpstreamLimits,
     pub(super) table: RefCell<EndpointTable>,
     open_connections: Rc<Cell<usize>>,
-    /// Attempts for which connections or memory did not suffice.
+    /// Throttles the log of attempts that were not sent for lack of connections or memory.
     pub(super) exhausted_log: LogThrottle,
-    /// Responses with a status or remark that is not known.
+    /// Throttles the log of responses with an unknown status or remark.
     pub(super) unknown_response_log: LogThrottle,
+    /// The number of purges received.
     purges: Cell<u64>,
     connection_quota: RefCell<Option<ConnectionQuota>>,
 }
 
-/// Whether one more connection may be made to the endpoint with this name.
+/// Returns whether the quota admits one more connection to the endpoint with this name.
 type ConnectionQuota = Box<dyn Fn(&str) -> bool>;
 
-/// What an attempt was decided by. Where it has changed, the request must not be sent any more.
+/// The state that a routing decision was based on. If it has changed, the request must no longer be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoutingSnapshot {
     endpoint_generation: u64,
@@ -40,7 +41,7 @@
 }
 
 impl EndpointPool {
-    /// A pool without endpoints.
+    /// Creates a pool without endpoints.
     pub fn new(limits: UpstreamLimits) -> Self {
         Self {
             limits,
@@ -53,13 +54,13 @@
         }
     }
 
-    /// Has every new connection be admitted by a quota, which gets the endpoint's name.
+    /// Sets the quota that must admit each new connection; `admits` gets the endpoint's name.
     pub fn set_connection_quota(&self, admits: impl Fn(&str) -> bool + 'static) {
         *self.connection_quota.borrow_mut() = Some(Box::new(admits));
     }
 
-    /// Applies one entry of the endpoint list. The id stays the same until the endpoint is removed and its id
-    /// given to another; there is none for an endpoint that is not known and is already removed.
+    /// Applies one entry of the endpoint list and returns the endpoint's id. The id stays the same until the
+    /// endpoint is removed and its id is reused. `None` if the endpoint is unknown and the entry removes it.
     pub fn apply_update(
         &self,
         name: &str,
@@ -82,32 +83,32 @@
         Some(id)
     }
 
-    /// A complete list has come: every endpoint that it does not name is removed.
+    /// Applies a complete endpoint list: marks every endpoint as removed whose id is not in `listed`.
     pub fn retain_endpoints(&self, listed: &[EndpointId]) {
         self.table.borrow_mut().retain(listed);
     }
 
-    /// Counts a purge: what was decided before it may accept too old a copy.
+    /// Counts a purge. Decisions made before it are outdated, as they may accept a purged copy.
     pub fn record_purge(&self) {
         self.purges.set(self.purges.get() + 1);
     }
 
-    /// The endpoint's name.
+    /// Returns the endpoint's name.
     pub fn name(&self, id: EndpointId) -> String {
         self.table.borrow().get(id).name.clone()
     }
 
-    /// Where the endpoint listens, where its list entry has an address.
+    /// Returns the endpoint's address; `None` if its list entry has no valid one.
     pub fn address(&self, id: EndpointId) -> Option<SocketAddr> {
         self.table.borrow().get(id).address
     }
 
-    /// Whether the endpoint takes new requests.
+    /// Returns whether the endpoint accepts new requests.
     pub fn is_ready(&self, id: EndpointId) -> bool {
         self.table.borrow().get(id).state == EndpointState::Ready
     }
 
-    /// What an attempt at this endpoint, to be filled from this source, is decided by.
+    /// Returns the state that a decision for this endpoint and fill source is based on.
     pub fn snapshot(&self, endpoint: EndpointId, source: Option<EndpointId>) -> RoutingSnapshot {
         let table = self.table.borrow();
         RoutingSnapshot {
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Drops idle connections that are past their timeout or were closed by the endpoint.
+    /// Closes idle connections that have reached the idle timeout, were closed by the endpoint, or have
+    /// unexpected bytes to read.
     pub fn sweep_idle(&self) {
         for endpoint in &mut self.table.borrow_mut().endpoints {
             endpoint.idle.retain(|idle| self.is_usable(idle));
@@ -128,13 +130,13 @@
         idle.since.elapsed() < self.limits.idle_timeout && idle.connection.is_quiet()
     }
 
-    /// The latest idle connection that may be used again. One with anything to read is dropped: what surplus
-    /// bytes an answer brought would be taken for the next one.
+    /// Takes the most recently used idle connection that may be reused. A connection with unread bytes is
+    /// closed: surplus bytes after a response would be parsed as the response to the next request.
     pub(super) fn take_idle(&self, endpoint: EndpointId) -> Option<EndpointConnection> {
         let mut table = self.table.borrow_mut();
         let idle = &mut table.get_mut(endpoint).idle;
-        let is_settled = |idle: &IdleConnection| idle.since.elapsed() >= self.limits.reuse_delay;
-        while let Some(index) = idle.iter().rposition(is_settled) {
+        let is_past_reuse_delay = |idle: &IdleConnection| idle.since.elapsed() >= self.limits.reuse_delay;
+        while let Some(index) = idle.iter().rposition(is_past_reuse_delay) {
             let candidate = idle.remove(index);
             if self.is_usable(&candidate) {
                 return Some(candidate.connection);
@@ -143,7 +145,7 @@
         None
     }
 
-    /// Keeps a connection for the next request, unless its endpoint has changed.
+    /// Returns a connection to the pool, or closes it if its endpoint has changed.
     pub(super) fn put_back(&self, endpoint: EndpointId, connection: EndpointConnection) {
         let mut table = self.table.borrow_mut();
         let endpoint = table.get_mut(endpoint);
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Makes a connection; the error is the status of the attempt.
+    /// Establishes a connection. The error is the status of the attempt.
     pub(super) async fn connect(&self, id: EndpointId) -> Result<EndpointConnection, AttemptStatus> {
         let (address, generation) = {
             let table = self.table.borrow();
@@ -173,8 +175,8 @@
         }
     }
 
-    /// A permit for one more connection to this endpoint, counted before the connect so that those being
-    /// established stay within the limit, too.
+    /// Returns a permit for one more connection to this endpoint; `None` if the limit or the quota is
+    /// reached. Taken before the connect, so that pending connects stay within the limit, too.
     fn admit_connection(&self, id: EndpointId) -> Option<ConnectionPermit> {
         if self.open_connections.get() >= self.limits.max_connections && !self.close_oldest_idle() {
             if let Some(times) = self.exhausted_log.record() {
@@ -189,6 +191,7 @@
         Some(ConnectionPermit::acquire(&self.open_connections))
     }
 
+    /// Closes the connection that has been idle for longest; false if none is idle.
     fn close_oldest_idle(&self) -> bool {
         let mut table = self.table.borrow_mut();
         let with_idle = table.endpoints.iter_mut().filter(|endpoint| !endpoint.idle.is_empty());
@@ -201,7 +204,7 @@
     use io::ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, TimedOut};
     match error.kind() {
         ConnectionRefused | ConnectionReset | HostUnreachable | TimedOut => AttemptStatus::Unreachable,
-        // This machine lacks a resource, which says nothing about the endpoint.
+        // The router's machine lacks a resource; the endpoint is not at fault.
         _ => AttemptStatus::Superseded,
     }
 }
