--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its phase, the calls that are open on it, and the replies that it owes.
+//! The state of one client connection: its phase, its open calls, and its unwritten replies.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -15,11 +15,11 @@
 
 use crate::upstream::MemoryReservation;
 
-/// Turns of the tasks in which the reader has taken what has arrived: one to wake, one to read, one to
-/// dispatch.
+/// The number of executor turns that the reader needs to process what has arrived: one to wake, one to read,
+/// one to dispatch.
 const CATCH_UP_TURNS: usize = 3;
 
-/// A reply on its way to the client, with the memory that it takes.
+/// A reply that waits to be written, with the reservation for its memory.
 pub struct QueuedReply {
     /// The reply.
     pub reply: Reply,
@@ -28,16 +28,16 @@
     _memory: Option<MemoryReservation>,
 }
 
-/// How far the life of a connection has come; it only goes forward.
+/// The phase of a connection; phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Calls are accepted and answered.
     Open,
-    /// No further call is accepted; replies that are owed are still written.
+    /// No further call is accepted; outstanding replies are still written.
     Closing,
-    /// The router has closed its side. What still arrives is read and dropped.
+    /// The router has closed its side. Bytes that still arrive are read and discarded.
     HalfClosed,
-    /// The connection is over.
+    /// The connection has ended.
     Ended,
 }
 
@@ -45,30 +45,34 @@
 pub struct Connection {
     /// The socket.
     pub stream: Async<TcpStream>,
-    /// The calls whose replies are owed, by sequence id.
+    /// The calls without a final reply, by sequence id.
     open_calls: RefCell<HashMap<i32, Rc<Mailbox>>>,
     replies: RefCell<VecDeque<QueuedReply>>,
     phase: Cell<Phase>,
-    /// The writer; once the router has closed its side, the reader that drops the rest.
+    /// The waker of the writer; after the half-close, that of the task that discards what still arrives.
     writer_waker: Cell<Option<Waker>>,
-    /// The reader, while too many replies wait to be written.
+    /// The waker of the reader while it waits because too many replies are unwritten.
     reader_waker: Cell<Option<Waker>>,
-    /// Bytes lie in the system's buffer that are not yet read.
+    /// Whether the system's receive buffer is known to hold unread bytes.
     has_unread_bytes: Cell<bool>,
-    /// Bytes have been read that make no complete frame yet, or frames that are not yet dispatched.
+    /// Whether bytes were read that are not dispatched yet: an incomplete frame, or further frames.
     has_unparsed_bytes: Cell<bool>,
+    /// Whether the writer has taken a reply and not asked for the next one yet.
     is_writing: Cell<bool>,
-    /// Since when each read has found more to read.
+    /// The time of the first of the consecutive reads that each found bytes; `None` if the last read found
+    /// none.
     backlog_since: Cell<Option<Instant>>,
+    /// Whether a complete frame has ever arrived.
     has_sent_frame: Cell<bool>,
-    /// When a frame was last read or a reply last written; at first, when it was accepted.
+    /// When a frame was last read, a reply last written, or the connection half-closed; initially, when the
+    /// connection was accepted.
     last_activity: Cell<Instant>,
-    /// Replies on all connections that are not yet written.
+    /// The number of unwritten replies on all connections.
     unwritten_replies: Rc<Cell<usize>>,
 }
 
 impl Connection {
-    /// A connection that was accepted just now.
+    /// Creates the state of a connection that was just accepted.
     pub fn new(stream: Async<TcpStream>, unwritten_replies: Rc<Cell<usize>>) -> Self {
         Self {
             stream,
@@ -87,43 +91,46 @@
         }
     }
 
-    /// How far its life has come.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// When a frame was last read or a reply last written.
+    /// Returns when a frame was last read, a reply last written, or the connection half-closed.
     pub fn last_activity(&self) -> Instant {
         self.last_activity.get()
     }
 
-    /// Whether a complete frame has ever arrived.
+    /// Returns whether a complete frame has ever arrived.
     pub fn has_sent_frame(&self) -> bool {
         self.has_sent_frame.get()
     }
 
-    /// Notes that a complete frame has arrived.
+    /// Records that a complete frame has arrived.
     pub fn record_frame(&self, arrived: Instant) {
         self.last_activity.set(arrived);
         self.has_sent_frame.set(true);
     }
 
-    /// Notes that a reply has been written.
+    /// Records that a reply has been written.
     pub fn record_write(&self) {
         self.last_activity.set(Instant::now());
     }
 
-    /// Nothing is owed, and nothing of a next call is known to have arrived.
+    /// Returns whether the connection is open and has no open call, no unwritten reply, and no known part of
+    /// another call.
     pub fn is_idle(&self) -> bool {
         self.is_quiet() && !self.has_unparsed_bytes.get()
     }
 
-    /// No complete frame has arrived within this time of the accept; a part of one does not count.
+    /// Returns whether no complete frame has arrived within `first_call_timeout` of the accept. A partial
+    /// frame doesn't count.
     pub fn is_stalled(&self, first_call_timeout: Duration) -> bool {
         let age = self.last_activity.get().elapsed();
         self.is_quiet() && !self.has_sent_frame.get() && age >= first_call_timeout
     }
 
+    /// Like `is_idle`, but ignores a partial frame that has been read.
     fn is_quiet(&self) -> bool {
         self.phase.get() == Phase::Open && !self.owes_replies() && !self.has_unread_bytes.get()
     }
@@ -141,30 +148,30 @@
 
 /// Calls and replies.
 impl Connection {
-    /// How many calls are open.
+    /// Returns the number of open calls.
     pub fn open_call_count(&self) -> usize {
         self.open_calls.borrow().len()
     }
 
-    /// Whether a call with this sequence id is open.
+    /// Returns whether a call with this sequence id is open.
     pub fn is_open_call(&self, sequence_id: i32) -> bool {
         self.open_calls.borrow().contains_key(&sequence_id)
     }
 
-    /// Adds a call whose reply is owed from now on.
+    /// Adds an open call.
     pub fn add_call(&self, sequence_id: i32, mailbox: &Rc<Mailbox>) {
         self.open_calls.borrow_mut().insert(sequence_id, Rc::clone(mailbox));
     }
 
-    /// Abandons a call, whose reply is not owed any more.
+    /// Abandons a call; no reply will be sent for it.
     pub fn cancel_call(&self, sequence_id: i32) {
         if let Some(mailbox) = self.open_calls.borrow_mut().remove(&sequence_id) {
             mailbox.push(Action::Abandon);
         }
     }
 
-    /// Sends the final reply of a call, unless it was cancelled. The mailbox identifies the call, as clients
-    /// may use the sequence id of a cancelled call again.
+    /// Sends the final reply of a call, unless the call was cancelled. The call is identified by its mailbox,
+    /// as clients may reuse the sequence id of a cancelled call.
     pub fn finish_call(
         &self,
         sequence_id: i32,
@@ -180,7 +187,7 @@
         }
     }
 
-    /// Queues a reply.
+    /// Queues a reply. Drops it if the router has already closed its side.
     pub fn send(&self, reply: Reply, memory: Option<MemoryReservation>) {
         if matches!(self.phase.get(), Phase::Open | Phase::Closing) {
             self.unwritten_replies.set(self.unwritten_replies.get() + 1);
@@ -190,7 +197,7 @@
         }
     }
 
-    /// The next reply to write; `None` once the connection is to be closed and nothing more is owed.
+    /// Returns the next reply to write; `None` once the connection is closing and no call is open.
     pub async fn next_reply(&self) -> Option<QueuedReply> {
         future::poll_fn(|context| {
             let reply = self.replies.borrow_mut().pop_front();
@@ -210,7 +217,7 @@
         .await
     }
 
-    /// Waits until fewer replies than this wait to be written.
+    /// Waits until fewer than `max_unwritten` replies are queued.
     pub async fn wait_for_reply_capacity(&self, max_unwritten: usize) {
         future::poll_fn(|context| {
             if self.replies.borrow().len() < max_unwritten {
@@ -222,30 +229,30 @@
         .await;
     }
 
-    /// Counts a reply as written, or as given up.
-    pub fn reply_written(&self) {
+    /// Removes one reply from the count of unwritten replies, whether or not it was written.
+    pub fn decrement_unwritten_replies(&self) {
         self.unwritten_replies.set(self.unwritten_replies.get() - 1);
     }
 }
 
-/// What the client has sent.
+/// Received bytes and the client's presence.
 impl Connection {
-    /// Notes whether bytes have been read that are not dispatched.
+    /// Records whether bytes have been read that are not dispatched yet.
     pub fn set_unparsed_bytes(&self, has_unparsed_bytes: bool) {
         self.has_unparsed_bytes.set(has_unparsed_bytes);
     }
 
-    /// A read begins: it takes all that is known to be unread.
+    /// Records that a read begins, which consumes the bytes known to be unread.
     pub fn begin_read(&self) {
         self.has_unread_bytes.set(false);
     }
 
-    /// A read has found bytes: there may be more.
+    /// Records that a read found bytes, so that more may be unread.
     pub fn record_backlog(&self, now: Instant) {
         self.backlog_since.set(self.backlog_since.get().or(Some(now)));
     }
 
-    /// A read has found nothing: everything has been read.
+    /// Records that a read found no bytes, so that everything has been read.
     pub fn clear_backlog(&self) {
         self.backlog_since.set(None);
     }
@@ -254,8 +261,8 @@
         self.stream.get_ref().peek(&mut [0]).is_ok_and(|size| size > 0)
     }
 
-    /// Lets the reader take what has arrived, a cancel perhaps, before something is forwarded. A client that
-    /// sends without end is not waited for.
+    /// Lets the reader process what has arrived, such as a cancel, before a request is forwarded. The wait is
+    /// limited to `CATCH_UP_TURNS`, in case the client sends continuously.
     pub async fn let_reader_catch_up(&self) {
         for _ in 0..CATCH_UP_TURNS {
             if self.has_bytes_in_system_buffer() {
@@ -264,9 +271,9 @@
         }
     }
 
-    /// Whether the client still waits: it has not closed its side, and was read to the end within this time,
-    /// as a close or a cancel may lie behind unread bytes. Checked right before a request is forwarded, as
-    /// the reader may not have run since the close arrived.
+    /// Returns whether the client still waits for replies: it has not closed its side, and the reader has not
+    /// been behind for longer than `max_read_backlog`, as unread bytes may hide a close or a cancel. Called
+    /// right before a request is forwarded, as the reader may not have run since the close arrived.
     pub fn is_client_waiting(&self, max_read_backlog: Duration) -> bool {
         let is_read = self.backlog_since.get().is_none_or(|since| since.elapsed() <= max_read_backlog);
         let is_connected = match self.stream.get_ref().peek(&mut [0]) {
@@ -277,10 +284,11 @@
     }
 }
 
-/// How the connection is closed.
+/// Closing the connection.
 impl Connection {
-    /// Closes the router's side of an idle connection, unless bytes have arrived. Check and close are one
-    /// step: a connection closed with bytes unread is reset, which may destroy the last reply.
+    /// Closes the router's side of an idle connection, unless unread bytes have arrived; returns whether it
+    /// was closed. No task may run between the check and the close: a connection closed with unread bytes is
+    /// reset, which may destroy the last reply.
     pub fn close_unless_unread(&self) -> bool {
         if self.has_bytes_in_system_buffer() {
             self.has_unread_bytes.set(true);
@@ -291,7 +299,7 @@
         true
     }
 
-    /// Accepts no further call and abandons the open ones, which answers them.
+    /// Stops accepting calls and abandons the open ones, which sends their replies.
     pub fn stop_accepting_calls(&self) {
         if self.phase.get() == Phase::Open {
             self.phase.set(Phase::Closing);
@@ -300,17 +308,17 @@
         self.wake_writer();
     }
 
-    /// Closes the router's side: the client reads what was written, and then the end.
+    /// Closes the router's side: the client reads all written replies and then the end of the stream.
     pub fn half_close(&self) {
         if matches!(self.phase.get(), Phase::Open | Phase::Closing) {
             self.phase.set(Phase::HalfClosed);
             self.last_activity.set(Instant::now());
-            // Fails where the client has reset the connection.
+            // Fails if the client has reset the connection.
             let _ = self.stream.get_ref().shutdown(Shutdown::Write);
         }
     }
 
-    /// Abandons the open calls and drops the unwritten replies.
+    /// Ends the connection: abandons its open calls and drops its unwritten replies.
     pub fn end(&self) {
         self.phase.set(Phase::Ended);
         let dropped = self.replies.borrow_mut().drain(..).count();
@@ -320,8 +328,9 @@
         }
     }
 
-    /// Ends a connection whose client has not closed its side within this time of the router's close.
-    pub fn cut(&self, min_linger: Duration) -> bool {
+    /// Ends a half-closed connection if its client has not closed its side within `min_linger` of the
+    /// half-close; returns whether it did.
+    pub fn end_if_lingered(&self, min_linger: Duration) -> bool {
         let is_due =
             self.phase.get() == Phase::HalfClosed && self.last_activity.get().elapsed() >= min_linger;
         if is_due {
@@ -331,7 +340,7 @@
         is_due
     }
 
-    async fn wait_until_cut(&self) -> io::Result<()> {
+    async fn wait_until_ended(&self) -> io::Result<()> {
         future::poll_fn(|context| {
             if self.phase.get() == Phase::Ended {
                 return Poll::Ready(Ok(()));
@@ -342,7 +351,7 @@
         .await
     }
 
-    /// Reads and drops what arrives until the client closes its side or the connection is cut.
+    /// Reads and discards what arrives until the client closes its side or the connection is ended.
     pub async fn discard_until_closed(&self, chunk_bytes: usize) -> io::Result<()> {
         let mut chunk = vec![0; chunk_bytes];
         let mut reader = &self.stream;
@@ -352,6 +361,6 @@
             }
             Ok(())
         };
-        future::or(read_to_end, self.wait_until_cut()).await
+        future::or(read_to_end, self.wait_until_ended()).await
     }
 }
--- a/crates/router/src/downstream/connections.rs
+++ b/crates/router/src/downstream/connections.rs
@@ -1,5 +1,5 @@
-//! The account of clients' connections: which are open, which make room for others, and how they end at a
-//! shutdown.
+//! Tracks all client connections, selects which of them are closed to make room for new ones, and closes them
+//! at shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::net::TcpStream;
@@ -10,7 +10,7 @@
 use super::connection::{Connection, Phase};
 use crate::configuration::limits::ClientLimits;
 
-/// Every connection whose descriptor is open, those that the router is closing included.
+/// All client connections whose descriptor is open, including those that are being closed.
 #[derive(Default)]
 pub struct Connections {
     all: RefCell<Vec<Weak<Connection>>>,
@@ -18,7 +18,7 @@
 }
 
 impl Connections {
-    /// Adds an accepted connection.
+    /// Registers an accepted connection.
     pub(super) fn add(&self, stream: Async<TcpStream>) -> Rc<Connection> {
         let connection = Rc::new(Connection::new(stream, Rc::clone(&self.unwritten_replies)));
         self.all.borrow_mut().push(Rc::downgrade(&connection));
@@ -31,18 +31,19 @@
         all.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Whether there is no connection.
+    /// Returns whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.all().is_empty()
     }
 
-    /// Replies on all connections that are not yet written.
+    /// Returns the number of unwritten replies on all connections.
     pub fn unwritten_replies(&self) -> usize {
         self.unwritten_replies.get()
     }
 
-    /// Whether one more may be accepted. Closes a connection where too few are free or being closed, and cuts
-    /// one whose client does not close its side where none is left.
+    /// Returns whether one more connection may be accepted. Closes an idle connection if too few are free or
+    /// being closed. If none is free, ends the connection that has been half-closed for longest, once it has
+    /// lingered for `min_linger`.
     pub(super) fn make_room(&self, limits: &ClientLimits) -> bool {
         let all = self.all();
         let open = all.iter().filter(|connection| connection.phase() == Phase::Open).count();
@@ -54,17 +55,17 @@
         }
         let half_closed = all.iter().filter(|connection| connection.phase() == Phase::HalfClosed);
         if let Some(oldest) = half_closed.min_by_key(|connection| connection.last_activity()) {
-            oldest.cut(limits.min_linger);
+            oldest.end_if_lingered(limits.min_linger);
         }
         false
     }
 
-    /// Closes an idle connection, if there is one.
+    /// Closes one idle connection, if there is any.
     pub(super) fn close_one(&self, limits: &ClientLimits) {
         close_idle_connection(&self.all(), limits);
     }
 
-    /// Closes the router's side of each idle connection; true once none is open.
+    /// Closes the router's side of each idle connection; returns true if no connection is open any more.
     pub fn close_idle(&self) -> bool {
         let mut all_closed = true;
         for connection in self.all() {
@@ -75,20 +76,20 @@
         all_closed
     }
 
-    /// Has every connection close once the replies that it owes are written.
+    /// Starts closing every connection: abandons its calls, and closes it once its replies are written.
     pub fn close_all(&self) {
         self.all().iter().for_each(|connection| connection.stop_accepting_calls());
     }
 }
 
-/// The order in which idle connections make room: the lowest first.
+/// The order in which connections are closed to make room: the lowest class first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
-    /// No complete frame came in time, so silent clients take no place from others.
+    /// No complete frame arrived in time. Closed first, so that silent clients don't displace active ones.
     Stalled,
-    /// It has sent calls; the one idle for longest goes first.
+    /// The client has sent calls. The connection that has been idle for longest is closed first.
     Idle,
-    /// It was accepted just now, and its first call may be on its way.
+    /// The connection was just accepted, and its first call may be on its way.
     New,
 }
 
@@ -102,7 +103,7 @@
     }
 }
 
-/// Closes the connection that makes room first; false where none is idle.
+/// Closes the first connection in eviction order; returns false if none can be closed.
 fn close_idle_connection(connections: &[Rc<Connection>], limits: &ClientLimits) -> bool {
     let is_evictable = |connection: &&Rc<Connection>| {
         connection.is_idle() || connection.is_stalled(limits.first_call_timeout)
@@ -114,7 +115,7 @@
         if first.close_unless_unread() {
             return true;
         }
-        // A call has arrived on it, so it is not evictable any more.
+        // Bytes have arrived on the connection, so it is no longer evictable.
     }
 }
 
--- a/crates/router/src/downstream/frame_reader.rs
+++ b/crates/router/src/downstream/frame_reader.rs
@@ -11,9 +11,9 @@
 use crate::configuration::limits::ClientLimits;
 use crate::timeout::with_timeout;
 
-/// One frame of a client.
+/// One frame from a client.
 pub struct Frame {
-    /// The frame, without its length.
+    /// The frame, without its length prefix.
     pub bytes: Bytes,
     /// When its last byte was read.
     pub arrived: Instant,
@@ -24,7 +24,7 @@
 pub enum FrameError {
     #[error("{0}")]
     Malformed(#[from] ParseError),
-    #[error("no complete frame came in time")]
+    #[error("no complete frame arrived within the frame timeout")]
     Timeout,
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -37,26 +37,28 @@
     buffer: BytesMut,
     /// When bytes were last read.
     arrived: Instant,
-    /// When the first byte of an incomplete frame was read; at first, when the connection was accepted.
-    /// `None` while the connection may stay idle.
+    /// When the first byte of an incomplete frame was read; initially, when the connection was accepted.
+    /// `None` while the connection may stay idle without a timeout.
     incomplete_since: Option<Instant>,
 }
 
-/// What a read has found.
+/// The result of one read.
 enum Received {
     Bytes,
     Nothing,
+    /// The client has closed its side.
     Close,
 }
 
 impl<'a> FrameReader<'a> {
-    /// A reader for a connection that was accepted just now.
+    /// Creates a reader for a connection that was just accepted.
     pub fn new(connection: &'a Connection, limits: ClientLimits) -> Self {
         let now = Instant::now();
         Self { connection, limits, buffer: BytesMut::new(), arrived: now, incomplete_since: Some(now) }
     }
 
-    /// The next frame; `None` once the client has closed its side, or the connection is to be closed.
+    /// Returns the next frame; `None` once the client has closed its side or the router is closing the
+    /// connection.
     pub async fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         loop {
             let bytes = tindoor_thrift::take_frame(&mut self.buffer, self.limits.max_frame_bytes)?;
@@ -65,7 +67,7 @@
                 self.incomplete_since = Some(self.arrived).filter(|_| !self.buffer.is_empty());
                 return Ok(Some(Frame { bytes, arrived: self.arrived }));
             }
-            // A client that sends at full speed must not starve the others.
+            // A client that sends continuously must not starve the others.
             future::yield_now().await;
             if self.connection.phase() != Phase::Open {
                 return Ok(None);
@@ -78,6 +80,7 @@
         }
     }
 
+    /// Reads once without waiting.
     fn read_available(&mut self) -> io::Result<Received> {
         let filled = self.buffer.len();
         self.buffer.resize(filled + self.limits.read_chunk_bytes, 0);
@@ -95,7 +98,7 @@
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 self.connection.clear_backlog();
                 if self.buffer.is_empty() {
-                    // An idle connection holds no memory.
+                    // Frees the buffer of an idle connection.
                     self.buffer = BytesMut::new();
                 }
                 Ok(Received::Nothing)
@@ -104,6 +107,7 @@
         }
     }
 
+    /// Waits until there are bytes to read, for an incomplete frame at most until its timeout.
     async fn wait_readable(&self) -> Result<(), FrameError> {
         let Some(since) = self.incomplete_since else {
             return Ok(self.connection.stream.readable().await?);
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections.
+//! Accepts connections from clients.
 
 use std::convert::Infallible;
 use std::io;
@@ -15,8 +15,8 @@
 use crate::configuration::limits::Limits;
 use crate::state::RouterState;
 
-/// Binds the listen address. While another process listens there, as the router's predecessor that has not
-/// ended, it is waited for.
+/// Binds the listen address. While another process still listens there, such as a previous instance of the
+/// router that is shutting down, retries until the bind timeout.
 pub async fn bind(address: SocketAddr, limits: &Limits) -> io::Result<Async<TcpListener>> {
     let begun = Instant::now();
     let mut is_logged = false;
@@ -44,7 +44,7 @@
 }
 
 impl Listener {
-    /// Accepts connections on this socket.
+    /// Creates a listener on a bound socket.
     pub fn new(state: Rc<RouterState>, connections: Rc<Connections>, socket: Async<TcpListener>) -> Self {
         Self { state, connections, socket }
     }
@@ -53,7 +53,7 @@
     pub async fn accept(&self) -> Infallible {
         let limits = &self.state.limits;
         loop {
-            // Many clients that connect at once must not starve the connections there are.
+            // A burst of new connections must not starve the existing ones.
             future::yield_now().await;
             if !self.connections.make_room(&limits.client) {
                 Timer::after(limits.poll_interval).await;
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Accepts the connections that wait, as far as there is room; true once none is left. A connection that
-    /// waits is reset when the listener is closed, with the calls that it may carry.
+    /// Accepts the connections in the system's accept queue while there is capacity; returns true once the
+    /// queue is empty. Closing the listener resets the queued connections, and any calls on them are lost.
     pub fn accept_pending(&self) -> bool {
         while self.connections.make_room(&self.state.limits.client) {
             match self.socket.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: the listener, their connections, and the requests on them.
+//! Serves clients: the listener, the clients' connections, and the requests on them.
 
 mod connection;
 mod connections;
--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! The life of one request of a client, from its call to its reply.
+//! Runs one client request, from its call to its final reply.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,17 +20,17 @@
 use crate::state::RouterState;
 use crate::upstream::{AttemptResult, MemoryReservation, PendingRequest, RoutingSnapshot};
 
-/// A call as its client sent it; its texts are slices of the frame.
+/// A call as received; its texts are slices of the frame.
 pub struct Call {
-    /// The number that its reply carries.
+    /// The sequence id, which the reply carries too.
     pub sequence_id: i32,
-    /// Its fields, unchecked.
+    /// The fields, not validated yet.
     pub fields: Fields,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// When its last byte was read.
+    /// When the last byte of its frame was read.
     pub arrived: Instant,
-    /// The memory that the frame takes.
+    /// The reservation for the memory of the frame.
     pub _memory: MemoryReservation,
 }
 
@@ -38,13 +38,13 @@
 pub struct OpenCall {
     /// The call.
     pub call: Call,
-    /// The request's number in the routing engine.
+    /// The request's slot in the routing engine.
     pub slot: RequestSlot,
-    /// Where the engine's actions for it arrive.
+    /// Receives the engine's actions for the request.
     pub mailbox: Rc<Mailbox>,
 }
 
-/// Carries one request: its attempts go to endpoints, its answer to the client's connection.
+/// The transport of one request: sends its attempts to endpoints and its answer to the client.
 struct ClientTransport<'a> {
     state: &'a RouterState,
     connection: &'a Connection,
@@ -96,11 +96,13 @@
 struct AttemptRequest<'a> {
     transport: &'a ClientTransport<'a>,
     attempt: Attempt,
-    /// What the attempt was decided by.
+    /// The state that the routing decision was based on.
     snapshot: RoutingSnapshot,
-    /// The name of the endpoint to fill from, where it is another one.
+    /// The name of the endpoint to fill from; `None` if there is no fill from another endpoint.
     fill_source: Option<String>,
+    /// When the attempt times out.
     deadline: Instant,
+    /// Whether the request has been written completely.
     is_sent: Cell<bool>,
 }
 
@@ -126,7 +128,7 @@
             timeout_ms,
             fill_source: self.fill_source.as_deref(),
             retention_rank: directives.map_or(0, |directives| directives.retention_rank),
-            // Rounded down, but not to 0, which would accept any fresh copy.
+            // Milliseconds, rounded down, but not to 0, which would accept any fresh copy.
             max_age_ms: max_age.map(|max_age| (max_age.as_micros() / 1000).max(1)),
             join_fill: directives.is_some_and(|directives| directives.join_fill),
             only_if_cached: directives.is_some_and(|directives| directives.only_if_cached),
@@ -139,7 +141,8 @@
 impl PendingRequest for AttemptRequest<'_> {
     async fn encode_head(&self) -> Option<String> {
         let ClientTransport { state, connection, .. } = self.transport;
-        // The client may have left, or the list may have changed, while a connection was established.
+        // While a connection was established, the client may have disconnected or the endpoint list may have
+        // changed.
         connection.let_reader_catch_up().await;
         let is_client_waiting = connection.is_client_waiting(state.limits.client.max_read_backlog);
         let time_remaining = self.deadline.saturating_duration_since(Instant::now());
@@ -159,7 +162,7 @@
     }
 }
 
-/// Serves one call: checks its fields, then runs its request to the final answer.
+/// Serves one call: validates its fields, runs its request, and sends the final answer.
 pub async fn serve_call(state: Rc<RouterState>, connection: Rc<Connection>, open_call: OpenCall) {
     if let Err(reply) = run_call(&state, &connection, &open_call).await {
         connection.finish_call(open_call.call.sequence_id, &open_call.mailbox, reply, None);
@@ -167,21 +170,21 @@
     state.engine.close_request(open_call.slot);
 }
 
-/// Runs a call's request; the error is the reply to a call that can't be run.
+/// Runs a call's request. The error is the reply to a call that can't be run.
 async fn run_call(state: &RouterState, connection: &Connection, open_call: &OpenCall) -> Result<(), Reply> {
     let OpenCall { call, slot, mailbox } = open_call;
     let fields = read_fields(&call.fields, &call.body, &state.classes, &state.limits.client);
     let fields = fields.map_err(|InvalidField(field)| {
         if let Some(times) = state.malformed_log.record() {
-            tracing::warn!(field, times, "call with a missing or invalid field");
+            tracing::warn!(field, times, "call aborted: missing or invalid field");
         }
         aborted(call.sequence_id, &[("reason", field)])
     })?;
-    // Cancelled, or its connection is being closed: it never reaches the routing engine.
+    // The call was cancelled or its connection is being closed, so it doesn't reach the routing engine.
     if !mailbox.is_empty() {
         return Err(aborted(call.sequence_id, &[]));
     }
-    // Endpoints tell requests apart by their ids.
+    // Endpoints distinguish requests by their ids, so an id may be in flight only once.
     let _id = state
         .in_flight_ids
         .reserve(fields.id)
@@ -193,7 +196,8 @@
     Ok(())
 }
 
-/// The time that is left for a request: the client's timeout, bounded by the limit and by a shutdown.
+/// Returns the time remaining for a request: the client's timeout less the time since the call arrived,
+/// limited by the configured maximum and by the deadline of a shutdown.
 fn time_remaining(state: &RouterState, call: &Call, timeout: Span) -> Span {
     let span = |duration: Duration| Span::micros(duration.as_micros() as u64);
     let elapsed = span(call.arrived.elapsed());
@@ -203,7 +207,7 @@
     (timeout - elapsed).min(until_shutdown.unwrap_or(timeout)).min(max_timeout)
 }
 
-/// The reply to a call that never ran, and may be retried after this time.
+/// Returns the reply to a call that never ran and that the client may retry, after `retry_after` if given.
 pub fn rejected(sequence_id: i32, retry_after: Option<Span>) -> Reply {
     let retry_after_ms = retry_after.map(|span| (span.as_micros() / 1000).to_string());
     let fields: Vec<_> = retry_after_ms.iter().map(|text| ("pause", text.as_str())).collect();
--- a/crates/router/src/downstream/request_fields.rs
+++ b/crates/router/src/downstream/request_fields.rs
@@ -1,5 +1,5 @@
-//! Reads and checks the fields of a call. Their wire names are mapped to the router's terms here and nowhere
-//! else.
+//! Parses and validates the fields of a call. This is the only place that maps the fields' wire names to the
+//! router's own terms.
 
 use bytes::Bytes;
 use tindoor::host::{Authorization, RequestMeta};
@@ -10,7 +10,7 @@
 
 use crate::configuration::limits::ClientLimits;
 
-/// Names of fields on the wire.
+/// The names of the fields on the wire.
 mod wire_name {
     pub const CLASS: &str = "route";
     pub const OBJECT: &str = "entity";
@@ -21,42 +21,43 @@
     pub const IDEMPOTENCY_KEY: &str = "nonce";
     pub const CLIENT_TAG: &str = "known";
     pub const CLIENT_RETRY: &str = "redo";
-    /// Not a field, but named as one where the body can't be used.
+    /// Not a field; reported as one if the body is too long.
     pub const BODY: &str = "body";
 }
 
 pub use wire_name::REQUEST_ID;
 
-/// Hexadecimal digits of an idempotency key.
+/// The number of hexadecimal digits of an idempotency key.
 const IDEMPOTENCY_KEY_LENGTH: usize = 32;
-/// Hexadecimal digits of a client's version tag.
+/// The number of hexadecimal digits of a client's version tag.
 const CLIENT_TAG_LENGTH: usize = 16;
+/// The largest purge group.
 const MAX_GROUP: u32 = 255;
 
-/// A field that is missing or can't be used, by its wire name.
+/// A missing or invalid field, by its wire name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("field {0} is missing or can't be used")]
+#[error("field {0} is missing or invalid")]
 pub struct InvalidField(pub &'static str);
 
-/// The checked fields of a call.
+/// The validated fields of a call.
 pub struct RequestFields<'a> {
-    /// The client's id of the request.
+    /// The request id that the client assigned.
     pub id: u64,
-    /// What the routing engine decides by.
+    /// The properties of the request that routing decisions depend on.
     pub meta: RequestMeta,
-    /// How long the client waits.
+    /// How long the client waits for the reply.
     pub timeout: Span,
-    /// What goes to every endpoint alike; its texts are those of the call.
+    /// The parts of the upstream request that are the same for every endpoint; texts borrow from the call.
     pub endpoint_request: EndpointRequest<'a>,
 }
 
-/// Reads single fields.
+/// Parses single fields.
 struct FieldReader<'a> {
     fields: &'a Fields,
     max_bytes: usize,
 }
 
-/// An id with its digits.
+/// A hexadecimal id.
 struct HexId<'a> {
     digits: &'a str,
     value: u64,
@@ -72,7 +73,7 @@
         self.optional(name)?.ok_or(InvalidField(name))
     }
 
-    /// A decimal number of digits alone, without sign and leading zeros.
+    /// Parses a required decimal number, which must have no sign and no leading zeros.
     fn number(&self, name: &'static str) -> Result<u32, InvalidField> {
         let text = self.required(name)?;
         let is_canonical =
@@ -86,7 +87,7 @@
         Ok(HexId { digits, value })
     }
 
-    /// A field of exactly so many hexadecimal digits.
+    /// Returns an optional field, which must consist of exactly `length` hexadecimal digits.
     fn optional_hex(&self, name: &'static str, length: usize) -> Result<Option<&'a str>, InvalidField> {
         let text = self.optional(name)?;
         let is_valid = |text: &str| text.len() == length && text.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -97,7 +98,7 @@
     }
 }
 
-/// Reads and checks the fields of a call.
+/// Parses and validates the fields of a call.
 pub fn read_fields<'a>(
     fields: &'a Fields,
     body: &Bytes,
@@ -154,7 +155,7 @@
     Ok(RequestFields { id: request_id.value, meta, timeout, endpoint_request })
 }
 
-/// Text that can stand in a header or a path as it is.
+/// Returns the value as text if it is printable ASCII that needs no escaping in a header or a path.
 fn printable_text(value: &[u8], max_bytes: usize) -> Option<&str> {
     let is_printable =
         !value.is_empty() && value.len() <= max_bytes && value.iter().all(u8::is_ascii_graphic);
--- a/crates/router/src/downstream/session.rs
+++ b/crates/router/src/downstream/session.rs
@@ -1,4 +1,4 @@
-//! One connection of a client from its accept to its close, and what each message on it leads to.
+//! Serves one client connection from accept to close: reads its messages and dispatches them.
 
 use std::io;
 use std::pin::pin;
@@ -19,17 +19,16 @@
 use crate::state::RouterState;
 use crate::timeout::with_timeout;
 
-/// Which side of a connection ended first, and how.
+/// Which of a connection's two halves, reader or writer, ended first, and how.
 enum SessionEnd {
     Reader(Result<(), FrameError>),
     Writer(io::Result<()>),
 }
 
-/// Serves one connection until either side closes it; calls that are still open then are abandoned.
+/// Serves one connection until the client or the router closes it, then abandons the calls still open.
 pub async fn serve_connection(state: Rc<RouterState>, connection: Rc<Connection>) {
     let limits = &state.limits.client;
-    // The writer lives on while the connection is closed, as a reply that is written in part must be
-    // completed.
+    // The writer continues while the connection is being closed, as a partly written reply must be completed.
     let mut writer = pin!(write_replies(limits, &connection));
     let reading = async { SessionEnd::Reader(read_calls(&state, &connection).await) };
     let writing = async { SessionEnd::Writer(writer.as_mut().await) };
@@ -52,8 +51,9 @@
     connection.end();
 }
 
-/// Writes the last replies, closes the router's side, and drops what still arrives for a bounded time: unread
-/// bytes would reset the connection and destroy replies that the client has not read.
+/// Writes the last replies, closes the router's side, and lingers: for a bounded time, reads and discards
+/// what still arrives. Closing with unread bytes would reset the connection and destroy replies that the
+/// client has not read.
 async fn close(limits: &ClientLimits, connection: &Connection, writer: impl Future<Output = io::Result<()>>) {
     connection.stop_accepting_calls();
     if with_timeout(limits.final_write_timeout, writer).await.is_err() {
@@ -65,20 +65,20 @@
     let _ = with_timeout(limits.linger_timeout, discard).await;
 }
 
-/// Reads and dispatches messages until the connection is to be closed.
+/// Reads and dispatches messages until the client or the router closes the connection.
 async fn read_calls(state: &Rc<RouterState>, connection: &Rc<Connection>) -> Result<(), FrameError> {
     let limits = state.limits.client;
     let mut frames = FrameReader::new(connection, limits);
     while let Some(frame) = frames.next_frame().await? {
         connection.record_frame(frame.arrived);
         dispatch(state, connection, frame, &limits)?;
-        // Rejections and health replies reserve no memory, so their number is bounded here.
+        // Rejections and health replies reserve no memory, so backpressure here bounds their number.
         connection.wait_for_reply_capacity(limits.max_unwritten_replies).await;
     }
     Ok(())
 }
 
-/// Handles one message; an error closes the connection.
+/// Handles one message. An error closes the connection.
 fn dispatch(
     state: &Rc<RouterState>,
     connection: &Rc<Connection>,
@@ -105,7 +105,7 @@
         }
         Err(ParseError::BadArguments { sequence_id, reason }) => {
             if let Some(times) = state.malformed_log.record() {
-                tracing::warn!(reason, times, "call with malformed arguments");
+                tracing::warn!(reason, times, "call aborted: malformed arguments");
             }
             connection.send(aborted(sequence_id, &[("reason", reason)]), None);
         }
@@ -123,7 +123,7 @@
     frame_size: usize,
 }
 
-/// Opens a request for a call, or rejects it where there is no capacity.
+/// Opens a request for a call, or rejects the call if there is no capacity.
 fn open_call(state: &Rc<RouterState>, connection: &Rc<Connection>, call: ReceivedCall) {
     let ReceivedCall { sequence_id, fields, body, arrived, frame_size } = call;
     if connection.is_open_call(sequence_id) {
--- a/crates/router/src/downstream/writer.rs
+++ b/crates/router/src/downstream/writer.rs
@@ -1,4 +1,4 @@
-//! Writes a connection's replies.
+//! Writes replies to a client's connection.
 
 use std::io::{self, IoSlice};
 
@@ -10,17 +10,17 @@
 use crate::configuration::limits::ClientLimits;
 use crate::timeout::with_timeout;
 
-/// Writes replies until the connection is to be closed and nothing more is owed.
+/// Writes replies until the connection is closing and no call is open.
 pub async fn write_replies(limits: &ClientLimits, connection: &Connection) -> io::Result<()> {
     while let Some(reply) = connection.next_reply().await {
-        let _counted = CountedReply(connection);
+        let _guard = UnwrittenReplyGuard(connection);
         write_reply(limits, connection, reply).await?;
         connection.record_write();
     }
     Ok(())
 }
 
-/// Writes one reply. A client that takes it too slowly is given up, as its replies hold memory.
+/// Writes one reply. Fails if the client reads too slowly, as unwritten replies occupy memory.
 async fn write_reply(
     limits: &ClientLimits,
     connection: &Connection,
@@ -44,11 +44,11 @@
     Ok(())
 }
 
-/// A reply that counts as unwritten until it is dropped, whatever happens to the connection.
-struct CountedReply<'a>(&'a Connection);
+/// Counts a reply as unwritten until the guard is dropped, even if the write fails or is cancelled.
+struct UnwrittenReplyGuard<'a>(&'a Connection);
 
-impl Drop for CountedReply<'_> {
+impl Drop for UnwrittenReplyGuard<'_> {
     fn drop(&mut self) {
-        self.0.reply_written();
+        self.0.decrement_unwritten_replies();
     }
 }
--- a/crates/router/tests/unit/downstream_connections.rs
+++ b/crates/router/tests/unit/downstream_connections.rs
@@ -87,10 +87,10 @@
 #[test]
 fn a_half_closed_connection_is_cut_after_the_least_linger_time_only() {
     let (connection, _client) = connect();
-    assert!(!connection.cut(Duration::ZERO), "it is open");
+    assert!(!connection.end_if_lingered(Duration::ZERO), "it is open");
     connection.half_close();
-    assert!(!connection.cut(Duration::from_secs(3600)));
-    assert!(connection.cut(Duration::ZERO));
+    assert!(!connection.end_if_lingered(Duration::from_secs(3600)));
+    assert!(connection.end_if_lingered(Duration::ZERO));
     async_io::block_on(connection.discard_until_closed(64)).unwrap();
 }
 
