--- a/crates/router/src/discovery/apply.rs
+++ b/crates/router/src/discovery/apply.rs
@@ -1,4 +1,4 @@
-//! Applies watch events.
+//! Applies the events of the change stream.
 
 use tindoor::host::{EndpointId, EndpointState, EndpointUpdate, ListUpdateKind, stable_id};
 use tindoor_discovery::{EndpointEntry, EndpointList, EndpointPhase, Purge, WatchEvent};
@@ -6,12 +6,12 @@
 
 use crate::state::RouterState;
 
-/// The index that the routing engine takes for an unknown location or kind.
+/// The index that stands for an unknown location or kind in the routing engine.
 const UNKNOWN_INDEX: u8 = u8::MAX;
-/// The participant that the change stream is to the estimate of the clock's offset.
+/// The id of the change stream among the participants of the clock offset estimate.
 const CHANGE_STREAM_CLOCK: u64 = 0;
 
-/// Applies one event to the connections, the routing engine and the requests that proxies carry out.
+/// Applies one event to the connections, the routing engine, and the requests that external proxies execute.
 pub fn apply_event(state: &RouterState, event: WatchEvent) {
     tracing::debug!(?event);
     if let Some(list) = event.endpoints {
@@ -22,6 +22,7 @@
     }
 }
 
+/// Applies an endpoint list and withdraws the external decisions for endpoints that are no longer ready.
 fn apply_endpoint_list(state: &RouterState, list: &EndpointList) {
     let updates: Vec<_> = list.entries.iter().filter_map(|entry| apply_entry(state, entry)).collect();
     if list.complete {
@@ -41,7 +42,11 @@
     let endpoint_state = state_of(entry);
     let address = entry.address.parse().ok();
     if address.is_none() {
-        tracing::warn!(id = entry.id, address = entry.address, "endpoint without a usable address");
+        tracing::warn!(
+            id = entry.id,
+            address = entry.address,
+            "endpoint address can't be parsed; attempts at this endpoint will fail"
+        );
     }
     let is_referenced = |endpoint: EndpointId| state.engine.is_referenced(endpoint);
     let endpoint = state.endpoints.apply_update(&entry.id, address, endpoint_state, is_referenced)?;
@@ -70,18 +75,20 @@
     }
 }
 
+/// Returns the index of a name, or `UNKNOWN_INDEX`.
 fn index_of(names: &[String], name: &str) -> u8 {
     let index = names.iter().position(|known| known == name);
     index.and_then(|index| u8::try_from(index).ok()).unwrap_or(UNKNOWN_INDEX)
 }
 
+/// Applies a purge and withdraws the external decisions for purged objects.
 fn apply_purge(state: &RouterState, purge: &Purge) {
     let object = match purge.object_id() {
         Ok(object) => object,
-        Err(error) => return tracing::warn!(%error, "purge ignored"),
+        Err(error) => return tracing::warn!(%error, "purge with an invalid object id ignored"),
     };
     let Some(group) = purge.group.or(object.map(|_| 0)) else {
-        return tracing::warn!("purge of neither object nor group ignored");
+        return tracing::warn!("purge without object and group ignored");
     };
     state.endpoints.record_purge();
     let now = state.engine.clock.now();
--- a/crates/router/src/discovery/mod.rs
+++ b/crates/router/src/discovery/mod.rs
@@ -1,5 +1,5 @@
 //! The discovery watch: follows the change stream and applies its events to the connections, the routing
-//! engine and the requests that proxies carry out.
+//! engine, and the requests that external proxies execute.
 
 mod apply;
 mod watch;
--- a/crates/router/src/discovery/watch.rs
+++ b/crates/router/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the change stream over one connection after another.
+//! Follows the change stream and reconnects whenever the connection ends.
 
 use std::convert::Infallible;
 use std::io;
@@ -23,12 +23,12 @@
     Io(#[from] io::Error),
     #[error("{0}")]
     Watch(#[from] WatchError),
-    #[error("closed by the other side")]
+    #[error("the server of the change stream closed the connection")]
     Closed,
 }
 
-/// Follows the change stream from the known position on; never returns. It may be dropped at any time, and
-/// another watch may take its place.
+/// Follows the change stream from the current position; never returns. May be dropped at any time and
+/// replaced by another watch.
 pub async fn watch(state: Rc<RouterState>, address: SocketAddr) -> Infallible {
     let reconnect_log = LogThrottle::default();
     loop {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Follows one connection to its end.
+/// Connects, subscribes from the current position, and applies events until the connection ends.
 async fn follow_connection(state: &RouterState, address: SocketAddr) -> Result<Infallible, ConnectionEnd> {
     let limits = state.limits.watch;
     let mut stream = with_timeout(limits.connect_timeout, Async::<TcpStream>::connect(address)).await?;
@@ -57,13 +57,14 @@
     Err(ConnectionEnd::Closed)
 }
 
+/// Applies one line of the change stream and advances the position. An error closes the connection.
 fn apply_line(state: &RouterState, line: &[u8]) -> Result<(), WatchError> {
     let progress = state.watch_position.borrow_mut().accept_line(line)?;
     match progress {
         Progress::UpToDate => {}
         Progress::Event(event) => apply_event(state, event),
         Progress::Skipped(error) => {
-            tracing::warn!(%error, "discovery line can't be parsed; skipped");
+            tracing::warn!(%error, "line of the change stream can't be parsed; skipped");
         }
     }
     Ok(())
@@ -77,15 +78,17 @@
 }
 
 impl LineReader {
-    /// The next line; `None` where the other side has closed. The time for a line bounds the whole of it, so
-    /// that bytes that trickle in don't keep the endpoint list out of date.
+    /// Returns the next line; `None` if the server has closed the connection. `line_timeout` limits the time
+    /// for a whole line: a connection on which bytes arrive, but no complete line, would otherwise leave the
+    /// endpoint list out of date.
     async fn next_line(&mut self) -> io::Result<Option<Vec<u8>>> {
         let begun = Instant::now();
         loop {
             if let Some(line) = tindoor_discovery::take_line(&mut self.buffer) {
                 return Ok(Some(line));
             }
-            // The rest of a line over the limit is dropped: the line fails to parse, and the next ones don't.
+            // Discards the rest of a line over the limit: this line then fails to parse, but the next ones
+            // don't.
             self.buffer.truncate(self.limits.max_line_bytes);
             let filled = self.buffer.len();
             self.buffer.resize(filled + self.limits.read_chunk_bytes, 0);
