--- a/crates/router/src/server/files.rs
+++ b/crates/router/src/server/files.rs
@@ -1,4 +1,4 @@
-//! Loads the files that the command line names.
+//! Loads the files named on the command line.
 
 use std::ffi::OsStr;
 
@@ -7,18 +7,18 @@
 use crate::configuration::{Configuration, Fronts, line_of_value};
 use crate::operator::command_line::Files;
 
-/// What a start reads.
+/// The contents of the files that a start reads.
 pub struct LoadedFiles {
     /// The router's configuration.
     pub configuration: Configuration,
-    /// The fronts file, empty where there is none.
+    /// The fronts file; empty if none is given.
     pub fronts: Fronts,
 }
 
 /// Loads the configuration and the fronts file.
 pub fn load_files(files: &Files) -> Result<LoadedFiles> {
     let path =
-        files.configuration().context("no configuration: name its file as argument or in PROXY_CONFIG")?;
+        files.configuration().context("no configuration: give its file as an argument or in PROXY_CONFIG")?;
     let configuration = load_configuration(&path)?;
     let fronts = match &files.fronts {
         Some(path) => {
@@ -31,7 +31,7 @@
     Ok(LoadedFiles { configuration, fronts })
 }
 
-/// Loads the configuration; an error names the file, the line and the key.
+/// Loads the configuration. Errors name the file and, for an invalid value, its line and key.
 pub fn load_configuration(path: &OsStr) -> Result<Configuration> {
     let file = path.display();
     let text = std::fs::read(path).with_context(|| format!("configuration {file}"))?;
@@ -44,7 +44,7 @@
     })
 }
 
-/// How many descriptors the system allows this process.
+/// Returns the number of file descriptors that the system allows this process.
 fn descriptors_allowed() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     limit.current.and_then(|count| usize::try_from(count).ok()).unwrap_or(usize::MAX)
--- a/crates/router/src/server/mod.rs
+++ b/crates/router/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The router as a process: composes its parts, reloads its configuration, and shuts it down.
+//! The router process: starts the router's parts, reloads its configuration, and shuts it down.
 
 mod files;
 mod reload;
@@ -20,14 +20,14 @@
 use reload::Reloader;
 use shutdown::Shutdown;
 
-/// Reads the files and serves until SIGTERM or SIGINT.
+/// Loads the files and serves until SIGTERM or SIGINT.
 pub fn start(files: Files) -> Result<()> {
     let loaded = load_files(&files)?;
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(Rc::clone(&executor), files, loaded)))
 }
 
-/// Checks everything that a start would read, the keys of signed URLs included.
+/// Validates everything that a start would read, including the keys of signed URLs.
 pub fn check(files: &Files) -> Result<()> {
     let LoadedFiles { configuration, fronts } = load_files(files)?;
     if let Some(settings) = fronts.signed_urls {
@@ -40,14 +40,14 @@
 }
 
 async fn run(executor: Rc<LocalExecutor<'static>>, files: Files, loaded: LoadedFiles) -> Result<()> {
-    // Before anything else: a signal that is not subscribed to ends the process.
+    // Must come first: a signal without a subscription terminates the process.
     let reload_signals = signals::subscribe(&[Signal::Hup]).context("signals")?;
     let mut stop_signals = signals::subscribe(&[Signal::Term, Signal::Int]).context("signals")?;
     let LoadedFiles { mut configuration, mut fronts } = loaded;
     let state = startup::create_state(&executor, &mut configuration, &mut fronts)?;
     let bind = async { Some(crate::downstream::bind(configuration.listen, &state.limits).await) };
-    // Stopped while it waits for its address, the router has nothing to shut down.
-    let Some(socket) = future::or(until_first(&mut stop_signals), bind).await else { return Ok(()) };
+    // If a stop signal arrives while the router waits for its address, there is nothing to shut down.
+    let Some(socket) = future::or(wait_for_signal(&mut stop_signals), bind).await else { return Ok(()) };
     let socket = socket.with_context(|| format!("listen: {}", configuration.listen))?;
     let bound = socket.get_ref().local_addr().context("listen")?;
     let connections = Rc::new(Connections::default());
@@ -71,8 +71,8 @@
     Ok(())
 }
 
-/// Gives nothing once the first signal has come.
-async fn until_first<T>(signals: &mut Signals) -> Option<T> {
+/// Waits for the first signal, then returns `None`.
+async fn wait_for_signal<T>(signals: &mut Signals) -> Option<T> {
     signals.next().await;
     None
 }
--- a/crates/router/src/server/reload.rs
+++ b/crates/router/src/server/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration again on SIGHUP.
+//! Reloads the configuration and the keys of signed URLs on SIGHUP.
 
 use std::convert::Infallible;
 use std::ffi::OsString;
@@ -15,7 +15,7 @@
 use crate::signed_urls::SignedUrls;
 use crate::state::RouterState;
 
-/// Applies a changed configuration: of its settings, the address of the change stream alone.
+/// Applies a changed configuration. Only the address of the change stream takes effect without a restart.
 pub struct Reloader {
     state: Rc<RouterState>,
     path: OsString,
@@ -25,7 +25,7 @@
 }
 
 impl Reloader {
-    /// Starts the discovery watch at this address.
+    /// Creates a reloader and starts the discovery watch of the change stream at `discovery`.
     pub fn start(
         state: Rc<RouterState>,
         path: OsString,
@@ -36,22 +36,22 @@
         Self { state, path, discovery, watch_task, fixed }
     }
 
-    /// Reloads at each signal, during a shutdown as well.
+    /// Reloads on each signal, including during a shutdown.
     pub async fn run(mut self, mut signals: Signals) {
         while signals.next().await.is_some() {
             self.reload();
         }
     }
 
-    /// Reloads keys and configuration. A file that can't be used changes nothing.
+    /// Reloads the keys and the configuration. An invalid file changes nothing.
     fn reload(&mut self) {
         if let Some(Err(error)) = self.state.signed_urls.as_ref().map(SignedUrls::reload_keys) {
-            tracing::error!("keys not read again, the old ones stay: {error:#}");
+            tracing::error!("keys not read again, the old ones stay in effect: {error:#}");
         }
         let configuration = match load_configuration(&self.path) {
             Ok(configuration) => configuration,
             Err(error) => {
-                tracing::error!("configuration not reloaded, the old one stays: {error:#}");
+                tracing::error!("configuration not reloaded, the old one stays in effect: {error:#}");
                 return;
             }
         };
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Replaces the watch. Its connection is dropped as it is: it may be silent, or still be established.
+    /// Replaces the watch. The old watch is dropped without waiting for its connection, which may be silent
+    /// or not established yet.
     fn restart_watch(&mut self) {
         let watch = watch(Rc::clone(&self.state), self.discovery);
         self.watch_task = self.state.executor.spawn(watch);
--- a/crates/router/src/server/shutdown.rs
+++ b/crates/router/src/server/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: answers what still comes, closes each connection in order, and ends before the process
-//! is killed.
+//! Graceful shutdown: answers requests that still arrive, closes each connection without a reset, and
+//! finishes before the process is killed.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -12,9 +12,9 @@
 use crate::downstream::{Connections, Listener};
 use crate::state::RouterState;
 
-/// What a shutdown works on.
+/// A graceful shutdown.
 pub struct Shutdown<'a> {
-    /// What the tasks share.
+    /// The state that the tasks share.
     pub state: &'a RouterState,
     /// The clients' connections.
     pub connections: &'a Connections,
@@ -47,12 +47,13 @@
         Timer::after(self.state.limits.poll_interval).await;
     }
 
-    /// Requests are in flight, or their replies unwritten.
+    /// Returns whether requests are in flight or replies are unwritten.
     fn is_busy(&self) -> bool {
         self.state.engine.open_requests() > 0 || self.connections.unwritten_replies() > 0
     }
 
-    /// Goes on serving for the least time, and then until nothing is in flight or the deadline is reached.
+    /// Continues serving for the minimum duration, and then until nothing is in flight or the deadline is
+    /// reached.
     async fn serve_remaining(&self, begun: Instant, deadline: Instant) {
         let min_duration = self.state.limits.shutdown.min_duration;
         while begun.elapsed() < min_duration || self.is_busy() && Instant::now() < deadline {
@@ -60,8 +61,7 @@
         }
     }
 
-    /// Accepts the connections that wait, and closes each on which nothing is owed, until all are closed or
-    /// the deadline is reached.
+    /// Accepts pending connections and closes idle ones, until all are closed or the deadline is reached.
     async fn close_idle_connections(&self, listener: &Listener, deadline: Instant) {
         loop {
             let none_pending = listener.accept_pending();
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Fails the requests still in flight, which answers them, and waits for the last replies to be written.
+    /// Abandons the requests still in flight, which sends their replies, and waits until the last replies are
+    /// written.
     async fn abandon_requests(&self) {
         self.state.engine.abandon_all();
         self.connections.close_all();
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Tells the fleet that this router leaves; only now, as its lease ends with it.
+    /// Leaves the fleet. This is the last step, as it ends the router's lease.
     async fn leave_fleet(&self) {
         if let Some(fleet) = &self.state.fleet {
             fleet.with_node(Node::leave);
--- a/crates/router/src/server/signals.rs
+++ b/crates/router/src/server/signals.rs
@@ -1,4 +1,4 @@
-//! Signals to the process.
+//! Subscribes to signals.
 
 use std::io;
 
@@ -6,9 +6,9 @@
 
 /// Subscribes to these signals.
 ///
-/// Not inlined, as a workaround for tools between the router and the system that check more of a register
-/// than the system does: inlined into a task, the descriptor that is passed to the C library shares its
-/// register with other bits. See `docs/incidents/2026-12-02-signals-refused.md`.
+/// Not inlined, as a workaround for tools between the router and the operating system that check more bits of
+/// a register than the system does: if inlined into a task, the descriptor that is passed to the C library
+/// shares its register with other bits. See `docs/incidents/2026-12-02-signals-refused.md`.
 #[inline(never)]
 pub fn subscribe(signals: &[Signal]) -> io::Result<Signals> {
     Signals::new(signals.iter().copied())
--- a/crates/router/src/server/startup.rs
+++ b/crates/router/src/server/startup.rs
@@ -1,5 +1,4 @@
-//! Creates the parts of the router from the configuration, and the tasks that run beside the listener for
-//! clients.
+//! Creates the parts of the router from the configuration, and the background tasks.
 
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
@@ -24,14 +23,14 @@
 use crate::state::RouterState;
 use crate::upstream::{EndpointPool, MemoryBudget};
 
-/// Creates the parts that all tasks share, and applies the events that the configuration holds.
+/// Creates the state that all tasks share, and applies the initial events of the configuration.
 pub fn create_state(
     executor: &Rc<LocalExecutor<'static>>,
     configuration: &mut Configuration,
     fronts: &mut Fronts,
 ) -> Result<Rc<RouterState>> {
     let limits = limits_with_proxies(configuration.limits, fronts);
-    // For the jitter of reconnects; the routing engine has a generator of its own.
+    // This generator makes the jitter of reconnects; the routing engine has its own.
     fastrand::seed(configuration.seed);
     let engine = Rc::new(EngineHandle::start(configuration.engine_settings.clone(), configuration.seed));
     let in_flight_ids = InFlightIds::default();
@@ -72,7 +71,7 @@
     Ok(state)
 }
 
-/// The limits, with the connections of proxies taken out of those for clients.
+/// Returns the limits, with the connections reserved for proxies subtracted from those for clients.
 fn limits_with_proxies(mut limits: Limits, fronts: &Fronts) -> Limits {
     if fronts.external_processing.is_some() || fronts.call.is_some() {
         let remaining = limits.client.max_connections.saturating_sub(limits.proxy.max_connections);
@@ -81,7 +80,7 @@
     limits
 }
 
-/// Joins the fleet of the fronts file, and lets it admit requests.
+/// Joins the fleet that the fronts file configures, if any, and makes it the gate that admits requests.
 fn start_fleet(
     executor: &Rc<LocalExecutor<'static>>,
     engine: &Rc<EngineHandle>,
@@ -122,7 +121,7 @@
     executor.spawn(task).detach();
 }
 
-/// Where the fleet shares out new connections, has each of them be charged.
+/// In a fleet, charges each new endpoint connection against the router's quota.
 fn limit_connections_by_quota(state: &RouterState) {
     if let Some(fleet) = state.fleet.clone() {
         state.endpoints.set_connection_quota(move |endpoint| fleet.charge_connection(endpoint));
@@ -133,7 +132,7 @@
     events.into_iter().for_each(|event| apply_event(state, event));
 }
 
-/// Listens for proxies, as the fronts file says.
+/// Starts the listeners for external proxies that the fronts file configures.
 pub fn listen_for_proxies(state: &Rc<RouterState>, fronts: Fronts) -> Result<()> {
     if let Some(front) = fronts.external_processing {
         let listener = bind_front("external_processing", front.listen)?;
@@ -157,7 +156,7 @@
     Ok(listener)
 }
 
-/// Spawns the tasks that act at a time of their own.
+/// Spawns the tasks that are driven by timers.
 pub fn spawn_timers(state: &Rc<RouterState>) {
     let engine = Rc::clone(&state.engine);
     state.executor.spawn(async move { engine.run_timers().await }).detach();
