--- a/crates/router/src/log_throttle.rs
+++ b/crates/router/src/log_throttle.rs
@@ -2,14 +2,14 @@
 
 use std::cell::Cell;
 
-/// Counts occurrences of one condition and has them logged each time that their number has doubled.
+/// Counts the occurrences of one condition and limits its log to each doubling of their number.
 #[derive(Default)]
 pub struct LogThrottle {
     occurrences: Cell<u64>,
 }
 
 impl LogThrottle {
-    /// Counts one occurrence; the number of them where this one is to be logged.
+    /// Counts one occurrence. Returns the total number if this occurrence should be logged, otherwise `None`.
     pub fn record(&self) -> Option<u64> {
         let occurrences = self.occurrences.get() + 1;
         self.occurrences.set(occurrences);
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the router share.
+//! The state that the tasks of the router share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 use crate::signed_urls::SignedUrls;
 use crate::upstream::{EndpointPool, MemoryBudget};
 
-/// What the tasks of the router share. All of them run on one thread.
+/// The state that the tasks of the router share. All tasks run on one thread.
 pub struct RouterState {
     /// Runs the tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Sizes, counts and times.
+    /// The limits of sizes, counts and times.
     pub limits: Limits,
-    /// Request classes, in the order of the engine's settings.
+    /// The request classes, in the order of the engine's settings.
     pub classes: Vec<RequestClass>,
     /// The names of the locations, in the order of the engine's settings.
     pub locations: Vec<String>,
@@ -30,31 +30,31 @@
     pub endpoint_kinds: Vec<String>,
     /// The routing engine.
     pub engine: Rc<EngineHandle>,
-    /// Requests that proxies carry out.
+    /// The requests that external proxies execute.
     pub external: Rc<ExternalProcessing>,
-    /// The fleet that this router belongs to.
+    /// The fleet that this router belongs to, if any.
     pub fleet: Option<Rc<Fleet>>,
-    /// Checks signed URLs, where they are configured.
+    /// Verifies signed URLs; `None` if they are not configured.
     pub signed_urls: Option<SignedUrls>,
-    /// The ids of requests in flight, of all listeners together.
+    /// The ids of the requests in flight, across all listeners.
     pub in_flight_ids: InFlightIds,
-    /// Connections to endpoints.
+    /// The endpoints and the connections to them.
     pub endpoints: EndpointPool,
-    /// The memory for frames and bodies.
+    /// The memory budget for frames and bodies.
     pub memory: Rc<MemoryBudget>,
-    /// Counts requests and connections that were rejected for want of capacity.
+    /// Throttles the log of requests and connections rejected for lack of capacity.
     pub overload_log: LogThrottle,
-    /// Counts messages that could not be parsed.
+    /// Throttles the log of messages that could not be parsed.
     pub malformed_log: LogThrottle,
-    /// How far the change stream has been applied.
+    /// The position up to which the change stream has been applied.
     pub watch_position: RefCell<WatchPosition>,
-    /// When all requests are to be answered, once a shutdown has begun.
+    /// The time by which all requests must be answered; `None` until a shutdown begins.
     pub shutdown_deadline: Cell<Option<Instant>>,
 }
 
 impl RouterState {
-    /// Whether this router is to get requests: it is not shutting down, and has a lease where it belongs to a
-    /// fleet.
+    /// Returns whether this router should receive requests: it is not shutting down and, in a fleet, has a
+    /// lease.
     pub fn is_healthy(&self) -> bool {
         self.shutdown_deadline.get().is_none() && self.fleet.as_ref().is_none_or(|fleet| fleet.is_available())
     }
--- a/crates/router/src/timeout.rs
+++ b/crates/router/src/timeout.rs
@@ -7,9 +7,9 @@
 use async_io::Timer;
 use futures_lite::future;
 
-/// Runs an operation with a time limit; the error has the kind `TimedOut` where the limit ends it.
+/// Runs an operation with a time limit. If it does not finish in time, returns an error of kind `TimedOut`.
 ///
-/// A timer costs a system call, so there is none for an operation that is ready at once.
+/// A timer costs a system call, so no timer is created for an operation that is ready at once.
 pub async fn with_timeout<T>(
     limit: Duration,
     operation: impl Future<Output = io::Result<T>>,
@@ -20,7 +20,7 @@
     }
     let timeout = async {
         Timer::after(limit).await;
-        Err(io::Error::new(io::ErrorKind::TimedOut, "not in time"))
+        Err(io::Error::new(io::ErrorKind::TimedOut, "timed out"))
     };
     future::or(operation, timeout).await
 }
