--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -132,10 +132,10 @@
 
     /// Like `is_idle`, but ignores a partial frame that has been read.
     fn is_quiet(&self) -> bool {
-        self.phase.get() == Phase::Open && !self.owes_replies() && !self.has_unread_bytes.get()
+        self.phase.get() == Phase::Open && !self.has_outstanding_replies() && !self.has_unread_bytes.get()
     }
 
-    fn owes_replies(&self) -> bool {
+    fn has_outstanding_replies(&self) -> bool {
         !self.open_calls.borrow().is_empty() || !self.replies.borrow().is_empty() || self.is_writing.get()
     }
 
