--- a/crates/router/tests/unit/downstream_connections.rs
+++ b/crates/router/tests/unit/downstream_connections.rs
@@ -1,4 +1,4 @@
-//! Which connection makes room, and how connections are closed.
+//! Selecting connections to close, and closing them.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -15,7 +15,7 @@
 /// A frame of one byte.
 const FRAME: [u8; 5] = [0, 0, 0, 1, 7];
 
-/// Both ends of a connection.
+/// Returns both ends of a new connection.
 fn connect() -> (Rc<Connection>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -32,7 +32,7 @@
     let (connection, _client) = connect();
     connection.send(aborted(1, &[]), None);
     assert!(async_io::block_on(connection.next_reply()).is_some());
-    assert!(!connection.is_idle(), "a call that comes now would be lost by a close");
+    assert!(!connection.is_idle(), "a call that arrives now would be lost by a close");
     assert!(async_io::block_on(future::poll_once(connection.next_reply())).is_none());
     assert!(connection.is_idle());
 }
@@ -45,7 +45,7 @@
     assert!(!close_idle_connection(&[Rc::clone(&connection)], &limits()));
     assert_eq!(connection.phase(), Phase::Open);
     let mut frames = FrameReader::new(&connection, limits());
-    assert!(async_io::block_on(frames.next_frame()).unwrap().is_some(), "it is read as ever");
+    assert!(async_io::block_on(frames.next_frame()).unwrap().is_some(), "the call is still read");
 }
 
 #[test]
@@ -55,14 +55,14 @@
     client.write_all(&FRAME).unwrap();
     async_io::block_on(connection.stream.readable()).unwrap();
     let mut frames = FrameReader::new(&connection, limits());
-    assert!(async_io::block_on(frames.next_frame()).unwrap().is_none(), "no frame is read any more");
-    assert_eq!(client.read(&mut [0]).unwrap(), 0, "an orderly end");
+    assert!(async_io::block_on(frames.next_frame()).unwrap().is_none(), "frames are no longer read");
+    assert_eq!(client.read(&mut [0]).unwrap(), 0, "the connection ends without a reset");
     client.shutdown(std::net::Shutdown::Write).unwrap();
     async_io::block_on(connection.discard_until_closed(64)).unwrap();
 }
 
 #[test]
-fn an_incomplete_frame_protects_a_new_connection_for_a_limited_time_only() {
+fn an_incomplete_first_frame_prevents_eviction_only_until_the_first_call_timeout() {
     let (active, mut active_client) = connect();
     let (fresh, mut fresh_client) = connect();
     active.record_frame(Instant::now());
@@ -73,21 +73,21 @@
         async_io::block_on(connection.stream.readable()).unwrap();
         let mut frames = FrameReader::new(connection, limits());
         let mut next = pin!(frames.next_frame());
-        // Some turns: it reads what is there, and waits for the rest.
+        // Polls several times, so that the reader reads what has arrived and waits for the rest.
         (0..4).for_each(|_| assert!(async_io::block_on(future::poll_once(next.as_mut())).is_none()));
     }
     let connections = [Rc::clone(&active), Rc::clone(&fresh)];
-    let patient = ClientLimits { first_call_timeout: Duration::from_secs(3600), ..limits() };
-    assert!(!close_idle_connection(&connections, &patient), "both may be sending a call");
-    let late = ClientLimits { first_call_timeout: Duration::ZERO, ..limits() };
-    assert!(close_idle_connection(&connections, &late));
+    let long_timeout = ClientLimits { first_call_timeout: Duration::from_secs(3600), ..limits() };
+    assert!(!close_idle_connection(&connections, &long_timeout), "both may be sending a call");
+    let no_timeout = ClientLimits { first_call_timeout: Duration::ZERO, ..limits() };
+    assert!(close_idle_connection(&connections, &no_timeout));
     assert_eq!([active.phase(), fresh.phase()], [Phase::Open, Phase::HalfClosed]);
 }
 
 #[test]
-fn a_half_closed_connection_is_cut_after_the_least_linger_time_only() {
+fn a_half_closed_connection_is_ended_only_after_the_minimum_linger_time() {
     let (connection, _client) = connect();
-    assert!(!connection.end_if_lingered(Duration::ZERO), "it is open");
+    assert!(!connection.end_if_lingered(Duration::ZERO), "the connection is open");
     connection.half_close();
     assert!(!connection.end_if_lingered(Duration::from_secs(3600)));
     assert!(connection.end_if_lingered(Duration::ZERO));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_client_that_closed_is_known_to_have_left_before_its_close_is_read() {
+fn a_client_that_closed_no_longer_waits_even_before_its_close_is_read() {
     let (connection, client) = connect();
     let max_read_backlog = Duration::from_secs(3600);
     assert!(connection.is_client_waiting(max_read_backlog));
--- a/crates/router/tests/unit/upstream_pool.rs
+++ b/crates/router/tests/unit/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! When a connection to an endpoint is used again.
+//! Reuse of idle connections to an endpoint.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -10,14 +10,14 @@
 const LONG: Duration = Duration::from_secs(3600);
 
 /// A pool with one idle connection.
-struct Idle {
+struct Fixture {
     pool: EndpointPool,
     endpoint: EndpointId,
     /// The endpoint's end of the connection.
     peer: TcpStream,
 }
 
-fn with_idle_connection(reuse_delay: Duration) -> Idle {
+fn pool_with_idle_connection(reuse_delay: Duration) -> Fixture {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let defaults = Limits::new(LimitInputs::default()).upstream;
@@ -27,19 +27,19 @@
     let connection = async_io::block_on(pool.connect(endpoint)).ok().unwrap();
     let peer = listener.accept().unwrap().0;
     pool.put_back(endpoint, connection);
-    Idle { pool, endpoint, peer }
+    Fixture { pool, endpoint, peer }
 }
 
 #[test]
 fn a_connection_is_not_reused_before_the_reuse_delay_and_stays_open() {
-    let Idle { pool, endpoint, peer: _peer } = with_idle_connection(LONG);
+    let Fixture { pool, endpoint, peer: _peer } = pool_with_idle_connection(LONG);
     assert!(pool.take_idle(endpoint).is_none());
     assert_eq!(pool.open_connections.get(), 1);
 }
 
 #[test]
-fn a_surplus_response_closes_an_idle_connection() {
-    let Idle { pool, endpoint, mut peer } = with_idle_connection(Duration::ZERO);
+fn surplus_bytes_close_an_idle_connection() {
+    let Fixture { pool, endpoint, mut peer } = pool_with_idle_connection(Duration::ZERO);
     peer.write_all(b"HTTP/1.1 200 X\r\n").unwrap();
     {
         let table = pool.table.borrow();
@@ -51,6 +51,6 @@
 
 #[test]
 fn a_quiet_connection_is_reused_after_the_reuse_delay() {
-    let Idle { pool, endpoint, peer: _peer } = with_idle_connection(Duration::ZERO);
+    let Fixture { pool, endpoint, peer: _peer } = pool_with_idle_connection(Duration::ZERO);
     assert!(pool.take_idle(endpoint).is_some());
 }
