--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The bytes that the router process exchanges with clients and caches, compared with the recorded files in
-//! `tests/golden/`. What differs from run to run is replaced by a placeholder in capitals.
+//! `tests/golden/`. Values that differ between runs are replaced by placeholders in capitals.
 //!
-//! To record the files anew: `cargo test -p tindoor-router --test golden -- --ignored record`
+//! To record the files again: `cargo test -p tindoor-router --test golden -- --ignored record`
 
 #[path = "../../testbed/tests/support/golden.rs"]
 mod golden;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn answers_and_requests_are_as_recorded() {
+fn replies_and_requests_are_as_recorded() {
     golden::compare(&recordings());
 }
 
@@ -41,12 +41,12 @@
     golden::record(&recordings());
 }
 
-/// One section of a recorded file: what is tested, and the bytes.
+/// Returns one section of a recorded file: a title and the bytes.
 fn section(title: &str, bytes: &str) -> String {
     format!("{title}\n    {bytes}\n")
 }
 
-/// The bytes of the next frame to the client, with its length.
+/// Reads the next frame to the client, including its length prefix.
 fn next_frame(client: &mut Client) -> Vec<u8> {
     let mut frame = vec![0; 4];
     client.0.read_exact(&mut frame).expect("the length of a frame");
@@ -56,8 +56,9 @@
     frame
 }
 
-/// The bytes as text; the pause in milliseconds and the lengths that depend on its digits as placeholders.
-fn shown(frame: &[u8]) -> String {
+/// Returns the frame as text. The value of the field `pause`, in milliseconds, and the lengths that depend on
+/// its digits are replaced by placeholders.
+fn frame_text(frame: &[u8]) -> String {
     let name = b"\0\0\0\x05pause";
     let Some(start) = frame.windows(name.len()).position(|window| window == name) else {
         return frame.escape_ascii().to_string();
@@ -71,39 +72,39 @@
     format!("LENGTH{}LENGTHPAUSE{}", frame[4..length].escape_ascii(), rest.escape_ascii())
 }
 
-/// The answer to this request, as a section.
+/// Sends a request and returns the reply to it as a section.
 fn exchange(client: &mut Client, title: &str, request: &[u8]) -> String {
     client.send(request);
-    section(title, &shown(&next_frame(client)))
+    section(title, &frame_text(&next_frame(client)))
 }
 
 fn health() -> String {
     let request = frame(1, "health", 7, &[2, 0, 1, 1, 0]);
-    let world = world(|_| Behavior::Hang);
-    let mut client = Client::connect(&world.router);
+    let fixture = fixture(|_| Behavior::Hang);
+    let mut client = Client::connect(&fixture.router);
     let mut out = exchange(&mut client, "health", &request);
     client.request(1, OBJECT);
-    world.cache.requests(1);
-    world.router.terminate();
-    world.heeds("stopping");
-    let mut late = Client::connect(&world.router);
+    fixture.cache.requests(1);
+    fixture.router.terminate();
+    fixture.wait_for_log("stopping");
+    let mut late = Client::connect(&fixture.router);
     out += &exchange(&mut late, "health while the router stops", &request);
     out
 }
 
-/// A router whose every cache gives this answer.
-fn world_answering(bytes: Vec<u8>) -> World {
-    world(move |_| Behavior::Respond(bytes.clone()))
+/// Starts a fixture whose cache responds to each request with these bytes.
+fn fixture_responding(bytes: Vec<u8>) -> Fixture {
+    fixture(move |_| Behavior::Respond(bytes.clone()))
 }
 
-/// The answer of a new router with such a cache to one read.
+/// Returns the reply to one read, from a new router whose cache responds with these bytes, as a section.
 fn read_from(title: &str, bytes: Vec<u8>) -> String {
-    let world = world_answering(bytes);
-    let mut client = Client::connect(&world.router);
+    let fixture = fixture_responding(bytes);
+    let mut client = Client::connect(&fixture.router);
     exchange(&mut client, title, &call(21, &page(OBJECT, "600000"), b""))
 }
 
-/// The fields of a request of this class, with an idempotency key where there is one.
+/// Returns the fields of a request of this class, with the idempotency key if one is given.
 fn write_fields<'a>(class: &'a str, key: Option<&'a str>) -> Vec<(&'a str, &'a str)> {
     let others = page(OBJECT, "600000").into_iter().skip(1);
     [("route", class)].into_iter().chain(others).chain(key.map(|key| ("nonce", key))).collect()
@@ -115,16 +116,16 @@
     out += &read_from("fill", http_response(200, &head, b"the object"));
     out += &read_from("an empty body", served(b""));
     out += &read_from("not modified", http_response(304, "X-Remark: warm\r\n", b""));
-    let world = world(|_| Behavior::Hang);
-    let mut client = Client::connect(&world.router);
+    let fixture = fixture(|_| Behavior::Hang);
+    let mut client = Client::connect(&fixture.router);
     let request = call(-2, &write_fields("saves", Some(IDEMPOTENCY_KEY)), b"new");
     out += &exchange(&mut client, "a write with idempotency key", &request);
     out
 }
 
-/// A router without any endpoint, which tells clients when to come back or not.
-fn world_without_endpoints(retry_after: bool) -> World {
-    world_with(
+/// Starts a fixture without endpoints; `retry_after` switches the Retry-After of rejections on or off.
+fn fixture_without_endpoints(retry_after: bool) -> Fixture {
+    fixture_with(
         |_| Behavior::Hang,
         |configuration| {
             configuration["known"]["results"][0]["fleet"]["members"] = json!([]);
@@ -136,20 +137,20 @@
 fn rejected_requests() -> String {
     let mut out = String::new();
     for (title, retry_after) in [("no endpoint", true), ("no endpoint, pauses switched off", false)] {
-        let world = world_without_endpoints(retry_after);
-        let mut client = Client::connect(&world.router);
+        let fixture = fixture_without_endpoints(retry_after);
+        let mut client = Client::connect(&fixture.router);
         out += &exchange(&mut client, title, &call(21, &page(OBJECT, "3000"), b""));
     }
     out += &read_from("every endpoint rejects", http_response(503, "X-Shed: 1\r\n", b""));
-    let world = world(|_| Behavior::Hang);
-    let mut client = Client::connect(&world.router);
+    let fixture = fixture(|_| Behavior::Hang);
+    let mut client = Client::connect(&fixture.router);
     (1..=32).for_each(|seq| client.request(seq, OBJECT));
     out += &exchange(&mut client, "too many open requests", &call(33, &page(OBJECT, "3000"), b""));
     out
 }
 
-/// A request whose field of this name has another value, or is missing.
-fn changed(name: &str, value: Option<&str>) -> Vec<u8> {
+/// Returns a call whose field of this name has another value, or is missing if `value` is `None`.
+fn call_with_changed_field(name: &str, value: Option<&str>) -> Vec<u8> {
     let mut fields = page(OBJECT, "3000");
     fields.retain(|field| field.0 != name);
     fields.extend(value.map(|value| (name, value)));
@@ -157,11 +158,11 @@
 }
 
 fn aborted_requests() -> String {
-    let world = world(|_| Behavior::Hang);
-    let mut client = Client::connect(&world.router);
+    let fixture = fixture(|_| Behavior::Hang);
+    let mut client = Client::connect(&fixture.router);
     let mut out = String::new();
     for name in ["route", "trace", "patience", "entity", "chunk", "tag"] {
-        out += &exchange(&mut client, &format!("{name}: missing"), &changed(name, None));
+        out += &exchange(&mut client, &format!("{name}: missing"), &call_with_changed_field(name, None));
     }
     let long = "a".repeat(1000);
     for (name, values) in [
@@ -177,7 +178,7 @@
     ] {
         for value in values {
             let title = format!("{name}: {:?}", if value.len() > 99 { "over the limit" } else { value });
-            out += &exchange(&mut client, &title, &changed(name, Some(value)));
+            out += &exchange(&mut client, &title, &call_with_changed_field(name, Some(value)));
         }
     }
     let keyless = call(5, &write_fields("saves", None), b"new");
@@ -190,30 +191,31 @@
     out += &exchange(&mut client, "arguments nested too deep", &frame(1, "call", 6, &nested));
     out += &exchange(&mut client, "arguments cut short", &frame(1, "call", 6, &[13, 0, 1, 11]));
     out += &id_in_use();
-    out += &failed_without_promise();
+    out += &failed_after_possible_execution();
     out
 }
 
-/// A second request with the id of one that is open.
+/// Returns the reply to a second request with the id of one that is in flight, as a section.
 fn id_in_use() -> String {
-    let world = world(|_| Behavior::Hang);
-    let mut client = Client::connect(&world.router);
+    let fixture = fixture(|_| Behavior::Hang);
+    let mut client = Client::connect(&fixture.router);
     let mut fields = page(OBJECT, "600000");
     fields[1].1 = REQUEST_ID;
     client.send(&call(1, &fields, b""));
-    world.cache.requests(1);
+    fixture.cache.requests(1);
     exchange(&mut client, "an id that is in use", &call(2, &fields, b""))
 }
 
-/// A request that may have run, and that must not run twice.
-fn failed_without_promise() -> String {
-    let world = world(|_| Behavior::Reset);
-    let mut client = Client::connect(&world.router);
+/// Returns the reply to a non-idempotent request that may have run and therefore can't be retried, as a
+/// section.
+fn failed_after_possible_execution() -> String {
+    let fixture = fixture(|_| Behavior::Reset);
+    let mut client = Client::connect(&fixture.router);
     let request = call(3, &write_fields("orders", None), b"order");
     exchange(&mut client, "not idempotent, and its connection was reset", &request)
 }
 
-/// What still comes after these bytes are sent, and how the connection ends.
+/// Returns what the router still sends after receiving these bytes, and how the connection ends.
 fn end_after(router: &Router, title: &str, bytes: &[u8]) -> String {
     let mut client = Client::connect(router);
     client.send(bytes);
@@ -223,8 +225,8 @@
 }
 
 fn unreadable_frames() -> String {
-    let world = world(|_| Behavior::Hang);
-    let mut client = Client::connect(&world.router);
+    let fixture = fixture(|_| Behavior::Hang);
+    let mut client = Client::connect(&fixture.router);
     let mut out = exchange(&mut client, "an unknown method", &frame(1, "nonesuch", 4, &[0]));
     client.request(7, OBJECT);
     out += &exchange(&mut client, "a sequence number in use", &call(7, &page(OBJECT, "3000"), b""));
@@ -238,44 +240,44 @@
         ("an unknown method one-way", &one_way),
         ("an answer, then a frame of negative length", &answered),
     ] {
-        out += &end_after(&world.router, title, bytes);
+        out += &end_after(&fixture.router, title, bytes);
     }
     out
 }
 
-/// A stand-in cache that keeps the exact bytes of each request.
-struct ByteCache {
+/// A stand-in cache that records the exact bytes of each request.
+struct RecordingCache {
     address: SocketAddr,
     requests: Watched<Vec<Vec<u8>>>,
 }
 
-impl ByteCache {
+impl RecordingCache {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let requests = Watched::<Vec<Vec<u8>>>::default();
-        let kept = requests.clone();
+        let recorded = requests.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let kept = kept.clone();
-                std::thread::spawn(move || Self::answer_all(stream.unwrap(), &kept));
+                let recorded = recorded.clone();
+                std::thread::spawn(move || Self::answer_all(stream.unwrap(), &recorded));
             }
         });
         Self { address, requests }
     }
 
-    fn answer_all(mut stream: TcpStream, kept: &Watched<Vec<Vec<u8>>>) {
+    fn answer_all(mut stream: TcpStream, recorded: &Watched<Vec<Vec<u8>>>) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Some(request) = Self::request(&mut reader) {
-            kept.change(|kept| kept.push(request));
+        while let Some(request) = Self::read_request(&mut reader) {
+            recorded.change(|recorded| recorded.push(request));
             if stream.write_all(&served(b"x")).is_err() {
                 return;
             }
         }
     }
 
-    /// The next request, head and body; none at the end of the connection.
-    fn request(reader: &mut impl BufRead) -> Option<Vec<u8>> {
+    /// Reads the head and body of the next request; `None` at the end of the connection.
+    fn read_request(reader: &mut impl BufRead) -> Option<Vec<u8>> {
         let mut bytes = Vec::new();
         while !bytes.ends_with(b"\r\n\r\n") {
             reader.read_until(b'\n', &mut bytes).ok().filter(|size| *size > 0)?;
@@ -289,34 +291,34 @@
     }
 }
 
-/// The bytes of a request, with the time that is left as a placeholder.
-fn without_time_left(request: &[u8]) -> String {
+/// Returns the request as text, with the remaining time replaced by a placeholder.
+fn request_text(request: &[u8]) -> String {
     let text = request.escape_ascii().to_string();
-    let (before, rest) = text.split_once("X-Max-Ms: ").expect("the time that is left");
-    let (time_left, after) = rest.split_once("\\r").unwrap();
-    let time_left: u64 = time_left.parse().expect("milliseconds");
-    assert!((1..=3000).contains(&time_left), "{time_left}");
+    let (before, rest) = text.split_once("X-Max-Ms: ").expect("the remaining time");
+    let (time_remaining, after) = rest.split_once("\\r").unwrap();
+    let time_remaining: u64 = time_remaining.parse().expect("milliseconds");
+    assert!((1..=3000).contains(&time_remaining), "{time_remaining}");
     format!("{before}X-Max-Ms: MILLISECONDS\\r{after}")
 }
 
-/// The bytes of the first request of a new router to any of its endpoints.
+/// Returns the first request that a new router sends to any of its endpoints for a call, as a section.
 fn first_request(title: &str, fields: &[(&str, &str)], body: &[u8]) -> String {
-    let cache = ByteCache::start();
+    let cache = RecordingCache::start();
     let address = json!(cache.address.to_string());
     let point_to_cache = |configuration: &mut Value| {
-        let members = configuration["known"]["results"][0]["fleet"]["members"].as_array_mut().unwrap();
-        members.iter_mut().for_each(|member| member["host_port"] = address.clone());
+        let entries = configuration["known"]["results"][0]["fleet"]["members"].as_array_mut().unwrap();
+        entries.iter_mut().for_each(|member| member["host_port"] = address.clone());
     };
-    let world = world_with(|_| Behavior::Hang, point_to_cache);
-    let mut client = Client::connect(&world.router);
+    let fixture = fixture_with(|_| Behavior::Hang, point_to_cache);
+    let mut client = Client::connect(&fixture.router);
     client.send(&call(1, fields, body));
     next_frame(&mut client);
     let first = cache.requests.wait("a request", |requests| requests.first().cloned());
-    section(title, &without_time_left(&first))
+    section(title, &request_text(&first))
 }
 
-/// The fields with this id and a patience that is not cut.
-fn named<'a>(mut fields: Vec<(&'a str, &'a str)>) -> Vec<(&'a str, &'a str)> {
+/// Sets the request id to `REQUEST_ID` and the timeout to 3000 ms, below the limit.
+fn with_fixed_id_and_timeout<'a>(mut fields: Vec<(&'a str, &'a str)>) -> Vec<(&'a str, &'a str)> {
     for field in &mut fields {
         match field.0 {
             "trace" => field.1 = REQUEST_ID,
@@ -328,11 +330,11 @@
 }
 
 fn requests_to_a_cache() -> String {
-    let read = named(page(OBJECT, "3000"));
+    let read = with_fixed_id_and_timeout(page(OBJECT, "3000"));
     let known = [&read[..], &[("known", VERSION)]].concat();
     let repeated = [&read[..], &[("redo", "1")]].concat();
-    let write = named(write_fields("saves", Some(IDEMPOTENCY_KEY)));
-    let order = named(write_fields("orders", None));
+    let write = with_fixed_id_and_timeout(write_fields("saves", Some(IDEMPOTENCY_KEY)));
+    let order = with_fixed_id_and_timeout(write_fields("orders", None));
     let mut out = first_request("read", &read, b"");
     out += &first_request("read with the client's version", &known, b"");
     out += &first_request("read that is a repeat", &repeated, b"");
--- a/crates/router/tests/lifecycle.rs
+++ b/crates/router/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start and graceful shutdown of the process.
+//! Start and graceful shutdown of the router process.
 
 mod support;
 
@@ -12,35 +12,38 @@
 fn a_planned_restart_answers_open_and_new_requests() {
     let gate = Watched::default();
     let held = gate.clone();
-    let mut world = world(move |seen| match seen.request_line.contains(OBJECT) {
+    let mut fixture = fixture(move |request| match request.request_line.contains(OBJECT) {
         true => Behavior::RespondOnRelease(held.clone(), served(b"late")),
         false => Behavior::Respond(served(b"new")),
     });
-    let mut client = Client::connect(&world.router);
+    let mut client = Client::connect(&fixture.router);
     client.request(1, OBJECT);
-    world.cache.requests(1);
-    world.router.terminate();
-    world.router.log.wait("it to stop", |log| log.iter().any(|line| line.contains("stopping")).then_some(()));
-    let mut late = Client::connect(&world.router);
+    fixture.cache.requests(1);
+    fixture.router.terminate();
+    fixture
+        .router
+        .log
+        .wait("the shutdown to begin", |log| log.iter().any(|line| line.contains("stopping")).then_some(()));
+    let mut late = Client::connect(&fixture.router);
     assert!(!late.healthy(1));
     late.request(2, "00000000000000aa");
-    assert_eq!(late.reply(), (2, done(b"new")));
-    // It stays for as long as a request is open, well past the time in which new ones may come.
-    let (told, mut seq) = (Instant::now(), 2);
-    while told.elapsed() < Duration::from_millis(1500) {
+    assert_eq!(late.reply(), (2, served_reply(b"new")));
+    // The router keeps serving while a request is open, well beyond the minimum duration of a shutdown.
+    let (stopping_since, mut seq) = (Instant::now(), 2);
+    while stopping_since.elapsed() < Duration::from_millis(1500) {
         seq += 1;
         late.request(seq, "00000000000000aa");
-        assert_eq!(late.reply(), (seq, done(b"new")));
+        assert_eq!(late.reply(), (seq, served_reply(b"new")));
     }
     gate.release();
-    assert_eq!(client.reply(), (1, done(b"late")));
-    assert!(world.router.wait().success());
+    assert_eq!(client.reply(), (1, served_reply(b"late")));
+    assert!(fixture.router.wait().success());
     assert_eq!(client.reply_or_end(), None);
 }
 
 #[test]
-fn open_requests_are_answered_before_the_router_has_to_end() {
-    let mut world = world_with(
+fn open_requests_are_answered_before_the_shutdown_deadline() {
+    let mut fixture = fixture_with(
         |_| Behavior::Hang,
         |configuration| {
             for class in configuration["settings"]["request_classes"].as_array_mut().unwrap() {
@@ -48,16 +51,16 @@
             }
         },
     );
-    let mut client = Client::connect(&world.router);
+    let mut client = Client::connect(&fixture.router);
     client.request(1, OBJECT);
-    world.cache.requests(1);
-    world.router.terminate();
-    world.heeds("stopping");
+    fixture.cache.requests(1);
+    fixture.router.terminate();
+    fixture.wait_for_log("stopping");
     client.request(2, OBJECT);
-    // Both would wait for ten minutes, and it may be killed after 2.7 s.
-    let over = [client.reply(), client.reply()];
-    assert!(over.iter().all(|(_, reply)| is_over(reply)), "{over:?}");
-    assert!(world.router.wait().success());
+    // Both requests would wait for ten minutes, and the router may be killed after 2.7 s.
+    let replies = [client.reply(), client.reply()];
+    assert!(replies.iter().all(|(_, reply)| is_rejected_or_failed(reply)), "{replies:?}");
+    assert!(fixture.router.wait().success());
 }
 
 #[test]
@@ -79,10 +82,10 @@
         ("/settings/rules/drain_grace", Value::Null, "settings.rules.drain_grace: missing"),
         ("/settings/limits/connect_timeout", json!(0), "settings.limits.connect_timeout"),
     ];
-    for (place, value, named) in cases {
+    for (pointer, value, key) in cases {
         let mut bad = good.clone();
-        *bad.pointer_mut(place).unwrap() = value;
+        *bad.pointer_mut(pointer).unwrap() = value;
         let (status, text) = fails_with(&bad.to_string());
-        assert!(!status.success() && text.contains(named) && !text.contains("panicked"), "{place}: {text}");
+        assert!(!status.success() && text.contains(key) && !text.contains("panicked"), "{pointer}: {text}");
     }
 }
