--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -67,7 +67,7 @@
     /// When a frame was last read, a reply last written, or the connection half-closed; initially, when the
     /// connection was accepted.
     last_activity: Cell<Instant>,
-    /// The number of unwritten replies on all connections.
+    /// The number of unwritten replies on all connections together.
     unwritten_replies: Rc<Cell<usize>>,
 }
 
@@ -130,7 +130,7 @@
         self.is_quiet() && !self.has_sent_frame.get() && age >= first_call_timeout
     }
 
-    /// Like `is_idle`, but ignores a partial frame that has been read.
+    /// Like `is_idle`, but ignores bytes that were read and not dispatched yet.
     fn is_quiet(&self) -> bool {
         self.phase.get() == Phase::Open && !self.has_outstanding_replies() && !self.has_unread_bytes.get()
     }
--- a/crates/router/src/downstream/connections.rs
+++ b/crates/router/src/downstream/connections.rs
@@ -41,9 +41,9 @@
         self.unwritten_replies.get()
     }
 
-    /// Returns whether one more connection may be accepted. Closes an idle connection if too few are free or
-    /// being closed. If none is free, ends the connection that has been half-closed for longest, once it has
-    /// lingered for `min_linger`.
+    /// Returns whether one more connection may be accepted. Closes an evictable connection if at most
+    /// `reserved_connections` are free or being closed. If none is free, ends the connection that was
+    /// half-closed first, provided that it has lingered for `min_linger`.
     pub(super) fn make_room(&self, limits: &ClientLimits) -> bool {
         let all = self.all();
         let open = all.iter().filter(|connection| connection.phase() == Phase::Open).count();
@@ -60,7 +60,7 @@
         false
     }
 
-    /// Closes one idle connection, if there is any.
+    /// Closes one evictable connection, if there is any.
     pub(super) fn close_one(&self, limits: &ClientLimits) {
         close_idle_connection(&self.all(), limits);
     }
--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -14,7 +14,7 @@
 
 const OTHER: &str = "00000000000000aa";
 
-/// Returns a body that is longer than the buffers of a small client.
+/// Returns a body of the maximum length of a response, 240 000 bytes.
 fn long_body() -> Vec<u8> {
     (0..240_000u32).map(|i| (i * 7 % 251) as u8).collect()
 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends a stop signal and returns the time at which the shutdown was seen to have begun.
+    /// Sends a stop signal, waits until the shutdown has begun, and returns the current time.
     fn begin_shutdown(&self) -> Instant {
         self.router.terminate();
         self.wait_for_log("stopping");
@@ -143,7 +143,7 @@
     fixture.router.pause(true);
     drop(client);
     let requests = stuck.open();
-    stuck.accepted.wait("the connection to come up", |count| (*count > 0).then_some(()));
+    stuck.accepted.wait("the connection to be established", |count| (*count > 0).then_some(()));
     fixture.router.pause(false);
     fixture.wait_for_log(" ended ");
     let mut other = Client::connect(&fixture.router);
@@ -160,7 +160,7 @@
     fixture.router.pause(true);
     client.cancel(1);
     let requests = stuck.open();
-    stuck.accepted.wait("the connection to come up", |count| (*count > 0).then_some(()));
+    stuck.accepted.wait("the connection to be established", |count| (*count > 0).then_some(()));
     fixture.router.pause(false);
     fixture.wait_for_log(" ended ");
     client.request(3, OTHER);
--- a/crates/router/tests/requests.rs
+++ b/crates/router/tests/requests.rs
@@ -80,7 +80,10 @@
     fixture.cache.requests(1);
     client.cancel(99);
     client.cancel(1);
-    fixture.cache.closed.wait("the dispatch to be closed", |closed| (*closed > 0).then_some(()));
+    fixture
+        .cache
+        .closed
+        .wait("the connection of the attempt to be closed", |closed| (*closed > 0).then_some(()));
     client.cancel(1);
     client.request(2, "00000000000000aa");
     assert_eq!(client.reply(), (2, served_reply(b"x")));
@@ -93,7 +96,10 @@
     client.request(1, OBJECT);
     fixture.cache.requests(1);
     drop(client);
-    fixture.cache.closed.wait("the dispatch to be closed", |closed| (*closed > 0).then_some(()));
+    fixture
+        .cache
+        .closed
+        .wait("the connection of the attempt to be closed", |closed| (*closed > 0).then_some(()));
 }
 
 #[test]
