--- a/crates/router/tests/crossings.rs
+++ b/crates/router/tests/crossings.rs
@@ -376,9 +376,7 @@
     let change_stream = ChangeStream::start();
     let mut router =
         Router::start_at(&configuration(change_stream.address, Vec::new()), previous.local_addr().unwrap());
-    router.log.wait("the router to wait for its address", |log| {
-        log.iter().any(|line| line.contains("in use")).then_some(())
-    });
+    router.log.wait("the wait to begin", |log| log.iter().any(|line| line.contains("in use")).then_some(()));
     router.terminate();
     assert!(router.wait().success());
 }
