--- a/crates/testbed/src/peer.rs
+++ b/crates/testbed/src/peer.rs
@@ -1,4 +1,5 @@
-//! A peer of the external processing front that sends anything: raw HTTP/2, messages or bytes in any order.
+//! Test clients of the external processing front that may violate its protocol: they send raw HTTP/2 streams,
+//! with messages or arbitrary bytes in any order.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,30 +16,35 @@
 
 use crate::proxy::{framed, http_headers, processing_request, unframed};
 
-/// The path of the external processing service's one method.
+/// The path of the only method of the external processing service.
 pub const PROCESS: &str = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
+/// The content type of gRPC calls.
 const GRPC: &str = "application/grpc";
 
-/// Bytes of gRPC's frame before a message: the compression flag and the message's size.
+/// Size in bytes of a gRPC frame's header: the compression flag and the message's size.
 const FRAME_HEAD_BYTES: usize = 5;
 
+/// Upper bound of the time that a test client's work takes.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long to wait until a connection admits a new stream.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long to wait for the response headers of a stream.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a peer saw of one call.
+/// The result of one call.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// The HTTP status; 0 where none came.
+    /// The HTTP status; 0 if there was no response.
     pub status: u16,
-    /// The kinds of the messages, as `request_headers` or `immediate 503`.
+    /// The kinds of the messages received, such as `request_headers` or `immediate 503`.
     pub messages: Vec<String>,
-    /// gRPC's status; none where the stream was reset.
+    /// The gRPC status code. `None` if the stream was reset.
     pub code: Option<u16>,
 }
 
-/// The headers of a plain request of an object; `more` replace those of their name.
+/// Returns a frame with the headers of a plain request of an object. `more` adds headers; a header in `more`
+/// replaces a default header of the same name.
 pub fn request_headers(correlation_id: u64, more: &[(&str, &str)]) -> Bytes {
     let plain = [
         (":path", "/v1/store/pages/7f3a9c21e0b4d655/3".to_string()),
@@ -51,27 +57,28 @@
     framed(&processing_request(Request::RequestHeaders(http_headers(fields.chain(more).collect()))))
 }
 
-/// The headers of an endpoint's response with this status.
+/// Returns a frame with the headers of an endpoint's response with this status.
 pub fn response_headers(status: &str) -> Bytes {
     let fields = vec![(":status".to_string(), status.to_string()), ("x-remark".into(), "warm".into())];
     framed(&processing_request(Request::ResponseHeaders(http_headers(fields))))
 }
 
-/// A request body of this size.
+/// Returns a frame with a request body of this size in bytes.
 pub fn body(size: usize) -> Bytes {
     framed(&processing_request(Request::RequestBody(HttpBody { body: vec![7; size], ..HttpBody::default() })))
 }
 
-/// The trailers of a response.
+/// Returns a frame with the trailers of a response.
 pub fn trailers() -> Bytes {
     framed(&processing_request(Request::ResponseTrailers(HttpTrailers::default())))
 }
 
-/// A message of no kind.
+/// Returns a frame with a message that has no kind.
 pub fn empty() -> Bytes {
     framed(&ProcessingRequest::default())
 }
 
+/// Returns the name of the message's kind, with the status of an immediate response.
 fn kind(message: ProcessingResponse) -> String {
     use processing_response::Response;
     match message.response {
@@ -88,48 +95,51 @@
     }
 }
 
-/// Whether the frame is a routing decision.
+/// Whether the frame contains a routing decision.
 fn is_decision(frame: &[u8]) -> bool {
     unframed(frame).is_some_and(|message| kind(message) == "request_headers")
 }
 
 async fn connect(front: SocketAddr) -> SendRequest<Bytes> {
     let socket = TcpStream::connect(front).await.expect("the front listens");
-    let (sender, connection) = h2::client::handshake(socket).await.expect("a handshake");
+    let (sender, connection) = h2::client::handshake(socket).await.expect("the handshake succeeds");
     tokio::spawn(async move {
         let _ = connection.await;
     });
     sender
 }
 
-fn post(path: &str, content_type: &str) -> http::Request<()> {
+fn post_request(path: &str, content_type: &str) -> http::Request<()> {
     let uri = format!("http://router{path}");
     http::Request::post(uri)
         .header("content-type", content_type)
         .header("te", "trailers")
         .body(())
-        .expect("a plain request")
+        .expect("the request is valid")
 }
 
-/// Runs a future to its end on a runtime of its own; panics after the call timeout.
-fn run_to_end<T>(work: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+/// Runs a future to completion on a new runtime; panics after [`CALL_TIMEOUT`].
+fn block_on_with_timeout<T>(work: impl Future<Output = T>) -> T {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime is built");
     let bounded = async { tokio::time::timeout(CALL_TIMEOUT, work).await };
-    runtime.block_on(bounded).expect("an end within a minute")
+    runtime.block_on(bounded).expect("the work ends within the call timeout")
 }
 
-/// The size of the first frame in these bytes, none while it is not complete.
+/// Returns the size in bytes of the first frame in `bytes`. `None` if the frame is incomplete.
 fn frame_size(bytes: &[u8]) -> Option<usize> {
     let mut message_size = bytes.get(1..FRAME_HEAD_BYTES)?;
     let size = FRAME_HEAD_BYTES + message_size.get_u32() as usize;
     (bytes.len() >= size).then_some(size)
 }
 
-/// Makes one call: waits for a message after each chunk but the last; then ends its side of the stream.
+/// Makes one call: sends the first chunk at once and each further chunk after a received message. The last
+/// chunk ends the client's side of the stream.
 pub fn call(front: SocketAddr, path: &str, content_type: &str, chunks: Vec<Bytes>) -> Outcome {
-    run_to_end(async {
+    block_on_with_timeout(async {
         let mut sender = connect(front).await.ready().await.expect("ready");
-        let (response, mut stream) = sender.send_request(post(path, content_type), false).expect("a stream");
+        let (response, mut stream) =
+            sender.send_request(post_request(path, content_type), false).expect("a stream");
         let mut outcome = Outcome::default();
         let mut chunks = chunks.into_iter().peekable();
         let _ = chunks.next().map(|chunk| stream.send_data(chunk, chunks.peek().is_none()));
@@ -155,14 +165,15 @@
     })
 }
 
-/// Opens streams and resets each at once; returns how many were opened before the connection was closed.
+/// Opens `count` streams and resets each immediately; returns how many were opened before the connection was
+/// closed.
 pub fn reset_streams(front: SocketAddr, count: usize) -> usize {
-    run_to_end(async {
+    block_on_with_timeout(async {
         let mut sender = connect(front).await;
         for index in 0..count {
             let Ok(ready) = sender.ready().await else { return index };
             sender = ready;
-            let Ok((_, mut stream)) = sender.send_request(post(PROCESS, GRPC), false) else {
+            let Ok((_, mut stream)) = sender.send_request(post_request(PROCESS, GRPC), false) else {
                 return index;
             };
             let _ = stream.send_data(request_headers(index as u64, &[]), false);
@@ -175,6 +186,7 @@
 
 /// A stream that is kept open after its first message.
 struct HeldStream {
+    /// Whether the first message was a routing decision.
     is_accepted: bool,
     _sender: SendStream<Bytes>,
     _reader: RecvStream,
@@ -185,12 +197,12 @@
     sender: &mut SendRequest<Bytes>,
     correlation_id: u64,
 ) -> Result<(ResponseFuture, SendStream<Bytes>), h2::Error> {
-    let (response, mut stream) = sender.send_request(post(PROCESS, GRPC), false)?;
+    let (response, mut stream) = sender.send_request(post_request(PROCESS, GRPC), false)?;
     let _ = stream.send_data(request_headers(correlation_id, &[("x-max-ms", "60000")]), false);
     Ok((response, stream))
 }
 
-/// Reads the first message of a stream and keeps the stream.
+/// Reads the first message of a stream and keeps the stream open.
 async fn hold_stream(response: http::Response<RecvStream>, sender: SendStream<Bytes>) -> HeldStream {
     let mut reader = response.into_body();
     let first = reader.data().await.and_then(Result::ok);
@@ -203,9 +215,9 @@
     streams.iter().filter(|stream| stream.is_accepted).count()
 }
 
-/// Asks for decisions on one connection and keeps all streams open; returns how many decisions it got.
+/// Requests decisions on one connection and keeps all streams open; returns the number of decisions received.
 pub fn hold_streams(front: SocketAddr, count: usize) -> usize {
-    run_to_end(async {
+    block_on_with_timeout(async {
         let mut sender = connect(front).await;
         let mut held = Vec::new();
         for index in 0..count {
@@ -221,22 +233,22 @@
     })
 }
 
-/// What was seen while streams on many connections were open.
+/// Results while streams on many connections were open.
 pub struct HeldConnections {
-    /// Number of streams that got a decision.
+    /// Number of streams on which a decision was received.
     pub accepted: usize,
-    /// What was measured with all of them open.
+    /// The result of the measurement made while all streams were open.
     pub measured: u64,
 }
 
-/// Keeps streams open on many connections, and measures with all of them open.
+/// Opens `streams` streams on each of `connections` connections, and calls `measure` while all are open.
 pub fn hold_connections(
     front: SocketAddr,
     streams: usize,
     connections: usize,
     measure: impl Fn() -> u64,
 ) -> HeldConnections {
-    run_to_end(async {
+    block_on_with_timeout(async {
         let mut held = Vec::new();
         for connection in 0..connections {
             let mut sender = connect(front).await;
@@ -253,12 +265,12 @@
     })
 }
 
-/// Makes one call that is reported served at once; returns the time to its first message, none where anything
-/// was missing.
+/// Makes one call and immediately reports the request as served. Returns the time until the first message.
+/// `None` if the call failed at any step.
 pub async fn exchange_once(sender: SendRequest<Bytes>, path: &str, headers: Bytes) -> Option<Duration> {
     let mut sender = sender.ready().await.ok()?;
     let started_at = Instant::now();
-    let (response, mut stream) = sender.send_request(post(path, GRPC), false).ok()?;
+    let (response, mut stream) = sender.send_request(post_request(path, GRPC), false).ok()?;
     stream.send_data(headers, false).ok()?;
     let mut reader = response.await.ok()?.into_body();
     let first = reader.data().await?.ok()?;
@@ -272,15 +284,16 @@
 }
 
 /// Makes a call on a connection that never opens its flow-control window; returns whether the router resets
-/// its stream.
+/// the stream.
 pub fn is_reset_without_window(front: SocketAddr) -> bool {
-    run_to_end(async {
+    block_on_with_timeout(async {
         let socket = TcpStream::connect(front).await.expect("the front listens");
         let builder = h2::client::Builder::new().initial_window_size(0).handshake::<_, Bytes>(socket).await;
-        let (sender, connection) = builder.expect("a handshake");
+        let (sender, connection) = builder.expect("the handshake succeeds");
         tokio::spawn(async move { connection.await.ok() });
         let mut sender = sender.ready().await.expect("ready");
-        let (response, mut stream) = sender.send_request(post(PROCESS, GRPC), false).expect("a stream");
+        let (response, mut stream) =
+            sender.send_request(post_request(PROCESS, GRPC), false).expect("a stream");
         let _ = stream.send_data(request_headers(1, &[("x-max-ms", "1000")]), false);
         let Ok(response) = response.await else { return true };
         matches!(response.into_body().data().await, Some(Err(_)))
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,6 +1,6 @@
-//! The relay that carries all messages between routers under test: it loses, delays, duplicates and reorders
-//! them, and cuts routers off from others. It reads only a message's length and its sender; messages can be
-//! recorded for an audit.
+//! The relay that forwards all messages between the routers under test. The relay drops, delays, duplicates
+//! and reorders messages, and blocks the routes between routers. It reads only the length of each message and
+//! the name of the sender of each connection. Messages can be recorded for an audit.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -13,29 +13,29 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The faults of the network between routers.
+/// The faults that the relay injects into the network between routers.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkFaults {
-    /// The share of messages that are lost.
+    /// The probability that a message is lost, from 0 to 1.
     pub loss: f64,
-    /// The share of messages that are delayed.
+    /// The probability that a message is delayed, from 0 to 1.
     pub delayed: f64,
-    /// The share of messages that are duplicated.
+    /// The probability that a message is duplicated, from 0 to 1.
     pub duplicated: f64,
-    /// The longest delay.
+    /// The upper bound of random delays.
     pub max_delay: Duration,
-    /// Routes that carry nothing, by the names of sender and receiver.
+    /// Routes on which all messages are dropped, as pairs of the sender's and the receiver's name.
     pub severed: BTreeSet<(String, String)>,
 }
 
 struct State {
     faults: NetworkFaults,
     random: Pcg64Mcg,
-    /// Number of messages that arrived.
+    /// Number of messages that arrived at the relay.
     messages: u64,
-    /// Their size, lengths included.
+    /// Total size of these messages in bytes, including their length headers.
     bytes: u64,
-    /// None where messages are not recorded.
+    /// The recorded messages. `None` if messages are not recorded.
     recorded: Option<Vec<RecordedMessage>>,
 }
 
@@ -52,34 +52,34 @@
     }
 }
 
-/// Size of the length in front of each message, in bytes.
+/// Size of the length header of each message, in bytes.
 const FRAME_HEADER_BYTES: usize = 4;
 
-/// A message that arrived at the relay, or that it forwarded.
+/// A record of a message that arrived at the relay or was forwarded by it.
 #[derive(Clone, Debug)]
 pub struct RecordedMessage {
-    /// When it arrived, or was forwarded.
+    /// When the message arrived or was forwarded.
     pub at: Instant,
-    /// Whether this records that it was forwarded.
+    /// Whether the message was forwarded; if false, this records its arrival.
     pub forwarded: bool,
     /// The sender's name.
     pub from: String,
     /// The receiver's name.
     pub to: String,
-    /// The message without its length.
+    /// The message without its length header.
     pub message: Vec<u8>,
 }
 
-/// The relay, with one address for each router at which its peers reach it.
+/// A relay with one listening address for each router, to which the router's peers connect.
 #[derive(Clone)]
 pub struct Relay {
     state: Arc<Mutex<State>>,
-    /// The addresses by the routers' names.
+    /// The relay's listening addresses by router name.
     pub addresses: BTreeMap<String, SocketAddr>,
 }
 
 impl Relay {
-    /// Starts a relay for routers that listen at these addresses, by their names.
+    /// Starts a relay; `routers` has the listening addresses of the routers by name.
     pub fn start(seed: u64, routers: &BTreeMap<String, SocketAddr>) -> Self {
         let state = Arc::new(Mutex::new(State {
             faults: NetworkFaults::default(),
@@ -91,64 +91,65 @@
         let mut addresses = BTreeMap::new();
         for (name, to) in routers {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-            addresses.insert(name.clone(), listener.local_addr().expect("it is bound"));
+            addresses.insert(name.clone(), listener.local_addr().expect("the listener is bound"));
             let (state, name, to) = (Arc::clone(&state), name.clone(), *to);
             thread::spawn(move || {
                 for stream in listener.incoming().map_while(Result::ok) {
                     let (state, name) = (Arc::clone(&state), name.clone());
-                    thread::spawn(move || drop(carry(&state, stream, name, to)));
+                    thread::spawn(move || drop(relay_connection(&state, stream, name, to)));
                 }
             });
         }
         Self { state, addresses }
     }
 
-    /// Changes the faults of the network.
+    /// Changes the faults that are injected into the network.
     pub fn change_faults(&self, change: impl FnOnce(&mut NetworkFaults)) {
         change(&mut self.state.lock().unwrap().faults);
     }
 
-    /// Records all messages from now on.
+    /// Starts recording all messages and discards earlier records.
     pub fn record(&self) {
         self.state.lock().unwrap().recorded = Some(Vec::new());
     }
 
-    /// The messages recorded so far.
+    /// Returns the messages recorded so far.
     pub fn recorded(&self) -> Vec<RecordedMessage> {
         self.state.lock().unwrap().recorded.clone().unwrap_or_default()
     }
 
-    /// Number and size in bytes of the messages that arrived so far.
+    /// Returns the number of messages that arrived so far and their total size in bytes.
     pub fn carried(&self) -> (u64, u64) {
         let state = self.state.lock().unwrap();
         (state.messages, state.bytes)
     }
 }
 
-/// The names of a connection's sender and receiver.
+/// The names of the sender and the receiver of a connection.
 struct Route {
     from: String,
     to: String,
 }
 
-/// A frame that waits until it is due. Frames that are due at the same time keep their order.
+/// A queued frame, which is forwarded when it is due. Frames that are due at the same time keep their order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueFrame {
     due: Instant,
-    /// Number of the frame on its connection.
+    /// Sequence number of the frame on its connection.
     order: u64,
     bytes: Vec<u8>,
 }
 
 #[derive(Default)]
 struct DelayQueueState {
-    /// The one that is due first is the greatest.
+    /// Min-heap by due time.
     frames: BinaryHeap<Reverse<DueFrame>>,
+    /// Number of frames pushed so far.
     count: u64,
     closed: bool,
 }
 
-/// The frames that wait on one connection.
+/// The queued frames of one connection.
 #[derive(Default)]
 struct DelayQueue {
     state: Mutex<DelayQueueState>,
@@ -170,7 +171,7 @@
         self.changed.notify_one();
     }
 
-    /// Waits for the next frame that is due; none once the queue is closed and empty.
+    /// Waits until the next frame is due and returns it. `None` if the queue is closed and empty.
     fn next(&self) -> Option<Vec<u8>> {
         let mut state = self.state.lock().unwrap();
         loop {
@@ -186,8 +187,8 @@
     }
 }
 
-/// Carries the messages of one connection.
-fn carry(
+/// Forwards the messages of one connection, with the faults of the network.
+fn relay_connection(
     state: &Arc<Mutex<State>>,
     downstream: TcpStream,
     to: String,
@@ -212,7 +213,7 @@
         if writer.is_finished() {
             break;
         }
-        deliver(&mut state.lock().unwrap(), &queue, &route, frame);
+        queue_frame(&mut state.lock().unwrap(), &queue, &route, frame);
     }
     queue.close();
     Ok(())
@@ -227,8 +228,9 @@
     Ok(frame)
 }
 
-/// Queues a frame, as often and as late as the network's faults have it.
-fn deliver(state: &mut State, queue: &DelayQueue, route: &Route, frame: Vec<u8>) {
+/// Queues a frame for forwarding. Depending on the network's faults, the frame is dropped, delayed or
+/// duplicated.
+fn queue_frame(state: &mut State, queue: &DelayQueue, route: &Route, frame: Vec<u8>) {
     let now = Instant::now();
     state.messages += 1;
     state.bytes += frame.len() as u64;
@@ -251,7 +253,7 @@
 /// Forwards frames as they become due.
 fn forward(queue: &DelayQueue, mut upstream: TcpStream, state: &Mutex<State>, route: &Route) {
     while let Some(frame) = queue.next() {
-        // Recorded before it is sent, so that whatever the receiver does with it comes later.
+        // Recorded before it is sent, so that the record precedes every effect of the message.
         state.lock().unwrap().record(true, route, &frame);
         if upstream.write_all(&frame).is_err() {
             return;
