--- a/crates/testbed/src/stand_in/change_stream.rs
+++ b/crates/testbed/src/stand_in/change_stream.rs
@@ -1,4 +1,4 @@
-//! The server of the change stream that a router watches.
+//! A stand-in for the server of the change stream to which routers subscribe.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,30 +7,33 @@
 
 use super::Watched;
 
+/// How often heartbeats are sent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// Upper bound of a write to a subscriber.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An event that a later subscriber gets again.
+/// An event that is also sent to later subscribers.
 #[derive(Clone)]
 struct PublishedEvent {
     sequence: u64,
     line: String,
 }
 
-/// A server of the change stream: records where its subscribers start, and sends what the test has it send.
+/// A change stream server: records the sequence number that each subscription starts from, and sends events
+/// and heartbeats as directed by the test.
 pub struct ChangeStream {
-    /// Where it listens.
+    /// The server's listening address.
     pub address: SocketAddr,
     /// The sequence number that each subscription started from.
     pub subscriptions: Watched<Vec<u64>>,
-    /// The sequence number that its heartbeats carry; none while it sends no heartbeats.
+    /// The sequence number in the server's heartbeats. `None` if no heartbeats are sent.
     pub heartbeat: Watched<Option<u64>>,
     subscribers: Watched<Vec<TcpStream>>,
     history: Watched<Vec<PublishedEvent>>,
 }
 
 impl ChangeStream {
-    /// Starts a server on a free port; its heartbeats carry sequence number 1.
+    /// Starts a server on a free port; its heartbeats have sequence number 1.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = Self {
@@ -53,7 +56,7 @@
         thread::spawn(move || {
             for connection in listener.incoming() {
                 let mut connection = connection.unwrap();
-                // A router that was killed meanwhile sends nothing.
+                // A router that was killed after its connect sends no subscription.
                 let Some(since) = read_subscription(&connection) else {
                     continue;
                 };
@@ -84,19 +87,19 @@
         });
     }
 
-    /// Waits for `count` subscriptions and returns where each one started.
+    /// Waits for `count` subscriptions and returns the sequence number that each one started from.
     pub fn wait_for_subscriptions(&self, count: usize) -> Vec<u64> {
-        self.subscriptions.wait("the router to ask the change log", |subscriptions| {
+        self.subscriptions.wait("the router to subscribe to the change stream", |subscriptions| {
             (subscriptions.len() >= count).then(|| subscriptions.clone())
         })
     }
 
-    /// Sets the sequence number of the next heartbeats, once all events up to it are sent.
+    /// Sets the sequence number of the next heartbeats. All events up to this number must have been sent.
     pub fn set_heartbeat(&self, sequence: u64) {
         self.heartbeat.change(|heartbeat| *heartbeat = Some(sequence));
     }
 
-    /// Sends an event to all subscribers, and to later ones that start before it.
+    /// Sends an event to all subscribers, and later to each new subscriber that starts before the event.
     pub fn publish(&self, sequence: u64, line: String) {
         self.subscribers.change(|subscribers| {
             send_to_all(subscribers, &line);
@@ -104,15 +107,16 @@
         });
     }
 
-    /// Waits for a subscriber and sends this text to all, not to later ones.
+    /// Waits until there is a subscriber, and sends this text to all current subscribers. Later subscribers
+    /// do not receive the text.
     pub fn send(&self, text: &str) {
-        self.subscribers.wait("a connection", |subscribers| {
+        self.subscribers.wait("a subscriber", |subscribers| {
             send_to_all(subscribers, text);
             (!subscribers.is_empty()).then_some(())
         });
     }
 
-    /// Closes all connections.
+    /// Closes the connections of all subscribers.
     pub fn disconnect(&self) {
         self.subscribers.change(Vec::clear);
     }
@@ -124,7 +128,7 @@
     line.trim().strip_prefix("since ")?.parse().ok()
 }
 
-/// Sends the text to all subscribers and forgets those whose connection has failed.
+/// Sends the text to all subscribers, and removes subscribers whose connection has failed.
 fn send_to_all(subscribers: &mut Vec<TcpStream>, text: &str) {
     subscribers.retain_mut(|subscriber| subscriber.write_all(text.as_bytes()).is_ok());
 }
--- a/crates/testbed/src/stand_in/client.rs
+++ b/crates/testbed/src/stand_in/client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform's front, and the frames that it sends.
+//! A client of the router's wire protocol, and the frames that it sends.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -15,22 +15,22 @@
 /// Message kind of a message that has no reply in the wire protocol.
 const KIND_ONEWAY: u8 = 4;
 
-/// Receive buffer of a client that takes in few bytes at once.
+/// Receive buffer size of a client that reads few bytes at a time.
 const SMALL_RECEIVE_BUFFER_BYTES: usize = 4096;
 
-/// A field value that stands for an id that no other call has.
+/// A placeholder for a field value; [`call`] replaces it by an id that no other call has.
 pub const FRESH: &str = "fresh";
 
 /// The object that most tests request.
 pub const OBJECT: &str = "7f3a9c21e0b4d655";
 
-/// Appends a text with its length.
+/// Appends a text preceded by its length.
 fn append_text(message: &mut Vec<u8>, text: &[u8]) {
     message.extend((text.len() as u32).to_be_bytes());
     message.extend(text);
 }
 
-/// The frame of a message with these encoded arguments.
+/// Returns the frame of a message with these encoded arguments.
 pub fn frame(kind: u8, method: &str, seq: i32, arguments: &[u8]) -> Vec<u8> {
     let mut message = vec![0x80, 1, 0, kind];
     append_text(&mut message, method.as_bytes());
@@ -39,7 +39,7 @@
     [&(message.len() as u32).to_be_bytes()[..], &message].concat()
 }
 
-/// The frame of a call with these fields.
+/// Returns the frame of a call with these fields; [`FRESH`] values are replaced by a unique id.
 pub fn call(seq: i32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let fresh = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
@@ -55,7 +55,7 @@
     frame(KIND_CALL, "call", seq, &arguments)
 }
 
-/// The frame that cancels a call.
+/// Returns the frame of a message that cancels a call.
 pub fn cancel(seq: i32) -> Vec<u8> {
     let mut arguments = vec![8, 0, 1];
     arguments.extend(seq.to_be_bytes());
@@ -63,7 +63,8 @@
     frame(KIND_ONEWAY, "cancel", 0, &arguments)
 }
 
-/// The fields of a plain request of an object that the client waits for this long, in milliseconds.
+/// Returns the fields of a plain request of an object. The request's deadline is `time_remaining_ms`
+/// milliseconds away.
 pub fn page<'a>(object: &'a str, time_remaining_ms: &'a str) -> Vec<(&'a str, &'a str)> {
     vec![
         ("route", "pages"),
@@ -84,7 +85,8 @@
         Self::with_timeout(TcpStream::connect(router.address).unwrap())
     }
 
-    /// Connects with a receive buffer so small that the rest of a long reply stays with the router's system.
+    /// Connects with a receive buffer so small that the rest of a long reply stays in the send buffer of the
+    /// router's system.
     pub fn connect_small(router: &Router) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(SMALL_RECEIVE_BUFFER_BYTES).unwrap();
@@ -97,7 +99,7 @@
         Self(stream)
     }
 
-    /// Whether nothing more comes and the connection ends without a reset.
+    /// Whether the router closes the connection without a reset and without sending more.
     pub fn ends_in_order(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0))
     }
@@ -107,7 +109,7 @@
         self.0.write_all(bytes).unwrap();
     }
 
-    /// Requests an object, with a deadline far beyond what is to happen meanwhile.
+    /// Requests an object, with a deadline that is not reached during the test.
     pub fn request(&mut self, seq: i32, object: &str) {
         self.send(&call(seq, &page(object, "600000"), b""));
     }
@@ -122,16 +124,16 @@
         self.send(&frame(KIND_CALL, "health", seq, &[2, 0, 1, 1, 0]));
         match self.reply() {
             (number, Reply::Served { healthy, .. }) if number == seq => healthy,
-            other => panic!("no answer to health: {other:?}"),
+            other => panic!("expected the reply to the health check, got {other:?}"),
         }
     }
 
-    /// The next reply with its sequence number; panics where the connection ends.
+    /// Returns the next reply with its sequence number; panics if the connection ends.
     pub fn reply(&mut self) -> (i32, Reply) {
-        self.reply_or_end().expect("the connection ended")
+        self.reply_or_end().expect("expected a reply, but the connection ended")
     }
 
-    /// The next reply with its sequence number, or none where the connection ends.
+    /// Returns the next reply with its sequence number. `None` if the connection ends.
     pub fn reply_or_end(&mut self) -> Option<(i32, Reply)> {
         let mut size = [0; 4];
         self.0.read_exact(&mut size).ok()?;
--- a/crates/testbed/src/stand_in/configuration.rs
+++ b/crates/testbed/src/stand_in/configuration.rs
@@ -1,16 +1,16 @@
-//! The router's configuration file.
+//! Configuration files of the router under test.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-/// An entry of the endpoint list; `flavor` and `phase` are the words of the wire.
+/// Returns an entry of the endpoint list. `flavor` and `phase` are values of the wire format.
 pub fn endpoint_entry(id: &str, address: SocketAddr, flavor: &str, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "central", "flavor": flavor, "cell": 0,
            "phase": phase, "size": 1, "up_since_ms": 0})
 }
 
-/// A whole configuration, with these entries as its endpoint list.
+/// Returns a complete configuration whose endpoint list has these entries.
 pub fn configuration(change_stream: SocketAddr, endpoints: Vec<Value>) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "changelog": change_stream.to_string(),
--- a/crates/testbed/src/stand_in/full_backlog.rs
+++ b/crates/testbed/src/stand_in/full_backlog.rs
@@ -1,4 +1,4 @@
-//! A cache whose backlog of connections is full.
+//! A stand-in cache whose backlog of pending connections is full.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -8,21 +8,23 @@
 
 use super::{Watched, served, until};
 
-/// Connections that fill a backlog of length 0, with those that the system admits beyond it.
+/// Number of connections that fill a backlog of length 0, including those that the system admits beyond the
+/// backlog's length.
 const FILLER_CONNECTIONS: usize = 4;
 
-/// A cache whose backlog is full: connects to it neither succeed nor fail until it is opened.
+/// A cache whose backlog is full: connects to it neither succeed nor fail until [`FullBacklogCache::open`] is
+/// called.
 pub struct FullBacklogCache {
-    /// Where it listens.
+    /// The cache's listening address.
     pub address: SocketAddr,
-    /// Number of connections accepted, without those that fill its backlog.
+    /// Number of accepted connections, not counting those that fill the backlog.
     pub accepted: Watched<usize>,
     socket: Socket,
     fillers: Vec<Socket>,
 }
 
 impl FullBacklogCache {
-    /// Listens on a free port and fills its own backlog.
+    /// Starts a cache on a free port and fills its backlog.
     pub fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -44,22 +46,22 @@
         self.fillers.iter().filter_map(local_address).collect()
     }
 
-    /// Waits until the system has begun a connect to it, not counting those that fill its backlog.
+    /// Waits until the system has begun a connect to this cache, other than those that fill the backlog.
     pub fn wait_for_connect(&self) {
         const SYN_SENT: &str = "02";
         let port = |field: &str| u16::from_str_radix(field.split_once(':')?.1, 16).ok();
         let fillers: Vec<u16> = self.filler_addresses().iter().map(SocketAddr::port).collect();
-        until("a connect to begin", || {
+        until("a connect to the cache to begin", || {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             table.lines().skip(1).any(|line| {
                 let fields: Vec<&str> = line.split_whitespace().collect();
-                let by_other = port(fields[1]).is_some_and(|local| !fillers.contains(&local));
-                by_other && port(fields[2]) == Some(self.address.port()) && fields[3] == SYN_SENT
+                let from_other = port(fields[1]).is_some_and(|local| !fillers.contains(&local));
+                from_other && port(fields[2]) == Some(self.address.port()) && fields[3] == SYN_SENT
             })
         });
     }
 
-    /// Accepts connections from now on and serves one request on each; returns the requests as text.
+    /// Starts accepting connections and serves one request on each; returns the requests as text.
     pub fn open(&self) -> Watched<Vec<String>> {
         let requests = Watched::<Vec<String>>::default();
         let socket = self.socket.try_clone().unwrap();
--- a/crates/testbed/src/stand_in/mod.rs
+++ b/crates/testbed/src/stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for what the router talks to: caches, the change stream and a client. They speak the
-//! published protocol, and every wait is for an event, not for a time.
+//! Stand-ins on loopback for the processes that the router communicates with: caches, the change stream
+//! server and clients. They use the published protocol. All waits are for events, not for fixed times.
 
 mod change_stream;
 mod client;
--- a/crates/testbed/src/stand_in/process.rs
+++ b/crates/testbed/src/stand_in/process.rs
@@ -1,4 +1,4 @@
-//! The router itself, as a process of its own.
+//! Starts and controls the router under test as a separate process.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -13,35 +13,36 @@
 use super::Watched;
 use super::watched::WAIT_TIMEOUT;
 
-/// How the program is started.
+/// Options for the start of a router process.
 #[derive(Clone, Debug, Default)]
 pub struct StartOptions {
-    /// Limit of open descriptors, where it is lower than usual.
+    /// Limit of open file descriptors. `None` if the limit is inherited.
     pub descriptors: Option<u32>,
-    /// The fronts file.
+    /// Contents of the fronts file. `None` if the router is started without one.
     pub fronts: Option<Value>,
-    /// A check that is switched off; only a build for tests can.
+    /// The name of a check that is disabled; supported only by test builds of the router.
     pub disabled_check: Option<String>,
-    /// What is logged; `debug` unless stated.
+    /// The log level; `debug` if `None`.
     pub log_level: Option<&'static str>,
-    /// How the clock is off; only a build for tests knows.
+    /// The fault of the router's clock; supported only by test builds of the router.
     pub clock_fault: Option<String>,
 }
 
-/// The program: the path in `TINDOOR_PROGRAM`, else the one that was built beside the running executable.
+/// Returns the path of the router's executable: the value of `TINDOOR_PROGRAM` if it is set, otherwise the
+/// executable in the build directory of the running executable.
 pub fn program() -> PathBuf {
     if let Some(path) = std::env::var_os("TINDOOR_PROGRAM") {
         return path.into();
     }
-    let executable = std::env::current_exe().expect("a path of its own");
+    let executable = std::env::current_exe().expect("the path of the running executable is known");
     let candidates = executable.ancestors().skip(1).take(2).map(|folder| folder.join("tindoor"));
     candidates
         .into_iter()
         .find(|path| path.is_file())
-        .expect("tindoor is built: cargo build -p tindoor-router")
+        .expect("the tindoor executable exists; build it with cargo build -p tindoor-router")
 }
 
-/// Runs the program with a configuration that it rejects; returns its exit status and its log.
+/// Runs the router with a configuration that it must reject; returns its exit status and its log.
 pub fn fails_with(configuration: &str) -> (ExitStatus, String) {
     let (child, configuration_path) = spawn(configuration, &StartOptions::default());
     let output = child.wait_with_output().unwrap();
@@ -49,12 +50,12 @@
     (output.status, String::from_utf8(output.stderr).unwrap())
 }
 
-/// How many descriptors a process has open.
+/// Returns the number of open file descriptors of a process.
 pub fn descriptors(pid: u32) -> usize {
     std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().count()
 }
 
-/// Starts the program with this configuration; returns the path of its configuration file too.
+/// Starts the router with this configuration; returns the process and the path of its configuration file.
 fn spawn(configuration: &str, options: &StartOptions) -> (Child, PathBuf) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let unique = format!("tindoor-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -84,7 +85,7 @@
     (child, configuration_path)
 }
 
-/// Collects the lines that the process logs.
+/// Collects the lines that the process logs, in the background.
 fn collect_log(child: &mut Child) -> Watched<Vec<String>> {
     let log = Watched::<Vec<String>>::default();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -95,23 +96,23 @@
     log
 }
 
-/// A router process; it is killed when this is dropped.
+/// A router process. The process is killed on drop.
 pub struct Router {
     child: Child,
-    /// Where it listens for clients.
+    /// The address on which the router listens for clients.
     pub address: SocketAddr,
-    /// The lines that it has logged.
+    /// The lines that the router has logged.
     pub log: Watched<Vec<String>>,
     configuration_path: PathBuf,
 }
 
 impl Router {
-    /// Starts a router and waits until it listens.
+    /// Starts a router and waits until the router listens for clients.
     pub fn start(configuration: &Value) -> Self {
         Self::start_with(configuration, &StartOptions::default())
     }
 
-    /// Starts a router with these options and waits until it listens.
+    /// Starts a router with these options and waits until the router listens for clients.
     pub fn start_with(configuration: &Value, options: &StartOptions) -> Self {
         let (mut child, configuration_path) = spawn(&configuration.to_string(), options);
         let log = collect_log(&mut child);
@@ -119,7 +120,7 @@
         let address = log.wait("the router to listen", |log| {
             let has_failed = started_at.elapsed() > WAIT_TIMEOUT / 2
                 || child.try_wait().is_ok_and(|status| status.is_some());
-            assert!(!has_failed, "the router did not come up: {}", log.join("\n"));
+            assert!(!has_failed, "the router did not start; its log:\n{}", log.join("\n"));
             let address =
                 log.iter().find_map(|line| line.split_once("bound=").map(|(_, address)| address.to_string()));
             address.map(|address| address.trim().parse().unwrap())
@@ -127,7 +128,7 @@
         Self { child, address, log, configuration_path }
     }
 
-    /// Starts a router that listens at this address, and waits for nothing.
+    /// Starts a router that listens on this address. Returns without waiting until the router listens.
     pub fn start_at(configuration: &Value, address: SocketAddr) -> Self {
         let mut configuration = configuration.clone();
         configuration["listen"] = json!(address.to_string());
@@ -136,21 +137,21 @@
         Self { child, address, log, configuration_path }
     }
 
-    /// Waits until the front with this key of the fronts file listens; returns its address.
+    /// Waits until the front that has this key in the fronts file listens; returns its address.
     pub fn front(&self, key: &str) -> SocketAddr {
         let named = format!("front=\"{key}\"");
-        self.log.wait("a front to listen", |log| {
+        self.log.wait("the front to listen", |log| {
             let line = log.iter().find(|line| line.contains(&named))?;
             line.split_once("at=")?.1.trim().parse().ok()
         })
     }
 
-    /// Asks the router to shut down gracefully.
+    /// Signals the router to shut down gracefully (SIGTERM).
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration file and has the router read it.
+    /// Replaces the configuration file and signals the router to read it.
     pub fn reload(&self, configuration: &str) {
         let new_path = self.configuration_path.with_extension("new");
         std::fs::write(&new_path, configuration).unwrap();
@@ -158,12 +159,12 @@
         self.reread_files();
     }
 
-    /// Has the router read its files again.
+    /// Signals the router to read its files again (SIGHUP).
     pub fn reread_files(&self) {
         self.signal("-HUP");
     }
 
-    /// Suspends the process, or resumes it.
+    /// Stops the process, or resumes it if `pause` is false (SIGSTOP, SIGCONT).
     pub fn pause(&self, pause: bool) {
         self.signal(if pause { "-STOP" } else { "-CONT" });
     }
@@ -173,7 +174,7 @@
         self.child.try_wait().is_ok_and(|status| status.is_some())
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -189,13 +190,14 @@
         self.child.wait().unwrap()
     }
 
-    /// The id of the process.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// The peak of the process's own memory in kilobytes: without the pages of its program, which the system
-    /// reads again from the file, and of which a build for tests has twice as many as another.
+    /// Returns the peak of the process's memory in kilobytes, without file-backed pages. Pages of the
+    /// executable are excluded because the system can read them from the file again, and because a test build
+    /// has twice as many of them as another build.
     pub fn peak_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = |name: &str| status.lines().find(|line| line.starts_with(name)).unwrap();
--- a/crates/testbed/src/stand_in/reply.rs
+++ b/crates/testbed/src/stand_in/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of the platform's front, decoded.
+//! Decodes replies of the router's wire protocol.
 
 use std::collections::HashMap;
 
@@ -14,21 +14,21 @@
     Served {
         /// The object.
         body: Vec<u8>,
-        /// Fields beside the body.
+        /// The other fields of the reply.
         fields: TextMap,
-        /// The result of a health check; false in other replies without one.
+        /// The result of a health check; false if the reply has none.
         healthy: bool,
     },
-    /// Not served, and harmless to retry; with the fields of the reply.
+    /// The request was not served and can be retried safely. Contains the fields of the reply.
     Rejected(TextMap),
-    /// Not served, and it may have run; with the fields of the reply.
+    /// The request was not served, but may have been executed. Contains the fields of the reply.
     Failed(TextMap),
-    /// The router did not understand the call.
+    /// The router could not decode the call.
     Exception,
 }
 
 impl Reply {
-    /// Decodes a message; returns its sequence number too.
+    /// Decodes a message; returns its sequence number and the reply.
     pub(super) fn decode(message: &[u8]) -> (i32, Self) {
         let mut decoder = Decoder(message);
         let kind = decoder.take(4)[3];
@@ -60,7 +60,7 @@
     }
 }
 
-/// The rest of a message.
+/// Decodes a message; contains the bytes that are not decoded yet.
 struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
@@ -79,7 +79,7 @@
         self.take(size)
     }
 
-    /// The id of the next field, none at the end of the struct.
+    /// Returns the id of the next field. `None` at the end of the struct.
     fn field_id(&mut self) -> Option<u16> {
         let kind = self.take(1)[0];
         (kind != 0).then(|| u16::from_be_bytes(self.take(2).try_into().unwrap()))
@@ -92,7 +92,7 @@
         (0..count).map(|_| (text(self.text()), text(self.text()))).collect()
     }
 
-    /// The map of a struct that has no other field.
+    /// Returns the map of a struct that has no other field.
     fn only_text_map(&mut self) -> TextMap {
         self.field_id().unwrap();
         self.text_map()
--- a/crates/testbed/src/stand_in/scripted_cache.rs
+++ b/crates/testbed/src/stand_in/scripted_cache.rs
@@ -1,4 +1,4 @@
-//! A cache over HTTP/1.1 whose behavior a closure decides for each request.
+//! A stand-in HTTP/1.1 cache. A closure chooses the cache's behavior for each request.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Result, Write};
@@ -11,10 +11,10 @@
 
 use super::Watched;
 
-/// What a cache does with a request.
+/// How a cache handles a request.
 #[derive(Clone)]
 pub enum Behavior {
-    /// Writes these bytes at once.
+    /// Writes these bytes immediately.
     Respond(Vec<u8>),
     /// Writes these bytes, then closes the connection.
     RespondAndClose(Vec<u8>),
@@ -24,53 +24,53 @@
     Hang,
     /// Writes these bytes once the gate is released.
     RespondOnRelease(Watched<bool>, Vec<u8>),
-    /// Works for this long, then writes what the closure returns.
+    /// Waits for this time, then writes the bytes that the closure returns.
     RespondAfter(Duration, Completion),
 }
 
-/// Makes the response of a request that ran for a while; the argument says whether the router still waits for
-/// it.
+/// Returns the response to a request that was delayed by [`Behavior::RespondAfter`]. The argument is true if
+/// the router still waits for the response.
 pub type Completion = Arc<dyn Fn(bool) -> Vec<u8> + Send + Sync>;
 
-/// An HTTP response with this status, these header lines and this body.
+/// Returns an HTTP response with this status, these header lines and this body.
 pub fn http_response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let head = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-/// The response of a cache that had the object.
+/// Returns the response of a cache that holds the object.
 pub fn served(body: &[u8]) -> Vec<u8> {
     http_response(200, "X-Remark: warm\r\nX-Version: 4be0c1927d55a6f3\r\n", body)
 }
 
-/// A request as a cache received it.
+/// A request that a cache has received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// Method, target and version.
+    /// The request line: method, target and version.
     pub request_line: String,
-    /// Header values by their name in lower case.
+    /// Header values by lower-case header name.
     pub headers: HashMap<String, String>,
-    /// The request's body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// Index of the connection that it came on, in the order of their acceptance.
+    /// Index of the request's connection, in the order in which connections were accepted.
     pub connection: usize,
 }
 
 type Script = dyn Fn(&ReceivedRequest) -> Behavior + Send + Sync;
 
-/// A cache that behaves as its script says.
+/// A cache that handles each request as its script chooses.
 pub struct Cache {
-    /// Where it listens.
+    /// The cache's listening address.
     pub address: SocketAddr,
-    /// All requests so far.
+    /// All requests received so far.
     pub received: Watched<Vec<ReceivedRequest>>,
-    /// Number of connections that have ended.
+    /// Number of connections that were closed.
     pub closed: Watched<usize>,
-    /// Number of responses that were written after a release.
+    /// Number of responses written by [`Behavior::RespondOnRelease`].
     pub released: Watched<usize>,
 }
 
-/// What the connections of one cache share.
+/// The state that all connections of one cache share.
 #[derive(Clone)]
 struct Shared {
     script: Arc<Script>,
@@ -80,7 +80,7 @@
 }
 
 impl Cache {
-    /// Starts a cache on a free port; `script` decides what it does with each request.
+    /// Starts a cache on a free port; `script` chooses the behavior for each request.
     pub fn start(script: impl Fn(&ReceivedRequest) -> Behavior + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -108,12 +108,12 @@
         cache
     }
 
-    /// Waits for `count` requests and returns all that were received by then.
+    /// Waits until `count` requests were received and returns all requests received so far.
     pub fn requests(&self, count: usize) -> Vec<ReceivedRequest> {
         self.received.wait("requests", |received| (received.len() >= count).then(|| received.clone()))
     }
 
-    /// Number of requests received so far.
+    /// Returns the number of requests received so far.
     pub fn count(&self) -> usize {
         self.received.change(|received| received.len())
     }
@@ -127,7 +127,8 @@
             self.received.change(|received| received.push(request.clone()));
             match (self.script)(&request) {
                 Behavior::Respond(bytes) => writer.write_all(&bytes)?,
-                // Shut down, as a process just being started may hold a copy of the descriptor for a moment.
+                // An explicit shutdown is required: a process that is just being started may briefly hold a
+                // copy of the descriptor, and dropping the stream would then not close the connection.
                 Behavior::RespondAndClose(bytes) => {
                     writer.write_all(&bytes)?;
                     return writer.shutdown(Shutdown::Both);
@@ -150,7 +151,7 @@
     }
 }
 
-/// Reads the next request, none where the connection ends.
+/// Reads the next request. `None` if the connection ends.
 fn read_request(reader: &mut BufReader<TcpStream>, connection: usize) -> Result<Option<ReceivedRequest>> {
     let mut lines = Vec::new();
     loop {
@@ -174,7 +175,7 @@
     Ok(Some(ReceivedRequest { request_line: lines[0].clone(), headers, body, connection }))
 }
 
-/// Whether the other end has neither closed nor reset the connection.
+/// Whether the peer has neither closed nor reset the connection.
 fn peer_is_open(stream: &TcpStream) -> Result<bool> {
     stream.set_nonblocking(true)?;
     let is_open = !matches!(stream.peek(&mut [0]), Ok(0))
