--- a/crates/testbed/src/proxy/attempt.rs
+++ b/crates/testbed/src/proxy/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt of a request: asks the router, forwards to the endpoint that it names, reports what came of
-//! it.
+//! One attempt of a request: requests a decision from the router, forwards the request to the endpoint in the
+//! decision, and reports the outcome to the router.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -22,26 +22,29 @@
 };
 use super::{Proxy, Response};
 
+/// The URL of the external processing service's method.
 const PROCESS_URL: &str = "http://router/envoy.service.ext_proc.v3.ExternalProcessor/Process";
+/// Time-out of a forwarded request if the decision has no `x-max-ms`, in milliseconds.
 const DEFAULT_ATTEMPT_TIMEOUT_MS: u64 = 1000;
 
-/// How long the proxy waits for the router to end a stream on which nothing is reported.
+/// How long the proxy waits for the router to end a stream without a report.
 const UNREPORTED_STREAM_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long the `window` fault leaves the flow-control window shut.
-const SHUT_WINDOW_TIME: Duration = Duration::from_millis(900);
+/// How long the flow-control window stays closed with the fault `window`.
+const CLOSED_WINDOW_TIME: Duration = Duration::from_millis(900);
+/// Size of the flow-control window after it is opened.
 const OPEN_WINDOW_BYTES: u32 = 1 << 16;
 
-/// Another attempt is to follow.
+/// The attempt ended without a response to the client; another attempt follows.
 pub(super) struct Retry {
-    /// How long to wait before it.
+    /// The wait before the next attempt.
     pub(super) backoff: Duration,
 }
 
 impl Retry {
     const SOON: Self = Self { backoff: Duration::from_millis(5) };
 
-    /// No router answers: it may be restarting.
+    /// No router answers; the router may be restarting.
     const ROUTER_UNAVAILABLE: Self = Self { backoff: Duration::from_millis(40) };
 }
 
@@ -49,10 +52,10 @@
 pub(super) struct Attempt<'a> {
     pub(super) proxy: &'a Proxy,
     pub(super) request: &'a Message,
-    /// 1 for the first.
+    /// Number of the attempt, starting with 1.
     pub(super) number: u32,
     pub(super) time_remaining_ms: u64,
-    /// The fault to inject, empty for none.
+    /// Name of the fault to inject; empty if there is none.
     pub(super) fault: &'a str,
 }
 
@@ -62,13 +65,13 @@
     requests: mpsc::Sender<ProcessingRequest>,
 }
 
-/// An open stream and its first message.
+/// A new stream and its first message. The message is `None` if the stream ended without one.
 struct OpenedStream {
     responses: Streaming<ProcessingResponse>,
     first: Option<ProcessingResponse>,
 }
 
-/// Why a request that was to be forwarded got no response from the endpoint, as it is reported.
+/// Why an attempt got no response from the endpoint, as reported to the router in `x-tindoor-failed`.
 type ForwardFailure = &'static str;
 
 async fn open_stream(
@@ -81,19 +84,19 @@
 }
 
 impl Attempt<'_> {
-    /// Makes the attempt: the answer to the client, or a retry.
+    /// Makes the attempt. Returns the response to the client, or the retry if another attempt follows.
     pub(super) async fn run(self) -> Result<Response, Retry> {
         let (requests, receiver) = mpsc::channel(8);
         let first_message = request_headers(self.request, self.number, self.time_remaining_ms);
         let _ = requests.send(first_message.clone()).await;
         if self.fault == "window" {
-            return self.run_with_shut_window(&first_message).await.ok_or(Retry::SOON);
+            return self.run_with_closed_window(&first_message).await.ok_or(Retry::SOON);
         }
         let processor = self.proxy.processor.lock().unwrap().clone();
         let started_at = Instant::now();
         let opening = open_stream(processor, receiver);
         if self.fault == "before" {
-            // Cancelled at once, or while the router decides.
+            // The stream is cancelled immediately or while the router decides, depending on the request's ticket.
             let spread =
                 self.request.fields.get("x-ticket").map_or(0, |ticket| u64::from(ticket.as_bytes()[15]));
             let _ = tokio::time::timeout(Duration::from_micros(spread * 6), opening).await;
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Forwards the request as the router decided, and reports what came of it.
+    /// Forwards the request as the router decided, and reports the outcome.
     async fn forward_and_report(
         &self,
         mut exchange: Exchange,
@@ -136,7 +139,7 @@
             report_fields(&forwarded),
         )));
         if self.fault == "wrong" {
-            self.proxy.report_wrongly(self.request).await;
+            self.proxy.send_wrong_reports(self.request).await;
         }
         if self.fault == "silent" || self.fault == "late" {
             let end = tokio::time::timeout(UNREPORTED_STREAM_TIMEOUT, exchange.responses.message()).await;
@@ -152,11 +155,11 @@
             let _ = exchange.requests.send(report).await;
         }
         let reply = exchange.responses.message().await.ok().flatten();
-        self.conclude(reply, forwarded)
+        self.finish(reply, forwarded)
     }
 
-    /// What follows from the router's reply to the report.
-    fn conclude(
+    /// Returns the result of the attempt from the router's reply to the report.
+    fn finish(
         &self,
         reply: Option<ProcessingResponse>,
         forwarded: Result<Message, ForwardFailure>,
@@ -187,13 +190,14 @@
         }
     }
 
-    /// Asks on a connection of its own whose flow-control window opens late, and uses the decision at once.
-    async fn run_with_shut_window(&self, first_message: &ProcessingRequest) -> Option<Response> {
+    /// Requests a decision on a separate connection whose flow-control window opens late, and forwards the
+    /// request immediately after the decision. `None` if any step fails.
+    async fn run_with_closed_window(&self, first_message: &ProcessingRequest) -> Option<Response> {
         let socket = TcpStream::connect(self.proxy.front).await.ok()?;
         let builder = h2::client::Builder::new().initial_window_size(0).handshake(socket).await;
         let (sender, mut connection) = builder.ok()?;
         tokio::spawn(async move {
-            let ended = tokio::time::timeout(SHUT_WINDOW_TIME, &mut connection).await;
+            let ended = tokio::time::timeout(CLOSED_WINDOW_TIME, &mut connection).await;
             if ended.is_err() && connection.set_initial_window_size(OPEN_WINDOW_BYTES).is_ok() {
                 let _ = connection.await;
             }
@@ -214,7 +218,7 @@
     }
 }
 
-/// What is reported of a request that was forwarded, or was to be.
+/// Returns the header fields of the report on a request: those of the endpoint's response, or the failure.
 fn report_fields(forwarded: &Result<Message, ForwardFailure>) -> Vec<(String, String)> {
     match forwarded {
         Ok(response) => {
@@ -229,7 +233,7 @@
 }
 
 impl Proxy {
-    /// Sends the request to the endpoint that the router named.
+    /// Sends the request to the endpoint in the decision and returns the endpoint's response.
     async fn forward(&self, request: &Message, decision: &Fields) -> Result<Message, ForwardFailure> {
         let address = decision.get("x-tindoor-address").ok_or("unused")?.clone();
         let head = forwarded_head(request, decision);
@@ -255,9 +259,9 @@
         }
     }
 
-    /// Reports on other decisions, with this request's correlation id: on the lease of another request, and
-    /// on leases that never were.
-    async fn report_wrongly(&self, request: &Message) {
+    /// Sends wrong reports with this request's correlation id: one for the lease of another request, and two
+    /// for leases that do not exist.
+    async fn send_wrong_reports(&self, request: &Message) {
         let foreign_lease = self.foreign_lease.lock().unwrap().clone();
         let foreign_lease = match foreign_lease {
             Some(lease) => lease,
@@ -271,7 +275,7 @@
         }
     }
 
-    /// Asks the plain call front for a decision, and remembers its lease.
+    /// Requests a decision for another request from the plain call front; stores and returns its lease.
     async fn acquire_foreign_lease(&self) -> String {
         let correlation_id = format!("{:016x}", u64::MAX - u64::from(self.address.port()));
         let path = "/v1/store/pages/00000000000000aa/0";
@@ -283,14 +287,16 @@
         lease
     }
 
+    /// Sends a request without a body to the plain call front and returns the response. `None` if the call
+    /// fails.
     async fn plain_call(&self, head: &str) -> Option<Message> {
-        let mut stream = TcpStream::connect(self.call).await.ok()?;
+        let mut stream = TcpStream::connect(self.call_front).await.ok()?;
         stream.write_all(head.as_bytes()).await.ok()?;
         read(&mut stream, &mut Vec::new()).await.ok()?
     }
 }
 
-/// The head of the request to the endpoint.
+/// Returns the head of the request to the endpoint.
 fn forwarded_head(request: &Message, decision: &Fields) -> String {
     let path = decision.get(":path").unwrap_or(&request.target);
     let mut head = format!("GET {path} HTTP/1.1\r\nHost: cache\r\n");
--- a/crates/testbed/src/proxy/http.rs
+++ b/crates/testbed/src/proxy/http.rs
@@ -1,4 +1,4 @@
-//! Messages of HTTP/1.1.
+//! Reads HTTP/1.1 messages.
 
 use std::collections::HashMap;
 use std::io;
@@ -6,22 +6,24 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Header values by their name in lower case.
+/// Header values by lower-case header name.
 pub type Fields = HashMap<String, String>;
 
+/// The bytes between a message's head and its body.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A request or a response.
 pub struct Message {
-    /// The second word of the first line: a request's path, or a response's status.
+    /// The second word of the first line: the path of a request, or the status of a response.
     pub target: String,
-    /// The header.
+    /// The header fields.
     pub fields: Fields,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// Reads a request or a response, none where the connection ends; bytes that follow it stay in `unread`.
+/// Reads a request or a response. `None` if the connection ends before a message starts. Bytes after the
+/// message stay in `unread`.
 pub async fn read(stream: &mut TcpStream, unread: &mut Vec<u8>) -> io::Result<Option<Message>> {
     loop {
         if let Some(head_size) = unread.windows(HEAD_END.len()).position(|bytes| bytes == HEAD_END) {
@@ -33,7 +35,7 @@
     }
 }
 
-/// Reads the rest of a message whose head is in `unread`.
+/// Reads the rest of a message whose complete head is in `unread`; `head_size` is in bytes.
 async fn read_body(stream: &mut TcpStream, unread: &mut Vec<u8>, head_size: usize) -> io::Result<Message> {
     let head = String::from_utf8_lossy(&unread[..head_size]).into_owned();
     let mut lines = head.split("\r\n");
--- a/crates/testbed/src/proxy/messages.rs
+++ b/crates/testbed/src/proxy/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the external processing service.
+//! Encodes and decodes messages of the external processing service.
 
 use envoy_types::pb::envoy::config::core::v3::{HeaderMap, HeaderValue};
 use envoy_types::pb::envoy::service::ext_proc::v3::{
@@ -10,19 +10,19 @@
 use super::Response;
 use super::http::{Fields, Message};
 
-/// Bytes of gRPC's frame before a message: the compression flag and the message's size.
+/// Size in bytes of a gRPC frame's header: the compression flag and the message's size.
 const FRAME_HEAD_BYTES: usize = 5;
 
-/// What the router replied to a request's headers.
+/// The router's reply to a request's headers.
 pub(super) enum Decision {
-    /// Forward the request with these fields.
+    /// Forward the request with these header fields.
     Forward(Fields),
-    /// Answer the client without an endpoint.
+    /// Send this response to the client without forwarding the request.
     Immediate(Response),
 }
 
 impl Decision {
-    /// The decision in a message, none where the message is of another kind.
+    /// Returns the decision in a message. `None` if the message is of another kind.
     pub(super) fn from_message(message: ProcessingResponse) -> Option<Self> {
         match message.response? {
             processing_response::Response::RequestHeaders(headers) => {
@@ -37,7 +37,7 @@
     }
 }
 
-/// A message's headers.
+/// Returns the headers of a message with these fields.
 pub(crate) fn http_headers(fields: Vec<(String, String)>) -> HttpHeaders {
     let header = |(key, value): (String, String)| HeaderValue {
         key,
@@ -48,12 +48,12 @@
     HttpHeaders { headers, end_of_stream: false, ..Default::default() }
 }
 
-/// A message of this kind.
+/// Returns a message of this kind.
 pub(crate) fn processing_request(request: processing_request::Request) -> ProcessingRequest {
     ProcessingRequest { request: Some(request), ..Default::default() }
 }
 
-/// The first message of an attempt of this request.
+/// Returns the first message of an attempt of this request.
 pub(super) fn request_headers(request: &Message, attempt: u32, time_remaining_ms: u64) -> ProcessingRequest {
     let mut fields: Vec<(String, String)> = vec![
         (":path".into(), request.target.clone()),
@@ -67,25 +67,25 @@
     processing_request(processing_request::Request::RequestHeaders(http_headers(fields)))
 }
 
-/// A message in gRPC's frame.
+/// Returns a message in a gRPC frame.
 pub(crate) fn framed(message: &impl prost::Message) -> Bytes {
     let bytes = message.encode_to_vec();
     [&[0][..], &(bytes.len() as u32).to_be_bytes(), &bytes].concat().into()
 }
 
-/// The message in a frame of gRPC, none where it can't be decoded.
+/// Returns the message in a gRPC frame. `None` if the message cannot be decoded.
 pub(crate) fn unframed<M: prost::Message + Default>(bytes: &[u8]) -> Option<M> {
     M::decode(bytes.get(FRAME_HEAD_BYTES..)?).ok()
 }
 
-/// The fields that a message sets.
+/// Returns the header fields that a message sets.
 pub(super) fn set_fields(mutation: Option<HeaderMutation>) -> Fields {
     let set = mutation.into_iter().flat_map(|mutation| mutation.set_headers);
     let header = set.filter_map(|option| option.header);
     header.map(|header| (header.key, String::from_utf8_lossy(&header.raw_value).into_owned())).collect()
 }
 
-/// The answer to the client that the router made.
+/// Returns the response to the client that the router generated.
 pub(super) fn immediate_response(immediate: ImmediateResponse) -> Response {
     let status = immediate.status.map_or(500, |status| status.code as u16);
     Response { status, fields: set_fields(immediate.headers), body: Vec::new() }
--- a/crates/testbed/src/proxy/mod.rs
+++ b/crates/testbed/src/proxy/mod.rs
@@ -1,6 +1,6 @@
-//! A stand-in front proxy: HTTP/1.1 from clients, a stock gRPC client of the published external processing
-//! service, HTTP/1.1 to caches. It does what such a proxy does, and injects the fault that a client names in
-//! `x-fault`.
+//! A stand-in front proxy. The proxy accepts HTTP/1.1 requests from clients, calls the router with a stock
+//! gRPC client of the published external processing service, and forwards requests to caches over HTTP/1.1. A
+//! client can name a fault in the header `x-fault`; the proxy then injects this fault.
 
 mod attempt;
 mod http;
@@ -20,13 +20,15 @@
 pub use http::{Fields, Message, read};
 pub(crate) use messages::{framed, http_headers, processing_request, unframed};
 
+/// Maximum number of attempts of a request.
 const ATTEMPT_LIMIT: u32 = 16;
+/// Deadline of a request without the header `x-max-ms`, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 3000;
 
-/// How often a waiting proxy looks whether its client is still there, once the client has sent more.
+/// How often the proxy checks whether a client is still connected after the client has sent its next request.
 const CLIENT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the proxy answers its client.
+/// A response of the proxy to its client.
 struct Response {
     status: u16,
     fields: Fields,
@@ -34,7 +36,8 @@
 }
 
 impl Response {
-    /// An answer of the proxy's own, where it got none from the router.
+    /// Returns a response that the proxy generates itself because the router provided none. The reason is sent
+    /// in the header `x-lab-why`.
     fn local(status: u16, reason: &str) -> Self {
         Self { status, fields: [("x-lab-why".to_string(), reason.to_string())].into(), body: Vec::new() }
     }
@@ -42,37 +45,39 @@
 
 /// A front proxy.
 pub struct Proxy {
-    /// Where it listens for clients.
+    /// The address on which the proxy listens for clients.
     pub address: SocketAddr,
     processor: Mutex<ExternalProcessorClient<Channel>>,
+    /// Address of the router's external processing front.
     front: SocketAddr,
-    call: SocketAddr,
-    /// Idle connections to each cache.
+    /// Address of the router's plain call front.
+    call_front: SocketAddr,
+    /// Idle connections by cache address.
     idle: Mutex<HashMap<String, Vec<TcpStream>>>,
-    /// How long each routing decision took, in microseconds.
+    /// Latency of each routing decision, in microseconds.
     pub decision_latencies_us: Mutex<Vec<u64>>,
-    /// Number of streams that the router had not ended in time after nothing was reported.
+    /// Number of streams without a report that the router did not end in time.
     pub streams_left: Mutex<u64>,
-    /// Number of streams that the router ended, by gRPC code.
+    /// Number of streams that failed before a decision, by gRPC status code.
     pub statuses: Mutex<HashMap<String, u64>>,
-    /// The decision lease of another request, for reports that are wrong.
+    /// The decision lease of another request, used in wrong reports. `None` until first needed.
     foreign_lease: Mutex<Option<String>>,
 }
 
 fn channel(front: SocketAddr) -> Channel {
-    Endpoint::from_shared(format!("http://{front}")).expect("an address").connect_lazy()
+    Endpoint::from_shared(format!("http://{front}")).expect("the address is a valid URI").connect_lazy()
 }
 
 impl Proxy {
-    /// Starts a proxy that calls the router's external processing front, and with some faults its plain call
+    /// Starts a proxy that calls the router's external processing front and, for some faults, its plain call
     /// front.
-    pub async fn start(front: SocketAddr, call: SocketAddr) -> Arc<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    pub async fn start(front: SocketAddr, call_front: SocketAddr) -> Arc<Self> {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let proxy = Arc::new(Self {
-            address: listener.local_addr().expect("bound"),
+            address: listener.local_addr().expect("the listener is bound"),
             processor: Mutex::new(ExternalProcessorClient::new(channel(front))),
             front,
-            call,
+            call_front,
             idle: Mutex::default(),
             decision_latencies_us: Mutex::default(),
             streams_left: Mutex::default(),
@@ -89,7 +94,7 @@
         proxy
     }
 
-    /// Drops the connection to the router, with all streams that are open on it.
+    /// Drops the connection to the router with all its open streams. The next attempt connects to `front`.
     pub fn reconnect(&self, front: SocketAddr) {
         *self.processor.lock().unwrap() = ExternalProcessorClient::new(channel(front));
     }
@@ -117,7 +122,7 @@
         }
     }
 
-    /// Makes attempts until one ends with an answer to the client.
+    /// Makes attempts until one returns a response to the client.
     async fn handle(&self, request: &Message) -> Response {
         let fault = request.fields.get("x-fault").cloned().unwrap_or_default();
         let started_at = Instant::now();
@@ -144,7 +149,7 @@
     loop {
         match stream.peek(&mut [0]).await {
             Ok(0) | Err(_) => return,
-            // A next request; the proxy reads it after it has answered this one.
+            // The next request of the client; the proxy reads it after the response to this request.
             Ok(_) => tokio::time::sleep(CLIENT_POLL_INTERVAL).await,
         }
     }
