--- a/crates/testbed/src/cluster/client.rs
+++ b/crates/testbed/src/cluster/client.rs
@@ -9,31 +9,32 @@
 use super::process::{connect, is_healthy};
 use crate::stand_in::{Client, Reply, call};
 
-/// A client's connection to one router. After each connect it checks once whether the router is healthy, as
-/// the platform's front does.
+/// A client's connection to one router. The client checks once for each connection whether the router is
+/// healthy, as the platform's front does.
 pub struct ClientConnection<'a> {
     cluster: &'a Cluster,
     /// The router's index.
     pub router: usize,
-    /// With the router's number of disruptions at the connect: a connection to a process that was killed
-    /// since may take a call and bring no answer.
+    /// The open connection, with the router's number of disruptions when the connection was opened. It is
+    /// replaced when this number changes: a connection to a killed process may accept a call and return no
+    /// answer.
     open: Option<(Client, u64)>,
-    /// When the router last stated after a connect that it is healthy.
+    /// When the router last reported itself healthy in the check for a new connection.
     pub healthy_since: Option<Instant>,
     sequence_number: i32,
 }
 
-/// What came of a call.
+/// The result of a call.
 pub enum CallResult {
-    /// It was not sent, or its router was killed or stopped meanwhile.
+    /// There was no answer, and the router was disrupted during the call or is not running.
     LostWithRouter,
-    /// There was no answer, and nothing had happened to the router.
+    /// There was no answer, although the router was not disrupted.
     NoAnswer,
-    /// There was an answer.
+    /// An answer was received.
     Answered {
         /// When the call was sent.
         sent_at: Instant,
-        /// Whether the answer is for this call.
+        /// Whether the answer has the sequence number of this call.
         is_own: bool,
         /// The answer.
         reply: Reply,
@@ -41,12 +42,13 @@
 }
 
 impl<'a> ClientConnection<'a> {
-    /// A connection that is opened with the first call.
+    /// Returns a connection that is opened by the first call.
     pub fn new(cluster: &'a Cluster, router: usize) -> Self {
         Self { cluster, router, open: None, healthy_since: None, sequence_number: 0 }
     }
 
-    /// Sends a call, or connects first where that is needed; none where no call was sent.
+    /// Sends a call and waits for the answer. If no connection is open, tries to open one instead. `None` if
+    /// no call was sent.
     pub fn call(&mut self, fields: &[(&str, &str)]) -> Option<CallResult> {
         let node = &self.cluster.nodes[self.router];
         let disruptions = node.disruptions.load(Ordering::SeqCst);
--- a/crates/testbed/src/cluster/faults.rs
+++ b/crates/testbed/src/cluster/faults.rs
@@ -1,5 +1,5 @@
 //! Injects faults into a cluster: a lossy or partitioned network, killed, stopped and restarted processes,
-//! torn storage, wrong clocks, draining endpoints, purges.
+//! truncated storage, clock faults, draining endpoints, purges.
 
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -18,27 +18,29 @@
     "heir", "doze", "drain", "purge", "clock",
 ];
 
-/// How often the injector looks for what is due.
+/// How often the injector checks for due faults and recoveries.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Endpoints that are drained, at most.
+/// Maximum number of endpoints that are drained during a run.
 const MAX_DRAINED: usize = 2;
 
-/// How a router that was disturbed comes back.
+/// How a disrupted router recovers.
 #[derive(Clone, Copy)]
 enum Recovery {
+    /// The router was killed; its process is started again.
     Start,
+    /// The router was stopped; its process is resumed.
     Resume,
 }
 
-/// A router that is to come back.
-struct Pending {
+/// A scheduled recovery of a router.
+struct PendingRecovery {
     due: Instant,
     node: usize,
     recovery: Recovery,
 }
 
-/// What is chosen at random for each fault: the router that it is for, and until when it lasts.
+/// The target of a fault: when it is injected, the index of a random router, and when the fault ends.
 #[derive(Clone, Copy)]
 struct Target {
     now: Instant,
@@ -46,12 +48,12 @@
     until: Instant,
 }
 
-/// Injects faults until it is told to stop, and repairs all of them then.
+/// Injects random faults into a cluster, and repairs them at the end.
 pub struct FaultInjector<'a> {
     cluster: &'a Cluster,
     random: Pcg64Mcg,
-    pending: Vec<Pending>,
-    /// Until when routers stay cut off from others.
+    pending: Vec<PendingRecovery>,
+    /// When the partition of the network ends.
     partitioned_until: Instant,
     is_partitioned: bool,
     /// When the next fault is injected.
@@ -61,7 +63,7 @@
 }
 
 impl<'a> FaultInjector<'a> {
-    /// An injector for the cluster's faults.
+    /// Returns an injector for the faults in the cluster's plan.
     pub fn new(cluster: &'a Cluster) -> Self {
         Self {
             cluster,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Injects faults until [`Cluster::faults_finished`] is set.
+    /// Injects faults until [`Cluster::faults_finished`] is set, then repairs all of them.
     pub fn run(mut self) {
         self.set_message_faults();
         let faults: Vec<&str> =
@@ -95,7 +97,7 @@
             self.cluster.injected.lock().unwrap().push((now, fault));
             self.inject(fault, Target { now, node, until });
         }
-        for Pending { node, recovery, .. } in std::mem::take(&mut self.pending) {
+        for PendingRecovery { node, recovery, .. } in std::mem::take(&mut self.pending) {
             self.recover(node, recovery);
         }
         self.cluster.relay.change_faults(|faults| *faults = NetworkFaults::default());
@@ -107,12 +109,12 @@
             "split" => self.partition_network(target),
             "voters" => self.separate_voters(target),
             "island" => self.isolate_one(target),
-            "deaf" => self.cut_high_demand_off_from_leader(target),
-            "heir" => self.kill_leader_unheard(target),
+            "deaf" => self.block_leader_to_high_demand_routers(target),
+            "heir" => self.kill_leader_and_isolate_router(target),
             "doze" if self.cluster.all_running() => self.pause_non_voters(target),
             "kill" | "restart" if self.cluster.is_running(target.node) => self.kill_one(target),
             "torn" if self.cluster.all_running() && can_lose_a_replica(self.cluster) => {
-                self.tear_storage(target);
+                self.truncate_storage(target);
             }
             "killmost" => self.kill_most(target),
             "pause" if self.cluster.is_running(target.node) => self.pause_one(target),
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Loss, delay, reordering and duplication last for as long as faults are injected.
+    /// Sets the loss, delay, reordering and duplication of messages. These last until the injector ends.
     fn set_message_faults(&self) {
         let has = |fault| self.cluster.has_fault(fault);
         self.cluster.relay.change_faults(|faults| {
@@ -147,7 +149,7 @@
     fn recover_due(&mut self, now: Instant) {
         let due = |index: &usize| self.pending[*index].due <= now;
         for index in (0..self.pending.len()).rev().filter(due).collect::<Vec<_>>() {
-            let Pending { node, recovery, .. } = self.pending.swap_remove(index);
+            let PendingRecovery { node, recovery, .. } = self.pending.swap_remove(index);
             self.recover(node, recovery);
         }
     }
@@ -160,10 +162,11 @@
     }
 
     fn recover_at(&mut self, due: Instant, node: usize, recovery: Recovery) {
-        self.pending.push(Pending { due, node, recovery });
+        self.pending.push(PendingRecovery { due, node, recovery });
     }
 
-    /// Ends a partition of this injector; one that an experiment made is its own to end.
+    /// Ends a partition made by this injector when it is due. An experiment ends the partitions that it made
+    /// itself.
     fn repair_network(&mut self, now: Instant) {
         if self.is_partitioned && self.partitioned_until <= now {
             self.cluster.relay.change_faults(|faults| faults.severed.clear());
@@ -171,11 +174,12 @@
         self.is_partitioned = self.partitioned_until > now;
     }
 
-    fn keep_partition(&mut self, until: Instant) {
+    /// Extends the partition of the network to last at least until this time.
+    fn extend_partition(&mut self, until: Instant) {
         self.partitioned_until = self.partitioned_until.max(until);
     }
 
-    /// Separates every two nodes for which `separated` holds.
+    /// Drops all messages from node `a` to node `b` if `separated(a, b)` is true.
     fn separate_where(&self, separated: impl Fn(usize, usize) -> bool) {
         let nodes = &self.cluster.nodes;
         let count = nodes.len();
@@ -193,7 +197,7 @@
         let nodes = &self.cluster.nodes;
         let route = (nodes[target.node].name.clone(), nodes[other].name.clone());
         self.cluster.relay.change_faults(|faults| faults.severed.extend([route]));
-        self.keep_partition(target.until);
+        self.extend_partition(target.until);
     }
 
     fn partition_network(&mut self, target: Target) {
@@ -201,29 +205,30 @@
         let count = self.cluster.nodes.len();
         let sides: Vec<u32> = (0..count).map(|_| self.random.random_range(0..parts)).collect();
         self.separate_where(|a, b| sides[a] != sides[b]);
-        self.keep_partition(target.until);
+        self.extend_partition(target.until);
     }
 
-    /// Separates the voters from all others, which are a majority and go on without them.
+    /// Partitions the voters from all other routers. The other routers are a majority of the fleet and
+    /// continue without the voters.
     fn separate_voters(&mut self, target: Target) {
         let voters = self.cluster.voters();
         let votes = |index: usize| voters.contains(&self.cluster.nodes[index].name);
         self.separate_where(|a, b| votes(a) != votes(b));
-        self.keep_partition(target.now + 3 * self.lease());
+        self.extend_partition(target.now + 3 * self.lease());
         self.next_fault = self.partitioned_until + Duration::from_millis(500);
     }
 
     /// Isolates one router for longer than a policy change takes.
     fn isolate_one(&mut self, target: Target) {
         isolate(self.cluster, target.node);
-        self.keep_partition(target.now + 3 * self.lease());
+        self.extend_partition(target.now + 3 * self.lease());
         self.next_fault = self.partitioned_until + Duration::from_millis(500);
     }
 
-    /// Messages of the leader do not reach the routers whose clients want much now and will soon want little:
-    /// they go on with what they were granted, and the leader hears that they want less.
-    fn cut_high_demand_off_from_leader(&mut self, target: Target) {
-        let late_in_period = self.cluster.rest_of_demand_period() < Duration::from_millis(500);
+    /// Drops the leader's messages to routers whose clients have high demand now and low demand in the next
+    /// period. These routers continue with their grants, and the leader receives their lower demand.
+    fn block_leader_to_high_demand_routers(&mut self, target: Target) {
+        let late_in_period = self.cluster.remaining_demand_period() < Duration::from_millis(500);
         if self.cluster.has_fault("shift") && !late_in_period {
             self.next_fault = target.now;
             return;
@@ -231,7 +236,7 @@
         let cluster = self.cluster;
         let count = cluster.nodes.len();
         let Some(leader) = (0..count).find(|index| cluster.is_leader(*index)) else { return };
-        // At most as many voters as the leader can do without.
+        // Limits the voters that are cut off to a minority, so that the leader keeps its quorum.
         let mut spare_voters = (cluster.voters().len().max(1) - 1) / 2;
         let mut cut_off: Vec<usize> =
             (0..count).filter(|index| *index != leader && cluster.has_high_demand(*index)).collect();
@@ -246,13 +251,14 @@
                 |index: usize| (cluster.nodes[leader].name.clone(), cluster.nodes[index].name.clone());
             faults.severed.extend(cut_off.into_iter().map(route));
         });
-        // Shorter than a lease, or another router would become leader.
-        self.keep_partition(target.now + self.lease() * 4 / 5);
+        // Shorter than a lease; otherwise another router would become leader.
+        self.extend_partition(target.now + self.lease() * 4 / 5);
         self.next_fault = self.partitioned_until + Duration::from_millis(100);
     }
 
-    /// Kills the leader, and isolates a router with high demand, so that it does not hear of the next leader.
-    fn kill_leader_unheard(&mut self, target: Target) {
+    /// Kills the leader, and isolates a router with high demand that is not a voter, so that this router does
+    /// not learn of the next leader.
+    fn kill_leader_and_isolate_router(&mut self, target: Target) {
         let cluster = self.cluster;
         let count = cluster.nodes.len();
         let Some(leader) = (0..count).find(|index| cluster.is_leader(*index)) else { return };
@@ -269,12 +275,12 @@
         if cluster.kill(leader) {
             self.recover_at(target.until, leader, Recovery::Start);
             isolate(cluster, other);
-            self.keep_partition(target.now + self.lease());
+            self.extend_partition(target.now + self.lease());
             self.next_fault = self.partitioned_until + Duration::from_millis(500);
         }
     }
 
-    /// Stops all routers that don't vote until their grants have expired.
+    /// Stops all routers that are not voters until their grants have expired.
     fn pause_non_voters(&mut self, target: Target) {
         let voters = self.cluster.voters();
         let until = target.now + self.lease() + Duration::from_millis(4500);
@@ -292,8 +298,8 @@
         }
     }
 
-    /// Kills one router and truncates its replica's storage at a random byte.
-    fn tear_storage(&mut self, target: Target) {
+    /// Kills one router and truncates the storage of its replica at a random byte.
+    fn truncate_storage(&mut self, target: Target) {
         if !self.cluster.kill(target.node) {
             return;
         }
@@ -305,6 +311,7 @@
         self.recover_at(target.until, target.node, Recovery::Start);
     }
 
+    /// With a probability of 0.3, kills each running router with a probability of 0.7.
     fn kill_most(&mut self, target: Target) {
         if !self.random.random_bool(0.3) {
             return;
@@ -340,7 +347,7 @@
         self.cluster.fleet.lock().unwrap().purge(&object);
     }
 
-    /// Restarts one router, once in a run, with a clock that runs at a wrong rate and jumps.
+    /// Restarts one router, once in a run, with a clock that jumps and may run at a wrong rate.
     fn change_clock(&mut self, target: Target) {
         if !self.cluster.kill(target.node) {
             return;
@@ -353,7 +360,7 @@
     }
 }
 
-/// Separates one router from all others, both ways.
+/// Drops all messages between one router and all others, in both directions.
 pub fn isolate(cluster: &Cluster, index: usize) {
     let own = &cluster.nodes[index].name;
     cluster.relay.change_faults(|faults| {
@@ -364,13 +371,14 @@
     });
 }
 
-/// Whether all routers are well and there are voters enough for one to lose its storage: no more is promised.
+/// Whether all routers are in service and there are enough voters for one of them to lose its storage.
+/// Otherwise the fleet does not guarantee to survive the loss of a replica's storage.
 fn can_lose_a_replica(cluster: &Cluster) -> bool {
-    let is_well = |status: Value| {
+    let is_intact = |status: Value| {
         let voters = status["voters"].as_array().cloned().unwrap_or_default();
-        // A replica without a router shows as a number, and is being replaced.
+        // A replica that belongs to no router is listed as a number and is being replaced.
         let has_router = |voter: &Value| voter.as_str().is_some_and(|name| name.starts_with('n'));
         status["out"].is_null() && voters.len() >= 3 && voters.iter().all(has_router)
     };
-    (0..cluster.nodes.len()).all(|index| cluster.control(index, &json!("status")).is_some_and(is_well))
+    (0..cluster.nodes.len()).all(|index| cluster.control(index, &json!("status")).is_some_and(is_intact))
 }
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Several routers of one fleet as processes, each behind a [`Relay`], with faults injected between and into
-//! them.
+//! Runs the routers of one fleet as processes. Their messages pass through a [`Relay`], and faults are
+//! injected into the processes and the network between them.
 
 mod client;
 mod faults;
@@ -26,7 +26,7 @@
 use crate::simulation::many_days::parse_faults;
 use crate::stand_in::{Router, StartOptions, configuration};
 
-/// Faults that every experiment can inject; each experiment has others of its own beside them.
+/// Names of the faults that every experiment can inject. Each experiment adds faults that only it can inject.
 pub const FAULTS: &[&str] = &[
     "drop",
     "delay",
@@ -47,28 +47,29 @@
     "clock",
 ];
 
-/// What an experiment runs.
+/// The parameters of an experiment.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seeds all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Requests that are sent, at most.
+    /// Maximum number of requests that are sent.
     pub requests: u64,
     /// For how many seconds faults are injected.
     pub seconds: u64,
     /// Number of routers.
     pub routers: usize,
-    /// Names of the faults, with commas between; `all` for every one.
+    /// Comma-separated names of the injected faults; `all` for all faults.
     pub faults: String,
-    /// The check that is switched off, if any.
+    /// Name of the check that is disabled, if any.
     pub without: Option<String>,
-    /// Three voters in any fleet, so that the other routers are a majority of it.
+    /// Whether a fleet of any size has three voters, so that the other routers can be a majority of it.
     pub few_voters: bool,
-    /// The fleet's lease, in milliseconds.
+    /// Duration of the fleet's leases, in milliseconds.
     pub lease: u64,
-    /// Whether the routers' log lines about their fleet are shown in any case.
+    /// Whether the routers' log lines about the fleet are printed even if no rule was broken.
     pub logs: bool,
-    /// Fills by the origin where they are divided: how many a second, their burst, and how many at once.
+    /// The budget of origin fills in experiments that divide it among routers: fills per second, burst, and
+    /// concurrent fills.
     pub fills: [f64; 3],
 }
 
@@ -89,90 +90,96 @@
     }
 }
 
-/// How long the fleet goes on without its voters, in milliseconds.
+/// How long the fleet continues without a quorum of its voters, in milliseconds.
 pub const QUORUM_LOSS_GRACE_MS: u64 = 6000;
-/// How far routers may be apart in the fleet's time, in milliseconds.
+/// Maximum difference between two routers' readings of the fleet's time, in milliseconds.
 pub const CLOCK_BOUND_MS: u64 = 50;
-/// How often a router asks others, in milliseconds.
+/// How often a router sends status requests to other routers, in milliseconds.
 pub const HEARTBEAT_MS: u64 = 150;
 /// How long a policy change is on probation, in milliseconds.
 pub const PROBATION_MS: u64 = 2500;
 
-/// One router: what stays over restarts of its process.
+/// A router of the cluster, with the state that outlives restarts of its process.
 pub struct Node {
     /// The router's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the router listen_addresses for clients.
     pub address: SocketAddr,
-    /// The control socket.
+    /// Path of the router's control socket.
     pub control_socket: PathBuf,
-    /// Where its replica is stored.
+    /// Directory of the replica's storage.
     pub storage: PathBuf,
-    /// Its fronts file.
+    /// Contents of the router's fronts file.
     pub fronts: Value,
-    /// The process; none while the router is down.
+    /// The router's process. `None` while the router is down.
     pub process: Mutex<Option<Router>>,
-    /// Goes up whenever the process is killed, stopped or started: what was in flight then is lost with it.
+    /// Incremented whenever the process is killed, stopped, resumed or started. Calls in flight at that time
+    /// are lost.
     pub disruptions: AtomicU64,
-    /// Log lines of ended processes about their fleet.
+    /// Log lines of ended processes that concern the fleet.
     pub log: Mutex<Vec<String>>,
     /// Whether the process is stopped (SIGSTOP).
     pub paused: AtomicBool,
 }
 
-/// A fleet of router processes with their relay and their stand-in endpoints.
+/// A fleet of router processes with its relay and its stand-in endpoints.
 pub struct Cluster {
-    /// What is run.
+    /// The parameters of the experiment.
     pub plan: Plan,
-    /// The faults that are injected.
+    /// Names of the faults that are injected.
     pub faults: Vec<String>,
     /// The routers.
     pub nodes: Vec<Node>,
     /// The stand-in endpoints.
     pub fleet: Mutex<Fleet>,
-    /// What carries the routers' messages.
+    /// The relay between the routers.
     pub relay: Relay,
-    /// Requests sent so far.
+    /// Number of requests sent so far.
     pub requests_sent: AtomicU64,
-    /// Processes that ended by themselves.
+    /// Number of processes that exited without being killed.
     pub crashed: AtomicU64,
-    /// When which fault was injected.
+    /// The injected faults, each with its time.
     pub injected: Mutex<Vec<(Instant, &'static str)>>,
-    /// Set once clients are to stop.
+    /// Set when clients must stop.
     pub finished: AtomicBool,
-    /// Set once no more faults are to be injected.
+    /// Set when the injection of faults must end.
     pub faults_finished: AtomicBool,
-    /// The cluster's directory.
+    /// Directory of the routers' control sockets and storage.
     pub directory: PathBuf,
     started_at: Instant,
+    /// Index of the leader found by [`Cluster::find_leader`]; `usize::MAX` if none was found.
     leader: AtomicUsize,
-    /// An experiment's change of the routers' configuration.
+    /// The experiment's changes to a router's configuration.
     pub configure: fn(&mut Value),
 }
 
-/// How long clients of a router want much, and then little.
+/// How long the clients of a router have high demand, and then low demand, in turn.
 const DEMAND_PERIOD: Duration = Duration::from_secs(3);
 
 impl Cluster {
-    /// Starts the routers and bootstraps their fleet; also returns how long it took until all were healthy.
+    /// Starts the routers and bootstraps their fleet. Returns the cluster and the time from the start of the
+    /// bootstrap until all routers were healthy.
     pub fn start(
         plan: &Plan,
-        own_faults: &[&str],
+        experiment_faults: &[&str],
         checks: &[&str],
         fleet: Fleet,
         configure: fn(&mut Value),
     ) -> Result<(Arc<Self>, Duration)> {
-        ensure!((1..=40).contains(&plan.routers), "from 1 to 40 routers");
+        ensure!((1..=40).contains(&plan.routers), "expected from 1 to 40 routers, got {}", plan.routers);
         if let Some(check) = &plan.without {
             ensure_check_is_known(check, checks)?;
         }
-        let faults = parse_faults(&plan.faults, &[FAULTS, own_faults].concat())?;
+        let faults = parse_faults(&plan.faults, &[FAULTS, experiment_faults].concat())?;
         let directory = new_directory()?;
         let names: Vec<String> = (0..plan.routers).map(|index| format!("n{index}")).collect();
-        let listens: BTreeMap<String, SocketAddr> =
+        let listen_addresses: BTreeMap<String, SocketAddr> =
             names.iter().map(|name| (name.clone(), free_address())).collect();
-        let relay = Relay::start(plan.seed, &listens);
-        let nodes = names.iter().map(|name| node(plan, &directory, &relay, listens[name], name)).collect();
+        let relay = Relay::start(plan.seed, &listen_addresses);
+        let nodes = names
+            .iter()
+            .map(|name| new_node(plan, &directory, &relay, listen_addresses[name], name))
+            .collect();
         let cluster = Arc::new(Self {
             plan: plan.clone(),
             faults,
@@ -190,21 +197,22 @@
             configure,
         });
         (0..plan.routers).for_each(|index| cluster.start_node(index, None));
-        let bootstrapped = Instant::now();
+        let bootstrap_started_at = Instant::now();
         control_request(&cluster.nodes[0].control_socket, &json!({"found": {}}))
-            .context("the fleet's bootstrap")?;
+            .context("failed to bootstrap the fleet")?;
         wait_until(Duration::from_secs(60), "all routers to be healthy", || {
             cluster.nodes.iter().all(|node| is_healthy(node).unwrap_or(false))
         })?;
-        Ok((cluster, bootstrapped.elapsed()))
+        Ok((cluster, bootstrap_started_at.elapsed()))
     }
 
-    /// Whether that fault is injected.
+    /// Whether the fault with this name is injected.
     pub fn has_fault(&self, fault: &str) -> bool {
         self.faults.iter().any(|known| known == fault)
     }
 
-    /// Starts a router's process, with a faulty clock where one is given, and waits until it listens.
+    /// Starts a router's process and waits until the router listens. `clock` is the fault of the router's
+    /// clock, if any.
     pub fn start_node(&self, index: usize, clock: Option<String>) {
         let node = &self.nodes[index];
         let configuration = self.node_configuration(index);
@@ -228,21 +236,26 @@
         configuration["known"] = fleet.known_events();
         configuration["settings"]["zones"] = json!(["central", "north"]);
         configuration["settings"]["zone"] = json!(index % 2);
-        // The purge of the start is never forgotten, so that each attempt states the age that it accepts.
+        // An hour, in microseconds: the purge at the start does not expire during a run, so that each attempt
+        // states the age that it accepts.
         configuration["settings"]["family_info"]["gone_everywhere"] = json!(3_600_000_000u64);
         drop(fleet);
         (self.configure)(&mut configuration);
         configuration
     }
 
-    /// Kills a router's process; false where it is down already.
+    /// Kills a router's process. Returns false if the router is already down.
     pub fn kill(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         let Some(mut process) = node.process.lock().unwrap().take() else { return false };
         if process.has_ended() {
             self.crashed.fetch_add(1, Ordering::SeqCst);
             let last = process.log.change(|log| log.iter().rev().take(4).cloned().collect::<Vec<_>>());
-            eprintln!("{} ended by itself: {}", node.name, last.join(" < "));
+            eprintln!(
+                "{} exited unexpectedly; its last log lines, latest first: {}",
+                node.name,
+                last.join(" < ")
+            );
         }
         node.disruptions.fetch_add(1, Ordering::SeqCst);
         process.kill();
@@ -253,7 +266,7 @@
         true
     }
 
-    /// Stops a router's process, or has it go on (SIGSTOP, SIGCONT).
+    /// Stops a router's process, or resumes it if `pause` is false (SIGSTOP, SIGCONT).
     pub fn pause(&self, index: usize, pause: bool) {
         let node = &self.nodes[index];
         if let Some(process) = node.process.lock().unwrap().as_ref() {
@@ -263,60 +276,63 @@
         }
     }
 
-    /// Whether a router's process is up and not stopped.
+    /// Whether a router's process was started and is not stopped.
     pub fn is_running(&self, index: usize) -> bool {
         let node = &self.nodes[index];
         node.process.lock().unwrap().is_some() && !node.paused.load(Ordering::SeqCst)
     }
 
-    /// Whether all routers are up.
+    /// Whether the processes of all routers are running.
     pub fn all_running(&self) -> bool {
         (0..self.nodes.len()).all(|index| self.is_running(index))
     }
 
-    /// How long the present period of demand still lasts.
-    pub fn rest_of_demand_period(&self) -> Duration {
+    /// The time until the end of the current demand period.
+    pub fn remaining_demand_period(&self) -> Duration {
         let elapsed = self.started_at.elapsed().as_micros() % DEMAND_PERIOD.as_micros();
         DEMAND_PERIOD - Duration::from_micros(elapsed as u64)
     }
 
-    /// Whether a router's clients want much in this period. Those of the leader never do: what it keeps for
-    /// itself is granted to nobody, so most of what there is should go to others.
+    /// Whether the clients of a router have high demand in the current period. Clients of the leader never
+    /// have high demand: the share that the leader keeps for itself is not granted to any router, and most of
+    /// the budget should be granted to other routers.
     pub fn has_high_demand(&self, index: usize) -> bool {
         let period = self.started_at.elapsed().as_micros() / DEMAND_PERIOD.as_micros();
         (index as u128 + period).is_multiple_of(2) && self.leader.load(Ordering::Relaxed) != index
     }
 
-    /// Asks for the leader and remembers it.
+    /// Finds the current leader and stores its index for [`Cluster::has_high_demand`].
     pub fn find_leader(&self) {
         let status = self.any_status();
         let leads = |index: &usize| status["leader"] == json!(self.peer_address(*index));
         self.leader.store((0..self.nodes.len()).find(leads).unwrap_or(usize::MAX), Ordering::Relaxed);
     }
 
-    /// The names of the voters, as one router states them.
+    /// Returns the names of the voters as reported by one router.
     pub fn voters(&self) -> Vec<String> {
         let status = self.any_status();
         let voters = status["voters"].as_array().cloned().unwrap_or_default();
         voters.iter().filter_map(|voter| Some(voter.as_str()?.to_string())).collect()
     }
 
+    /// Returns the status of the first router that answers.
     fn any_status(&self) -> Value {
         (0..self.nodes.len()).find_map(|index| self.control(index, &json!("status"))).unwrap_or_default()
     }
 
-    /// Where its peers reach a router.
+    /// Returns the address at which other routers reach a router, which is an address of the relay.
     pub fn peer_address(&self, index: usize) -> String {
         self.relay.addresses[&self.nodes[index].name].to_string()
     }
 
-    /// Whether a router states that it leads.
+    /// Whether a router reports that it is the leader.
     pub fn is_leader(&self, index: usize) -> bool {
         let status = self.control(index, &json!("status"));
         status.is_some_and(|status| status["leader"] == json!(self.peer_address(index)))
     }
 
-    /// Sends a request to a router's control socket; none where there is no answer, or an error.
+    /// Sends a request to a router's control socket and returns the answer. `None` if there is no answer or
+    /// the answer is an error.
     pub fn control(&self, index: usize, request: &Value) -> Option<Value> {
         if !self.is_running(index) {
             return None;
@@ -324,17 +340,17 @@
         control_request(&self.nodes[index].control_socket, request).ok()
     }
 
-    /// Waits until no policy change is pending and all routers take requests again, within the time that is
-    /// stated for it; returns how many waits failed.
+    /// Waits until no policy change is pending and all routers accept requests again. Returns 1 if this takes
+    /// longer than the time that the fleet guarantees, otherwise 0.
     pub fn settle(&self) -> u64 {
-        // Two leases and graces for the change, and as much as it takes for a router to be listed again.
+        // Two leases and grace periods for the change, and ten leases until a router is listed again.
         let lease = self.plan.lease;
         let limit = Duration::from_millis(2 * (lease + QUORUM_LOSS_GRACE_MS) + 10 * lease);
-        let settled = wait_until(limit, "an end", || {
+        let settled = wait_until(limit, "the cluster to settle", || {
             let statuses = (0..self.nodes.len()).map(|index| self.control(index, &json!("status")));
             let statuses: Vec<Value> = statuses.flatten().collect();
             let is_done = |status: &Value| status["under_way"].is_null() && status["out"].is_null();
-            // One whose clock is off may stay out for ever, and says so.
+            // A router with a clock fault may stay out of service and reports this.
             let out = statuses.iter().filter(|status| !is_done(status)).count();
             statuses.len() == self.nodes.len() && out <= usize::from(self.has_fault("clock"))
         });
@@ -343,12 +359,13 @@
                 eprintln!("{}: {:?}", node.name, self.control(index, &json!("status")));
             }
         }
-        // Clients are to see the last change as well.
+        // Gives clients time to observe the last change.
         thread::sleep(Duration::from_millis(700));
         u64::from(settled.is_err())
     }
 
-    /// Ends all routers; shows their log lines about the fleet where a rule was broken.
+    /// Kills all routers, and adds the number of crashes to the figures. Prints the routers' log lines about
+    /// the fleet if a rule was broken and no check was disabled, or if the plan requests it.
     pub fn end(&self, figures: &mut Figures) {
         for index in 0..self.nodes.len() {
             self.kill(index);
@@ -374,7 +391,8 @@
     Ok(directory)
 }
 
-fn node(plan: &Plan, directory: &Path, relay: &Relay, listen: SocketAddr, name: &str) -> Node {
+/// Returns a node that is not started yet.
+fn new_node(plan: &Plan, directory: &Path, relay: &Relay, listen: SocketAddr, name: &str) -> Node {
     let control_socket = directory.join(format!("{name}.sock"));
     let storage = directory.join(name);
     let seeds: Vec<String> =
--- a/crates/testbed/src/proxy/attempt.rs
+++ b/crates/testbed/src/proxy/attempt.rs
@@ -96,7 +96,8 @@
         let started_at = Instant::now();
         let opening = open_stream(processor, receiver);
         if self.fault == "before" {
-            // The stream is cancelled immediately or while the router decides, depending on the request's ticket.
+            // The stream is cancelled immediately or while the router decides. The time until then depends on
+            // the request's ticket.
             let spread =
                 self.request.fields.get("x-ticket").map_or(0, |ticket| u64::from(ticket.as_bytes()[15]));
             let _ = tokio::time::timeout(Duration::from_micros(spread * 6), opening).await;
--- a/crates/testbed/src/proxy/mod.rs
+++ b/crates/testbed/src/proxy/mod.rs
@@ -36,8 +36,8 @@
 }
 
 impl Response {
-    /// Returns a response that the proxy generates itself because the router provided none. The reason is sent
-    /// in the header `x-lab-why`.
+    /// Returns a response that the proxy generates itself because the router provided none. The reason is
+    /// sent in the header `x-lab-why`.
     fn local(status: u16, reason: &str) -> Self {
         Self { status, fields: [("x-lab-why".to_string(), reason.to_string())].into(), body: Vec::new() }
     }
