--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -103,7 +103,7 @@
 pub struct Node {
     /// The router's name.
     pub name: String,
-    /// The address on which the router listen_addresses for clients.
+    /// The address on which the router listens for clients.
     pub address: SocketAddr,
     /// Path of the router's control socket.
     pub control_socket: PathBuf,
--- a/crates/testbed/src/proxy/attempt.rs
+++ b/crates/testbed/src/proxy/attempt.rs
@@ -71,7 +71,7 @@
     first: Option<ProcessingResponse>,
 }
 
-/// Why an attempt got no response from the endpoint, as reported to the router in `x-tindoor-failed`.
+/// Why the endpoint returned no response or was not called, as reported to the router in `x-tindoor-failed`.
 type ForwardFailure = &'static str;
 
 async fn open_stream(
@@ -159,7 +159,7 @@
         self.finish(reply, forwarded)
     }
 
-    /// Returns the result of the attempt from the router's reply to the report.
+    /// Determines the result of the attempt from the router's reply to the report.
     fn finish(
         &self,
         reply: Option<ProcessingResponse>,
--- a/crates/testbed/src/stand_in/process.rs
+++ b/crates/testbed/src/stand_in/process.rs
@@ -29,7 +29,7 @@
 }
 
 /// Returns the path of the router's executable: the value of `TINDOOR_PROGRAM` if it is set, otherwise the
-/// executable in the build directory of the running executable.
+/// executable in the directory of the running executable or in its parent directory.
 pub fn program() -> PathBuf {
     if let Some(path) = std::env::var_os("TINDOOR_PROGRAM") {
         return path.into();
