--- a/crates/policy/src/keys.rs
+++ b/crates/policy/src/keys.rs
@@ -147,10 +147,12 @@
         return Err(PolicyError::ObjectiveOverDeadline { class: class.to_string(), objective, deadline });
     }
     // A copy that may be served for longer than purges are remembered could predate a forgotten purge.
-    if let (Some(max_age), Some(remembered)) = (get("fresh_ms"), policy.get("copies_gone_after_ms"))
-        && max_age + get("older_by_ms").unwrap_or_default() > remembered
-    {
-        return Err(PolicyError::CopyOutlivesPurge { class: class.to_string(), remembered });
+    if let (Some(max_age), Some(remembered)) = (get("fresh_ms"), policy.get("copies_gone_after_ms")) {
+        let max_served_age = max_age + get("older_by_ms").unwrap_or_default();
+        if max_served_age > remembered {
+            let class = class.to_string();
+            return Err(PolicyError::CopyOutlivesPurge { class, max_served_age, remembered });
+        }
     }
     Ok(())
 }
--- a/crates/policy/src/keys/error.rs
+++ b/crates/policy/src/keys/error.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PolicyError {
     /// The key is not declared.
-    #[error("{key}: no such key")]
+    #[error("{key}: unknown key; `tindoor policy explain` lists all keys")]
     UnknownKey {
         /// The key.
         key: String,
     },
     /// The key names a request class that does not exist.
-    #[error("{key}: no offering is called {class:?}")]
+    #[error("{key}: no request class named {class:?} is configured")]
     UnknownClass {
         /// The key.
         key: String,
@@ -21,7 +21,7 @@
         class: String,
     },
     /// The number is outside the key's bounds.
-    #[error("{key}: {number} is not from {min} to {max}")]
+    #[error("{key}: expected {min} to {max}, found {number}")]
     OutOfRange {
         /// The key.
         key: String,
@@ -33,7 +33,7 @@
         max: f64,
     },
     /// The number of the key must be whole.
-    #[error("{key}: {number} is not a whole number")]
+    #[error("{key}: expected a whole number, found {number}")]
     NotWhole {
         /// The key.
         key: String,
@@ -41,7 +41,10 @@
         number: f64,
     },
     /// The latency objective of a request class exceeds its deadline.
-    #[error("offering.{class}.latency_goal_ms: {objective} is over the cut-off of {deadline}")]
+    #[error(
+        "offering.{class}.latency_goal_ms: expected at most {deadline} (offering.{class}.cut_off_ms), \
+         found {objective}"
+    )]
     ObjectiveOverDeadline {
         /// The request class.
         class: String,
@@ -52,35 +55,39 @@
     },
     /// Copies of a request class could be served after their purge is forgotten.
     #[error(
-        "offering.{class}.fresh_ms: with older_by_ms over copies_gone_after_ms of {remembered}: \
-         a copy could outlive the memory of its purge"
+        "offering.{class}.fresh_ms: expected at most {remembered} (copies_gone_after_ms) together with \
+         older_by_ms, found {max_served_age}; a copy could be served after its purge is forgotten"
     )]
     CopyOutlivesPurge {
         /// The request class.
         class: String,
+        /// The maximum age of a copy that may be served, in milliseconds.
+        max_served_age: f64,
         /// How long purges are remembered, in milliseconds.
         remembered: f64,
     },
     /// The key can be changed only at a restart, not while routers run.
-    #[error("{key}: changes at a start only")]
+    #[error(
+        "{key}: can be changed only at a restart; expected the number with which the routers were started"
+    )]
     FixedInService {
         /// The key.
         key: String,
     },
     /// A key that sets a setting of the decision library would be removed.
-    #[error("{key}: missing, and it was set")]
+    #[error("{key}: can't be removed once it is set")]
     SettingRemoved {
         /// The key.
         key: String,
     },
     /// A key of a budget is set without the bound on the number of routers.
-    #[error("{key}: without budget.routers_most, by which floors are kept")]
+    #[error("{key}: needs budget.routers_most, from which the guaranteed minimums are computed")]
     WithoutMaxRouters {
         /// The key of the budget.
         key: String,
     },
     /// A rate is set without its burst.
-    #[error("{key}: without {burst_key}")]
+    #[error("{key}: needs {burst_key}, the burst of this rate")]
     WithoutBurst {
         /// The key of the rate.
         key: String,
@@ -88,7 +95,10 @@
         burst_key: String,
     },
     /// A burst is too small to be divided among the routers.
-    #[error("{burst_key}: {burst} is under two for each of the {routers} routers that may belong")]
+    #[error(
+        "{burst_key}: expected at least two for each of the {routers} routers that budget.routers_most \
+         allows, found {burst}"
+    )]
     BurstTooSmall {
         /// The key of the burst.
         burst_key: String,
@@ -97,12 +107,16 @@
         /// The maximum number of routers in the fleet.
         routers: f64,
     },
-    /// The bound on the number of routers is lower than the number of routers that may act.
-    #[error("budget.routers_most: {most} is below the {possible} that may belong")]
+    /// The bound on the number of routers is lower than the number of router processes that may be active.
+    #[error(
+        "budget.routers_most: expected at least {possible}, the number of router processes that may be \
+         active, found {most}"
+    )]
     TooFewRouters {
         /// The maximum number of routers that the policy allows.
         most: u64,
-        /// The number of routers that may act.
+        /// The number of router processes that may be active: the members, and removed members that are not
+        /// proved to have ended.
         possible: u64,
     },
 }
--- a/crates/policy/tests/budgets.rs
+++ b/crates/policy/tests/budgets.rs
@@ -22,17 +22,15 @@
     let rejection = |keys: &[(&str, f64)]| {
         keys::check(&policy(keys), &pages).expect_err("the policy is rejected").to_string()
     };
-    assert!(
-        rejection(&RATE_BUDGET[1..]).starts_with("budget.origin_fills.burst: without budget.routers_most")
-    );
+    assert!(rejection(&RATE_BUDGET[1..]).starts_with("budget.origin_fills.burst: needs budget.routers_most"));
     assert!(
         rejection(&RATE_BUDGET[..2])
-            .starts_with("budget.origin_fills.per_s: without budget.origin_fills.burst")
+            .starts_with("budget.origin_fills.per_s: needs budget.origin_fills.burst")
     );
     let small = [RATE_BUDGET[0], RATE_BUDGET[1], ("budget.origin_fills.burst", 19.0)];
-    assert!(rejection(&small).contains("under two for each of the 10 routers"));
-    assert!(rejection(&[("offering.pages.origin_fills_per_s", 5.0)]).contains("without budget.routers_most"));
-    assert!(rejection(&[RATE_BUDGET[0], ("budget.nonesuch.per_s", 5.0)]).contains("no such key"));
+    assert!(rejection(&small).contains("at least two for each of the 10 routers"));
+    assert!(rejection(&[("offering.pages.origin_fills_per_s", 5.0)]).contains("needs budget.routers_most"));
+    assert!(rejection(&[RATE_BUDGET[0], ("budget.nonesuch.per_s", 5.0)]).contains("unknown key"));
     assert_eq!(keys::check(&policy(&RATE_BUDGET), &pages), Ok(()));
 }
 
@@ -143,7 +141,8 @@
     );
     assert!(
         router_bound_objection(Some(&bound(9.0)), &bound(5.0), 6)
-            .is_some_and(|error| error.to_string().starts_with("budget.routers_most: 5"))
+            .map(|error| error.to_string())
+            .is_some_and(|text| text.starts_with("budget.routers_most: ") && text.ends_with("found 5"))
     );
     // Two incarnations of one router are both counted for a while. This must not block the policy in force.
     assert!(router_bound_objection(Some(&bound(5.0)), &bound(5.0), 8).is_none());
--- a/crates/policy/tests/keys.rs
+++ b/crates/policy/tests/keys.rs
@@ -39,13 +39,17 @@
     let check = |new: &Policy| keys::check_change(&current, new, &classes);
     assert_eq!(check(&change("offering.pages.latency_goal_ms", 250.0)), Ok(()));
     let rejection = |name: &str, number: f64| check(&change(name, number)).unwrap_err().to_string();
-    assert!(rejection("offering.pages.cut_off_ms", 2000.0).contains("at a start only"));
-    assert!(rejection("offering.videos.fresh_ms", 1.0).contains("no offering"));
-    assert!(rejection("fresh", 1.0).contains("no such key"));
-    assert!(rejection("most_dispatches", 2.5).contains("whole number"));
-    assert!(rejection("longest_come_back_ms", f64::NAN).contains("is not from"));
-    assert!(rejection("offering.pages.latency_goal_ms", 4000.0).contains("cut-off"));
-    assert!(rejection("offering.pages.fresh_ms", 70_000.0).contains("outlive the memory of its purge"));
+    assert!(rejection("offering.pages.cut_off_ms", 2000.0).contains("only at a restart"));
+    assert!(rejection("offering.videos.fresh_ms", 1.0).contains("no request class named \"videos\""));
+    assert!(rejection("fresh", 1.0).contains("unknown key"));
+    assert!(rejection("most_dispatches", 2.5).contains("a whole number, found 2.5"));
+    assert!(rejection("longest_come_back_ms", f64::NAN).contains("expected 0 to 3600000, found NaN"));
+    assert!(
+        rejection("offering.pages.latency_goal_ms", 4000.0)
+            .contains("at most 3000 (offering.pages.cut_off_ms)")
+    );
+    let long_served = rejection("offering.pages.fresh_ms", 70_000.0);
+    assert!(long_served.contains("found 70000; a copy could be served after its purge is forgotten"));
 }
 
 fn policy(number: f64) -> Policy {
