--- a/crates/policy/src/agreed/log_entry.rs
+++ b/crates/policy/src/agreed/log_entry.rs
@@ -35,9 +35,10 @@
         /// Whether the router's process is known to have ended.
         ended: bool,
     },
-    /// No router uses a member list any more that was superseded at or before a given index.
+    /// Member lists that were superseded at or before a given index are discarded, because no router uses
+    /// them any more.
     RetireLists {
-        /// The index.
+        /// The index, inclusive.
         before: u64,
     },
     /// An entry of the `raft` library itself, such as the first entry of a new leader.
--- a/crates/policy/src/agreed/state.rs
+++ b/crates/policy/src/agreed/state.rs
@@ -12,7 +12,7 @@
 use crate::Policy;
 
 /// The minimum number of clocks for a change to be decided; a fleet with fewer routers needs one clock for
-/// each router. Nothing would reveal a jump of a single clock.
+/// each router. With a single clock, a jump of that clock could not be detected.
 const MIN_CLOCKS: usize = 2;
 
 /// The maximum number of past proposals that are kept.
@@ -35,8 +35,8 @@
     /// During a change of voters (joint consensus), the replica ids of the voters before the change; a
     /// majority of them must agree as well. Empty at other times.
     pub outgoing_voters: Vec<u64>,
-    /// The last incarnation and address of each voter. A voter that is no longer a member keeps its entry, as
-    /// its vote may be needed to elect the leader that lists it again.
+    /// The last incarnation and address of each voter. A voter that is no longer a member keeps its entry,
+    /// because its vote may be needed to elect the leader that adds it to the member list again.
     pub replica_addresses: BTreeMap<u64, (Incarnation, String)>,
     /// The clocks that the fleet's time is derived from: how far each is ahead of the fleet's time, in
     /// microseconds.
@@ -192,8 +192,8 @@
     }
 
     /// Removes the clocks of routers that are no longer members, except while a decided change waits for its
-    /// activation: the readings of these clocks still define the activation time, and nothing would reveal a
-    /// jump of a single clock left.
+    /// activation: the readings of these clocks still define the activation time, and if a single clock were
+    /// left, a jump of it could not be detected.
     fn remove_clocks_of_non_members(&mut self) {
         if !self.has_decided_change() {
             let members = &self.members;
@@ -236,7 +236,7 @@
     }
 
     /// Decides the activation time of a change, unless too few clocks are left: a clock may have been removed
-    /// since the leader checked their number, and nothing would reveal a jump of the last clock.
+    /// since the leader checked their number, and a jump of the last clock could not be detected.
     fn decide(&mut self, generation: u64, activation_time: FleetTime) -> Vec<Transition> {
         let has_enough_clocks = self.has_enough_clocks();
         match &mut self.staged {
--- a/crates/policy/src/keys.rs
+++ b/crates/policy/src/keys.rs
@@ -85,7 +85,7 @@
 /// The prefix of the keys of request classes.
 const CLASS_PREFIX: &str = "offering.";
 
-/// The prefix of the names in declarations of such keys; the asterisk stands for the class.
+/// The prefix of the declared names of these keys; the asterisk stands for the name of the class.
 const ANY_CLASS_PREFIX: &str = "offering.*.";
 
 /// The names of the request classes, in the order of the settings.
@@ -157,7 +157,7 @@
     Ok(())
 }
 
-/// Checks the policy `to`, and that it can replace `from` while routers run.
+/// Checks that the policy `to` is valid, and that it can replace `from` while routers run.
 pub fn check_change(from: &Policy, to: &Policy, classes: RequestClasses) -> Result<(), PolicyError> {
     check(to, classes)?;
     for difference in from.differences(to) {
--- a/crates/policy/src/keys/setting.rs
+++ b/crates/policy/src/keys/setting.rs
@@ -137,7 +137,8 @@
     }
 }
 
-/// Returns the policy that sets all its keys to the values in a deployment's settings.
+/// Returns the policy that has the values of a deployment's settings. Omits keys whose setting is not set,
+/// and keys that the router itself applies.
 pub fn from_settings(settings: &Settings, classes: RequestClasses) -> Policy {
     let mut settings = settings.clone();
     let mut policy = Policy::default();
@@ -157,7 +158,7 @@
     policy
 }
 
-/// Returns a copy of a deployment's settings in which the keys of the policy replace the original values.
+/// Returns a copy of a deployment's settings in which the numbers of the policy replace the original values.
 pub fn apply_to_settings(
     policy: &Policy,
     settings: &Settings,
--- a/crates/policy/src/outcomes.rs
+++ b/crates/policy/src/outcomes.rs
@@ -25,7 +25,8 @@
         self.in_time += other.in_time;
     }
 
-    /// Returns an estimate of the fraction in time that is never zero or one, however few requests there are.
+    /// Returns an estimate of the fraction of requests that were served in time. The estimate is never zero
+    /// or one, however few requests there are.
     pub(crate) fn fraction_in_time(self) -> f64 {
         (self.in_time as f64 + 0.5) / (self.requests as f64 + 1.0)
     }
--- a/crates/policy/src/probation.rs
+++ b/crates/policy/src/probation.rs
@@ -1,6 +1,6 @@
 //! Detection of changes that cause failures. For each location and request class, a sequential probability
-//! ratio test with stated error rates compares the fraction of requests served in time after the change with
-//! the fraction before it.
+//! ratio test with stated error rates compares the fraction of requests served in time (the "fraction in
+//! time") after the change with that before it.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,8 @@
     pub false_alarm_rate: f64,
     /// The probability that a harmful change is found harmless, in each cell.
     pub miss_rate: f64,
-    /// The absolute decrease of the fraction in time that makes a change harmful: 0.25 is from 0.9 to 0.65.
+    /// The absolute decrease of the fraction in time that makes a change harmful. For example, 0.25 is a
+    /// decrease from 0.9 to 0.65.
     pub harmful_loss: f64,
     /// The minimum number of requests in the baseline window for a cell to be tested.
     pub min_requests: u64,
@@ -26,7 +27,8 @@
     pub max_duration: Span,
     /// How far before the change the baseline window begins.
     pub baseline_window: Span,
-    /// How far before the change the recent window begins, which shows faults that began just before it.
+    /// How far before the change the recent window begins. This window shows faults that began just before
+    /// the change.
     pub recent_window: Span,
 }
 
@@ -222,18 +224,18 @@
         let has_recent = baseline.recent.requests >= self.limits.min_requests / 3;
         let recent = if has_recent { baseline.recent.fraction_in_time().min(full) } else { full };
         let retained = retained_elsewhere(all, cell);
-        let test = |expected: f64| self.log_likelihood_ratio(after, expected);
-        let [against_itself, against_others] = [recent, recent * retained].map(test);
+        let ratio = |expected: f64| self.log_likelihood_ratio(after, expected);
+        let [ratio_to_recent, ratio_to_others] = [recent, recent * retained].map(ratio);
         if recent <= self.limits.harmful_loss {
             // The fraction was too low before the change for the change to cause a harmful loss.
             CellFinding::FaultBegunBefore
-        } else if against_others >= thresholds.harm {
+        } else if ratio_to_others >= thresholds.harm {
             CellFinding::Harm(CellLoss { cell, before: recent, after: after.fraction_in_time() })
-        } else if against_itself >= thresholds.harm {
+        } else if ratio_to_recent >= thresholds.harm {
             CellFinding::FaultElsewhereAsWell
-        } else if test(full) >= thresholds.harm {
+        } else if ratio(full) >= thresholds.harm {
             CellFinding::FaultBegunBefore
-        } else if against_itself <= thresholds.no_harm {
+        } else if ratio_to_recent <= thresholds.no_harm {
             CellFinding::NoHarm
         } else {
             CellFinding::Undecided
--- a/crates/policy/tests/agreed.rs
+++ b/crates/policy/tests/agreed.rs
@@ -89,10 +89,10 @@
     );
 }
 
-/// Guards against a fault found in a simulated day: electing the leader that would list a router again needed
-/// the vote of this router, which was no longer listed.
+/// Guards against a fault found in a simulated day: a voter was no longer a member, and the election of the
+/// leader that would add it again needed its vote.
 #[test]
-fn a_voter_that_is_no_longer_listed_keeps_its_address() {
+fn a_voter_that_is_no_longer_a_member_keeps_its_address() {
     let (mut agreed, index) = bootstrapped();
     let member = Member { name: "n1".into(), address: "b".into(), replica_id: Some(2), location: 0 };
     agreed.apply(index, LogEntry::Join { incarnation: Incarnation(2), member, predecessor: None });
