--- a/crates/consensus/src/membership_change.rs
+++ b/crates/consensus/src/membership_change.rs
@@ -106,8 +106,7 @@
         }
     }
 
-    /// Adds the number of voters that is missing to the next odd number, or none if there are too few
-    /// candidates.
+    /// Adds voters up to the next odd number of voters, or none if there are too few candidates.
     fn grow(&mut self) -> Option<()> {
         let missing = if self.voters.len().is_multiple_of(2) { 1 } else { 2 };
         while self.change.added.len() < missing && self.candidates.len() + self.change.added.len() >= missing
--- a/crates/consensus/src/node/entries.rs
+++ b/crates/consensus/src/node/entries.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Records everything that the installed state contains as first observed now, because it is not known
-    /// when it was committed.
+    /// Records the entries behind the installed state as first observed now, because it is not known when
+    /// they were committed.
     pub(super) fn observe_installed_state(&mut self, now: Moment) {
         self.first_observed.clear();
         self.first_observed.extend(self.agreed.members.oldest_superseded().map(|index| (index, now)));
--- a/crates/consensus/src/node/leader/voters.rs
+++ b/crates/consensus/src/node/leader/voters.rs
@@ -41,7 +41,7 @@
 
     /// Finishes the current change of the voters; until then, the voters before the change are needed as
     /// well. A leader that is not a voter after the change can't finish it, and transfers the leadership to
-    /// one that is.
+    /// another replica that is.
     fn finish_membership_change(&mut self, now: Moment) {
         if self.changed_voters_within(now, FINISH_RETRY_HEARTBEATS) {
             return;
--- a/crates/consensus/src/node/members.rs
+++ b/crates/consensus/src/node/members.rs
@@ -16,13 +16,14 @@
 /// The silence after which a peer is suspected to have failed, as a multiple of its mean heartbeat interval.
 const SUSPICION_THRESHOLD: f64 = 4.0;
 
-/// The minimum mean interval that is assumed for the suspicion of a peer, in heartbeats.
+/// The minimum mean heartbeat interval that is assumed for a peer to decide whether it is suspected, in
+/// heartbeats.
 const MIN_MEAN_SILENCE_HEARTBEATS: f64 = 4.0;
 
 /// The probability that a suspected peer is chosen when it is drawn.
 const SUSPECTED_PEER_PROBABILITY: f64 = 0.25;
 
-/// Indexes over the members and replicas, because they are looked up for each message.
+/// Lookup tables of the members and replicas, kept because each message needs a lookup.
 #[derive(Default)]
 pub(super) struct Directory {
     /// The members, in order.
@@ -32,7 +33,7 @@
 }
 
 impl Directory {
-    /// Builds the indexes from the replicated state.
+    /// Builds the tables from the replicated state.
     pub fn new(agreed: &AgreedState) -> Self {
         let members = agreed.members.members();
         let replica = |(incarnation, member): (&Incarnation, &Member)| {
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -236,12 +236,12 @@
     }
 
     /// Compacts the entries up to `index` into a snapshot if the log has reached the compaction threshold, or
-    /// if `is_due` is set. It is set when the voters change, because a new voter rejects a snapshot in which
-    /// it is not yet a voter.
-    pub fn compact(&mut self, index: u64, is_due: bool, agreed: &AgreedState) {
+    /// if `force` is set. The caller sets `force` when the voters change, because a new voter rejects a
+    /// snapshot in which it is not yet a voter.
+    pub fn compact(&mut self, index: u64, force: bool, agreed: &AgreedState) {
         let log = self.raw.store();
         let is_full = log.len() >= COMPACTION_THRESHOLD_ENTRIES && self.pending_compaction.is_none();
-        if (is_due || is_full) && index > log.base() {
+        if (force || is_full) && index > log.base() {
             // Uses the voters agreed at `index`, because the library's own record of the voters may lag
             // behind.
             let voters = ConfState {
@@ -279,7 +279,7 @@
             let installed = self.update_log(&mut ready, &mut write, &mut output);
             push_messages(ready.take_messages(), &mut output);
             output.confirmed_reads.extend(ready.take_read_states().into_iter().filter_map(confirmed_read));
-            let committed = self.commit(ready.take_committed_entries(), &mut output);
+            let committed = self.decode_committed(ready.take_committed_entries(), &mut output);
             let is_writing = write != StorageWrite::default();
             if is_writing {
                 write.number = number;
@@ -317,7 +317,7 @@
     }
 
     /// Decodes committed entries. Returns the index of the last entry, if there is one.
-    fn commit(&mut self, entries: Vec<Entry>, output: &mut ReplicaOutput) -> Option<u64> {
+    fn decode_committed(&mut self, entries: Vec<Entry>, output: &mut ReplicaOutput) -> Option<u64> {
         let mut last = None;
         for entry in entries {
             last = Some(entry.index);
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -125,11 +125,12 @@
 }
 
 fn sample_grants() -> Vec<Granted> {
-    let key = |budget, scope_id| BudgetKey { budget, scope: scope_id };
+    let key = |budget, scope| BudgetKey { budget, scope };
     let rate =
         Granted { key: key(1, 0), quota: Quota { rate: 50_000, burst: 20_000 }, duration_us: 1_000_000 };
-    let level = Granted { key: key(500, 0xabcd_ef01), quota: Quota { rate: 0, burst: 3000 }, duration_us: 0 };
-    vec![rate, level]
+    let concurrency =
+        Granted { key: key(500, 0xabcd_ef01), quota: Quota { rate: 0, burst: 3000 }, duration_us: 0 };
+    vec![rate, concurrency]
 }
 
 fn join_request(replica_id: Option<u64>, predecessor: Option<Incarnation>) -> Command {
@@ -196,10 +197,10 @@
 // Entries of the replicated log.
 
 fn log_entries() -> Vec<(&'static str, LogEntry)> {
-    let join = |replica_id, previous| LogEntry::Join {
+    let join = |replica_id, predecessor| LogEntry::Join {
         incarnation: Incarnation(0x1111),
         member: sample_member(replica_id),
-        predecessor: previous,
+        predecessor,
     };
     let clock = |offset| LogEntry::Clock { incarnation: Incarnation(0x1111), offset_us: offset };
     let joint_configuration = LogEntry::Voters { replica_ids: vec![7, 8, 900], outgoing: vec![7, 6] };
@@ -307,8 +308,8 @@
 }
 
 fn snapshots() -> Vec<(&'static str, AgreedState)> {
-    let rollback = [finished_changes(), vec![propose(24, 3, Some(3))]].concat();
-    let rolled_back = [rollback.clone(), vec![decide(4), LogEntry::Activated { generation: 4 }]].concat();
+    let proposed_revert = [finished_changes(), vec![propose(24, 3, Some(3))]].concat();
+    let reverted = [proposed_revert.clone(), vec![decide(4), LogEntry::Activated { generation: 4 }]].concat();
     vec![
         ("snapshot-empty", AgreedState::new()),
         ("snapshot-bootstrapped", bootstrapped_state()),
@@ -316,8 +317,8 @@
         ("snapshot-proposed-change", membership_followed_by(vec![propose(20, 1, None)])),
         ("snapshot-committed-change", membership_followed_by(vec![propose(20, 1, None), decide(2)])),
         ("snapshot-change-on-probation", membership_followed_by(finished_changes())),
-        ("snapshot-proposed-rollback", membership_followed_by(rollback)),
-        ("snapshot-rolled-back", membership_followed_by(rolled_back)),
+        ("snapshot-proposed-rollback", membership_followed_by(proposed_revert)),
+        ("snapshot-rolled-back", membership_followed_by(reverted)),
     ]
 }
 
@@ -338,8 +339,8 @@
     let on_probation = named("snapshot-change-on-probation");
     assert_eq!((on_probation.probation.is_some(), on_probation.past.len()), (true, 3));
     assert_eq!(named("snapshot-proposed-rollback").staged.unwrap().reverts, Some(3));
-    let rolled_back = named("snapshot-rolled-back");
-    assert_eq!((rolled_back.probation.is_none(), rolled_back.generation()), (true, 4));
+    let reverted = named("snapshot-rolled-back");
+    assert_eq!((reverted.probation.is_none(), reverted.generation()), (true, 4));
 }
 
 // The stored data of a replica: its hard state, snapshot and log entries after all writes.
