--- a/crates/consensus/src/node/leader/probation.rs
+++ b/crates/consensus/src/node/leader/probation.rs
@@ -17,12 +17,17 @@
             Assessment::Undecided => return,
             Assessment::Harm { location, class, before, after } => {
                 let note = format!(
-                    "in time at location {location}, offering {class}: {before:.3} before, {after:.3} after"
+                    "fraction of requests served in time at location {location}, request class {class}: \
+                     {before:.3} before the change, {after:.3} after it"
                 );
                 return self.propose_revert(now, generation, &note);
             }
-            Assessment::UnrelatedFault { began_before: true } => "kept: trouble that had begun before",
-            Assessment::UnrelatedFault { .. } => "kept: trouble everywhere alike",
+            Assessment::UnrelatedFault { began_before: true } => {
+                "kept: requests were late or failed, but since before the change"
+            }
+            Assessment::UnrelatedFault { .. } => {
+                "kept: requests were late or failed at the other locations as well"
+            }
             Assessment::NoHarm => "kept: no harm",
             Assessment::TooLittleTraffic => "kept: too little traffic to tell",
         };
