--- a/crates/policy/src/keys.rs
+++ b/crates/policy/src/keys.rs
@@ -85,7 +85,7 @@
 /// The prefix of the keys of request classes.
 const CLASS_PREFIX: &str = "offering.";
 
-/// The prefix of the names in declarations of such keys; the asterisk stands for the class.
+/// The prefix of the declared names of these keys; the asterisk stands for the name of the class.
 const ANY_CLASS_PREFIX: &str = "offering.*.";
 
 /// The names of the request classes, in the order of the settings.
@@ -147,15 +147,17 @@
         return Err(PolicyError::ObjectiveOverDeadline { class: class.to_string(), objective, deadline });
     }
     // A copy that may be served for longer than purges are remembered could predate a forgotten purge.
-    if let (Some(max_age), Some(remembered)) = (get("fresh_ms"), policy.get("copies_gone_after_ms"))
-        && max_age + get("older_by_ms").unwrap_or_default() > remembered
-    {
-        return Err(PolicyError::CopyOutlivesPurge { class: class.to_string(), remembered });
+    if let (Some(max_age), Some(remembered)) = (get("fresh_ms"), policy.get("copies_gone_after_ms")) {
+        let max_served_age = max_age + get("older_by_ms").unwrap_or_default();
+        if max_served_age > remembered {
+            let class = class.to_string();
+            return Err(PolicyError::CopyOutlivesPurge { class, max_served_age, remembered });
+        }
     }
     Ok(())
 }
 
-/// Checks the policy `to`, and that it can replace `from` while routers run.
+/// Checks that the policy `to` is valid, and that it can replace `from` while routers run.
 pub fn check_change(from: &Policy, to: &Policy, classes: RequestClasses) -> Result<(), PolicyError> {
     check(to, classes)?;
     for difference in from.differences(to) {
