--- a/crates/testbed/src/choices.rs
+++ b/crates/testbed/src/choices.rs
@@ -1,5 +1,5 @@
-//! Measurement: what a routing decision costs, against a call that the same front rejects before it looks at
-//! any state.
+//! Measurement of the cost of a routing decision, compared with a call that the same front rejects before it
+//! reads any routing state, and of the memory that open streams use.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,24 +25,27 @@
 const DATA_FRAME_BUDGET: usize = 1 << 20;
 const LONGEST_LATENCY_US: u64 = 60_000_000;
 const ATTEMPT_LIMIT: u64 = 8;
+/// Processor times in `/proc/PID/stat` are in clock ticks, of which Linux reports 100 per second.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a process has used so far.
+/// The resources that a process has used so far.
 pub(crate) struct ProcessUsage {
-    /// Processor time in seconds.
+    /// User and system processor time, in seconds.
     pub(crate) cpu_seconds: f64,
-    /// Resident memory in kilobytes.
+    /// Resident memory, in kilobytes.
     pub(crate) resident_kb: u64,
 }
 
-/// Reads what a process has used so far.
+/// Reads the resource usage of a process from `/proc`.
 pub(crate) fn process_usage(pid: u32) -> Result<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks: f64 = fields[11].parse::<f64>()? + fields[12].parse::<f64>()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
-    let line = status.lines().find(|line| line.starts_with("VmRSS")).context("no VmRSS")?;
-    let resident_kb = line.split_whitespace().nth(1).context("no number")?.parse()?;
+    let line =
+        status.lines().find(|line| line.starts_with("VmRSS")).context("no VmRSS line in /proc/PID/status")?;
+    let resident_kb =
+        line.split_whitespace().nth(1).context("no value in the VmRSS line of /proc/PID/status")?.parse()?;
     Ok(ProcessUsage { cpu_seconds: ticks / CLOCK_TICKS_PER_SECOND, resident_kb })
 }
 
@@ -55,21 +58,21 @@
     router
 }
 
-/// The calls of one kind, shared by all streams.
+/// The calls of one kind that all streams make, and their results.
 struct Load {
     seed: u64,
     requests: u64,
-    /// Mean pause between two calls of a stream.
+    /// Mean pause of a stream between two calls.
     pause: Duration,
-    /// Whether the front rejects each call.
+    /// Whether the calls have headers that the front rejects.
     is_rejected: bool,
     next_request: AtomicU64,
     answered: AtomicU64,
     latency_us: Mutex<Histogram<u64>>,
 }
 
-/// Measures decisions, then rejected calls, on so many concurrent streams. Each stream calls again after its
-/// call has ended and it has paused; without a pause the router is saturated.
+/// Measures routing decisions, then rejected calls, on this many concurrent streams. After each call a stream
+/// pauses and then calls again; without a pause the router is saturated.
 pub fn run(seed: u64, requests: u64, streams: u64, pause: Duration) -> Result<Figures> {
     let fleet = Fleet::start(ENDPOINTS);
     let router = start_router(&fleet);
@@ -97,7 +100,7 @@
     Ok(figures)
 }
 
-/// Runs all streams to their end.
+/// Runs all streams until they have used up the load's requests.
 async fn run_streams(load: &Arc<Load>, front: SocketAddr, streams: u64) -> Result<()> {
     let mut tasks = Vec::new();
     for group in 0..streams.div_ceil(STREAMS_PER_CONNECTION) {
@@ -122,12 +125,12 @@
     let mut random = Pcg64Mcg::seed_from_u64(load.seed.wrapping_mul(7919).wrapping_add(index));
     while load.next_request.fetch_add(1, Ordering::Relaxed) < load.requests {
         let path = format!("/v1/store/pages/{:016x}/0", random.random_range(0..2000u64));
-        // A deadline that is no number is rejected when the headers are parsed.
+        // The front rejects a deadline that is not a number when it parses the headers.
         let deadline_ms = if load.is_rejected { "never" } else { "3000" };
         let more = [(":path", path.as_str()), ("x-max-ms", deadline_ms), ("x-group", "7")];
         let headers = peer::request_headers(random.random(), &more);
         let latency = peer::exchange_once(sender.clone(), PROCESS, headers).await;
-        // A sleep of zero would still wait for the timer.
+        // `sleep` with a duration of zero would still wait for the timer.
         if !load.pause.is_zero() {
             tokio::time::sleep(load.pause.mul_f64(random.random_range(0.5..1.5))).await;
         }
@@ -139,7 +142,7 @@
 }
 
 impl Load {
-    /// Adds what was measured under keys that begin with `name`.
+    /// Adds the measured values to the report, under keys that begin with `name`.
     fn report(&self, figures: &mut Figures, name: &str, seconds: f64, cpu_seconds: f64) {
         let answered = self.answered.load(Ordering::Relaxed);
         let latency_us = self.latency_us.lock().unwrap();
@@ -158,7 +161,8 @@
     }
 }
 
-/// Measures the router's memory with open streams, so many on each of so many connections.
+/// Measures the router's resident memory while this many streams are open on each of `connections`
+/// connections.
 pub fn memory(streams: usize, connections: usize) -> Result<Figures> {
     let fleet = Fleet::start(ENDPOINTS);
     let router = start_router(&fleet);
--- a/crates/testbed/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -5,7 +5,8 @@
 use clap::{Args, Parser, Subcommand};
 use tindoor_testbed::cluster;
 
-/// Experiments on loopback with stand-ins; each ends with 1 where a rule was broken.
+/// Runs experiments with the router and stand-in caches and clients on loopback. The exit code is 1 if a rule
+/// was broken, and 2 if the experiment could not run.
 #[derive(Parser)]
 #[command(name = "tindoor-testbed", version)]
 pub struct CommandLine {
@@ -15,31 +16,33 @@
 
 #[derive(Subcommand)]
 pub enum Experiment {
-    /// A router, caches and a client of the platform's front.
+    /// Runs a router, caches and one client of the platform's front.
     Demo(CommonArgs),
-    /// Proxies that call for each request, with faults.
+    /// Runs proxies that call the router for each request, with injected faults.
     #[command(name = "called")]
     ExternalProcessing(ExternalProcessingArgs),
-    /// Links of every kind, good and bent, with a key revoked halfway.
+    /// Requests valid and tampered signed URLs of every kind; one signing key is revoked halfway.
     Signed(SignedArgs),
-    /// What a choice takes at so many streams, against a call that is refused before anybody is asked.
+    /// Measures the cost of a routing decision on concurrent streams, compared with a call that the router
+    /// rejects while it parses the headers.
     Choices(ChoicesArgs),
-    /// Routers of one fleet as processes: changes of policy, with faults between them. Guards: lease, staged,
-    /// compare, incarnation, pinned, synced.
+    /// Changes the policy of a fleet of router processes while faults are injected. Checks that `--without`
+    /// can disable: lease, staged, compare, incarnation, pinned, synced.
     Policy(ClusterArgs),
-    /// Routers of one fleet as processes that divide its budgets, with faults between them. Guards: lapse,
-    /// epoch, returned, burst, wakes, floor.
+    /// Divides the budgets of a fleet among its router processes while faults are injected. Checks that
+    /// `--without` can disable: lapse, epoch, returned, burst, wakes, floor.
     Budgets(ClusterArgs),
-    /// A fleet in virtual time, without sockets: changes of policy under faults, one day for each seed.
+    /// Simulates policy changes of a fleet under faults in virtual time, without sockets, one day for each
+    /// seed.
     Simulated(SimulationArgs),
-    /// Plots of simulated days, as SVG.
+    /// Plots simulated days as SVG files.
     Plots(PlotsArgs),
-    /// Memory of the router with calls held open.
+    /// Measures the memory of the router while streams are held open.
     Memory(MemoryArgs),
 }
 
 impl Experiment {
-    /// The options that all experiments share.
+    /// Returns the options that all experiments share.
     pub fn common(&self) -> &CommonArgs {
         match self {
             Self::Demo(common) => common,
@@ -56,16 +59,16 @@
 
 #[derive(Args)]
 pub struct CommonArgs {
-    /// Draws all that is left to chance.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many requests are asked, at most.
+    /// Maximum number of requests that are sent.
     #[arg(long, alias = "views", default_value_t = 2000)]
     pub requests: u64,
-    /// How long requests are asked, at most.
+    /// Maximum time during which requests are sent, in seconds.
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
-    /// One JSON object in place of the table.
+    /// Prints the report as one JSON object instead of a table.
     #[arg(long)]
     pub json: bool,
 }
@@ -74,13 +77,13 @@
 pub struct ExternalProcessingArgs {
     #[command(flatten)]
     pub common: CommonArgs,
-    /// Faults by name, with commas between; `all` for every one.
+    /// Names of the faults to inject, separated by commas; `all` injects every fault.
     #[arg(long, default_value = "")]
     pub faults: String,
-    /// Takes one guard out (a build of the router for tests only): marks, tickets, withdraw, leases.
+    /// Disables one check of the router (needs a router built for tests): marks, tickets, withdraw, leases.
     #[arg(long)]
     pub without: Option<String>,
-    /// Clients that ask at once.
+    /// Number of concurrent clients.
     #[arg(long, default_value_t = 48)]
     pub clients: u64,
 }
@@ -89,13 +92,14 @@
 pub struct SignedArgs {
     #[command(flatten)]
     pub common: CommonArgs,
-    /// How far the signers' clocks are off, in seconds.
+    /// Offset of the signers' clocks from the caches' clocks, in seconds.
     #[arg(long, default_value_t = 0, allow_hyphen_values = true)]
     pub signer_off: i64,
-    /// Caches and signers agree on a time that is off the router's by so many seconds.
+    /// Offset of the caches' and signers' clocks from the router's clock, in seconds. If it is set, the
+    /// caches report their time in `Date` headers.
     #[arg(long, allow_hyphen_values = true)]
     pub router_off: Option<i64>,
-    /// Takes one guard out (a build of the router for tests only): links, revoked.
+    /// Disables one check of the router (needs a router built for tests): links, revoked, clock.
     #[arg(long)]
     pub without: Option<String>,
 }
@@ -104,10 +108,10 @@
 pub struct ChoicesArgs {
     #[command(flatten)]
     pub common: CommonArgs,
-    /// Streams that ask at once.
+    /// Number of concurrent streams.
     #[arg(long, default_value_t = 64)]
     pub streams: u64,
-    /// How long each pauses between two calls, in microseconds; without it the router is full.
+    /// Mean pause of a stream between two calls, in microseconds. Without a pause the router is saturated.
     #[arg(long, default_value_t = 0)]
     pub pause_us: u64,
 }
@@ -116,27 +120,28 @@
 pub struct ClusterArgs {
     #[command(flatten)]
     pub common: CommonArgs,
+    /// Number of routers.
     #[arg(long, default_value_t = 5)]
     pub routers: usize,
-    /// Faults by name, with commas between; `all` for every one.
+    /// Names of the faults to inject, separated by commas; `all` injects every fault.
     #[arg(long, default_value = "")]
     pub faults: String,
-    /// Takes one guard out (a build of the router for tests only).
+    /// Disables one check of the router (needs a router built for tests).
     #[arg(long)]
     pub without: Option<String>,
-    /// Shows what routers said of their fleet, whatever came of it.
+    /// Prints the routers' log lines about their fleet even if no rule was broken.
     #[arg(long)]
     pub logs: bool,
     /// The fleet's lease, in milliseconds.
     #[arg(long, default_value_t = 1500)]
     pub lease_ms: u64,
-    /// Fills by the origin where they are divided: how many a second, their burst, and how many at once.
+    /// Limits of fills from the origin that the routers divide: fills per second, burst, and fills in flight.
     #[arg(long, num_args = 3, default_values_t = [60.0, 30.0, 40.0])]
     pub fills: Vec<f64>,
 }
 
 impl ClusterArgs {
-    /// The plan of an experiment with a process cluster.
+    /// Converts the options to the plan of an experiment with router processes.
     pub fn into_plan(self, few_voters: bool) -> cluster::Plan {
         cluster::Plan {
             seed: self.common.seed,
@@ -157,25 +162,28 @@
 pub struct SimulationArgs {
     #[command(flatten)]
     pub common: CommonArgs,
-    /// How many days, from the seed on.
+    /// Number of simulated days. The first day uses the seed, and each further day the next number.
     #[arg(long, default_value_t = 100)]
     pub days: u64,
+    /// Number of routers.
     #[arg(long, default_value_t = 7)]
     pub routers: usize,
-    /// Faults by name, with commas between; `all` for every one.
+    /// Names of the faults to inject, separated by commas; `all` injects every fault.
     #[arg(long, default_value = "")]
     pub faults: String,
-    /// Takes one guard out: lease, staged, compare; with a budget lapse, epoch, returned, burst, wakes,
-    /// floor.
+    /// Disables one check: lease, staged or compare, and with `--budget` also lapse, epoch, returned, burst,
+    /// wakes or floor.
     #[arg(long)]
     pub without: Option<String>,
-    /// By a simple way in place of the fleet's own: told, two-phase.
+    /// Distributes policies by a simpler protocol, for comparison: told (each router rereads a file) or
+    /// two-phase (two-phase commit).
     #[arg(long = "way", value_name = "WAY")]
     pub baseline: Option<String>,
-    /// Divides so many fills by the origin a second among the routers.
+    /// Fills from the origin per second that are divided among the routers. Without it, no budget is
+    /// simulated.
     #[arg(long)]
     pub budget: Option<f64>,
-    /// Shows steps and faults as they come: of use for one day.
+    /// Prints transitions and faults as they occur, which is useful for a single day.
     #[arg(long = "shown")]
     pub trace: bool,
 }
@@ -184,6 +192,7 @@
 pub struct PlotsArgs {
     #[command(flatten)]
     pub common: CommonArgs,
+    /// Directory that the plots are written to.
     #[arg(long, default_value = "docs/plots")]
     pub out: PathBuf,
 }
@@ -192,9 +201,10 @@
 pub struct MemoryArgs {
     #[command(flatten)]
     pub common: CommonArgs,
-    /// Streams on each connection, and connections.
+    /// Number of streams on each connection.
     #[arg(long, default_value_t = 1000)]
     pub streams: usize,
+    /// Number of connections.
     #[arg(long, default_value_t = 10)]
     pub connections: usize,
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,5 @@
-//! A router, stand-in caches and clients of the platform's front: requests served, and what came of them.
+//! Demonstration: one client sends requests to the platform's front of a router with stand-in caches. The
+//! report counts the outcomes.
 
 use std::time::Instant;
 
@@ -15,11 +16,11 @@
 const ENDPOINTS: usize = 4;
 const ATTEMPT_LIMIT: u64 = 8;
 
-/// The object that is purged halfway.
+/// The object that is purged after half of the requests.
 const PURGED_OBJECT: &str = "0000000000001001";
 
-/// Sends requests one after another, so many and for so long at most. Halfway an endpoint drains and an
-/// object is purged.
+/// Sends at most `requests` requests one after another, for at most `seconds` seconds. After half of the
+/// requests, one endpoint starts draining and one object is purged.
 pub fn run(seed: u64, requests: u64, seconds: u64) -> Result<Figures> {
     let mut fleet = Fleet::start(ENDPOINTS);
     let router = start_router(&fleet);
@@ -62,7 +63,7 @@
     router
 }
 
-/// An object of 60, some far more often than others.
+/// Draws one of 60 objects; low ranks are drawn more often than high ones.
 fn random_object(random: &mut Pcg64Mcg) -> String {
     let rank = (60.0 * random.random::<f64>().powi(2)) as u64;
     format!("{:016x}", 0x1000 + rank)
@@ -80,10 +81,10 @@
     call(sequence, &fields, b"")
 }
 
-/// Counts the reply to the request with this sequence number; none where the connection ended.
+/// Counts the reply to the request with this sequence number; `None` if the connection ended without one.
 fn count_reply(figures: &mut Figures, sequence: i32, reply: Option<&(i32, Reply)>) {
     match reply {
-        Some((of, _)) if *of != sequence => figures.answered_twice += 1,
+        Some((replied, _)) if *replied != sequence => figures.answered_twice += 1,
         Some((_, Reply::Served { .. })) => figures.done += 1,
         Some((_, Reply::Rejected(_))) => figures.rejected += 1,
         Some(_) => figures.failed += 1,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,7 @@
-//! The project's stand-ins and experiments on loopback. Nothing here shares code with the router: what is
-//! audited is seen at the caches and at the clients. One exception: [`simulation`] runs the router's own
-//! state machines without I/O in virtual time.
+//! Stand-in caches, proxies and clients, and the experiments that run the router against them on loopback.
+//! This package shares no code with the router, and audits only what the stand-in caches and clients observe.
+//! The one exception is [`simulation`], which runs the router's own state machines in virtual time, without
+//! I/O.
 
 pub mod budgets;
 pub mod choices;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The project's experiments, by name.
+//! Command-line program that runs one experiment of the testbed and prints its report.
 
 mod command_line;
 
@@ -22,7 +22,7 @@
     let experiment = CommandLine::parse().experiment;
     let as_json = experiment.common().json;
     match run(experiment) {
-        Ok(figures) => show(&figures, as_json),
+        Ok(figures) => print_report(&figures, as_json),
         Err(error) => {
             eprintln!("{error:#}");
             ExitCode::from(2)
@@ -37,7 +37,7 @@
         Experiment::Signed(args) => run_signed(args),
         Experiment::Choices(args) => run_choices(&args),
         Experiment::Policy(args) => policy::run(&args.into_plan(false)),
-        // Three voters, so that the others are more than half.
+        // Limits the fleet to three voters, so that the routers that do not vote are a majority of it.
         Experiment::Budgets(args) => budgets::run(&args.into_plan(true)),
         Experiment::Simulated(args) => run_simulation(args),
         Experiment::Plots(args) => draw_plots(&args),
@@ -86,7 +86,7 @@
         None => many_days::run(&plan),
         Some("told") => many_days::run_baseline(&plan, Baseline::FileReload),
         Some("two-phase") => many_days::run_baseline(&plan, Baseline::TwoPhaseCommit),
-        Some(other) => bail!("no such way: {other}; there are told, two-phase"),
+        Some(other) => bail!("unknown value of --way: {other}; expected told or two-phase"),
     }
 }
 
@@ -96,10 +96,10 @@
     Ok(Figures { more, ..Figures::default() })
 }
 
-/// Prints the report; the exit code says whether a rule was broken.
-fn show(figures: &Figures, as_json: bool) -> ExitCode {
+/// Prints the report and returns the exit code: 1 if a rule was broken, otherwise 0.
+fn print_report(figures: &Figures, as_json: bool) -> ExitCode {
     if as_json {
-        println!("{}", serde_json::to_string(figures).expect("plain figures"));
+        println!("{}", serde_json::to_string(figures).expect("figures serialize to JSON"));
     } else {
         print!("{}", figures.table());
     }
