--- a/crates/testbed/src/external_processing/client.rs
+++ b/crates/testbed/src/external_processing/client.rs
@@ -1,4 +1,4 @@
-//! The clients of the experiment.
+//! The clients of the external-processing experiment.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,11 +12,14 @@
 use super::{Counts, OBJECTS, REQUEST_FAULTS, Workload, object};
 use crate::proxy::{Fields, read};
 
+/// How long a client waits for a complete answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often a save is sent in total while it is rejected.
 const SAVE_ATTEMPTS: u32 = 3;
+/// How long a client waits before it retries a save, in milliseconds, if the answer does not state a pause.
 const DEFAULT_BACKOFF_MS: u64 = 30;
 
-/// One client: sends one request after another, each to one of the proxies.
+/// Runs one client, which sends one request after another, each to a random proxy.
 pub(super) async fn run(workload: Arc<Workload>, index: u64) {
     let seed = workload.plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add(index);
     let mut client = Client {
@@ -42,15 +45,16 @@
 
 /// A request of a client, before it is sent.
 struct ClientRequest<'a> {
-    /// Index of the proxy that it is sent to.
+    /// Index of the proxy that receives the request.
     proxy: usize,
     path: &'a str,
     headers: &'a [(&'a str, &'a str)],
+    /// Name of the fault, empty for none.
     fault: &'a str,
     correlation_id: u64,
 }
 
-/// The answer that a client got.
+/// The answer that a client received.
 struct ClientResponse {
     status: u16,
     fields: Fields,
@@ -63,7 +67,7 @@
 }
 
 impl<'a> Client<'a> {
-    /// The fault of the next request, empty for none.
+    /// Draws the fault of the next request; empty for none.
     fn draw_fault(&mut self) -> &'a str {
         let faults: Vec<&str> = self
             .workload
@@ -77,7 +81,7 @@
             return "";
         }
         let fault = faults[self.random.random_range(0..faults.len())];
-        // Most of those that wait for seconds are left out: the run would be waiting alone.
+        // Leaves out most of the faults that wait for seconds, because the run would spend its time waiting.
         let waits_long = fault == "silent" || fault == "late";
         if waits_long && self.random.random_bool(0.8) { "" } else { fault }
     }
@@ -114,7 +118,7 @@
         tokio::join!(self.connections.send(request(proxy, first)), other.send(request(1 - proxy, second)));
     }
 
-    /// Sends a save, and again with its idempotency key after it was rejected.
+    /// Sends a save and, as long as it is rejected, retries it with the same idempotency key.
     async fn save_with_retries(&mut self, proxy: usize, path: &str, fault: &str, idempotency_key: &str) {
         let first_headers = [("x-nonce", idempotency_key)];
         let retry_headers = [("x-nonce", idempotency_key), ("x-redo", "1")];
@@ -143,8 +147,8 @@
         Self { workload, idle: [None, None] }
     }
 
-    /// Sends a request; it is to get one answer, in time. None where the client disconnects or gets no
-    /// answer.
+    /// Sends a request and checks that exactly one answer arrives in time. Returns `None` if the client
+    /// disconnects first or no answer arrives.
     async fn send(&mut self, request: ClientRequest<'_>) -> Option<ClientResponse> {
         let counts = &self.workload.counts;
         let correlation_id = format!("{:016x}", request.correlation_id);
@@ -156,7 +160,7 @@
         let _ = stream.set_nodelay(true);
         counts.lock().unwrap().figures.requests += 1;
         let started_at = Instant::now();
-        // What is there before the request is a second answer to the one before.
+        // Bytes that arrive before the request is sent are a second answer to the previous request.
         let mut unread = Vec::new();
         if stream.try_read_buf(&mut unread).is_ok_and(|size| size > 0) {
             counts.lock().unwrap().figures.answered_twice += 1;
@@ -166,7 +170,7 @@
         if request.fault == "leave" {
             let wait_us = u64::from_str_radix(&correlation_id[..4], 16).unwrap_or(0) % 3000;
             tokio::time::sleep(Duration::from_micros(wait_us)).await;
-            counts.lock().unwrap().clients_left += 1;
+            counts.lock().unwrap().disconnected_clients += 1;
             return None;
         }
         let response = tokio::time::timeout(CLIENT_TIMEOUT, read(&mut stream, &mut unread)).await;
@@ -187,6 +191,7 @@
     }
 }
 
+/// Formats the request line and headers, with the fault that the proxy is to inject.
 fn request_head(request: &ClientRequest, correlation_id: &str) -> String {
     let mut head = format!(
         "GET {} HTTP/1.1\r\nx-ticket: {correlation_id}\r\nx-max-ms: 3000\r\nx-group: 17\r\n",
@@ -195,7 +200,7 @@
     for (name, value) in request.headers {
         head.push_str(&format!("{name}: {value}\r\n"));
     }
-    // The other faults are injected by the proxy.
+    // The client itself injects `leave` and `ask-twice`; the proxy injects all other faults.
     if !["", "leave", "ask-twice"].contains(&request.fault) {
         head.push_str(&format!("x-fault: {}\r\n", request.fault));
     }
--- a/crates/testbed/src/external_processing/mod.rs
+++ b/crates/testbed/src/external_processing/mod.rs
@@ -1,5 +1,5 @@
-//! Experiment: proxies call the router for each request, under faults. What is counted was seen at caches and
-//! clients.
+//! Experiment in which proxies call the router for each request while faults are injected. The report counts
+//! what caches and clients observed.
 
 mod client;
 
@@ -22,11 +22,11 @@
 use crate::proxy::Proxy;
 use crate::stand_in::{Router, StartOptions, configuration};
 
-/// Faults of single requests: what a proxy or client does wrong.
+/// Faults of single requests, which a proxy or client injects.
 pub const REQUEST_FAULTS: [&str; 10] =
     ["before", "after", "silent", "late", "twice", "wrong", "reset", "leave", "ask-twice", "window"];
 
-/// Faults of the fleet, the router and the connections to it.
+/// Faults of the fleet, of the router and of the connections to the router.
 pub const FLEET_FAULTS: [&str; 6] = ["drain", "die", "purge", "connection", "restart", "fail"];
 
 const ENDPOINTS: usize = 6;
@@ -39,20 +39,20 @@
 pub struct Plan {
     /// Seed of all random choices.
     pub seed: u64,
-    /// How many requests are sent, at most.
+    /// Maximum number of requests that are sent.
     pub requests: u64,
-    /// How long requests are sent, at most.
+    /// Maximum time during which requests are sent, in seconds.
     pub seconds: u64,
     /// Names of the injected faults.
     pub faults: Vec<String>,
-    /// The router's check that is switched off.
+    /// The check of the router that is disabled, if any.
     pub without: Option<String>,
     /// Number of concurrent clients.
     pub clients: u64,
 }
 
 impl Plan {
-    /// Faults by name, with commas between; `all` for every one.
+    /// Parses the names of faults, separated by commas; `all` stands for every fault.
     pub fn faults(list: &str) -> Result<Vec<String>> {
         let all = REQUEST_FAULTS.iter().chain(&FLEET_FAULTS);
         let mut faults = Vec::new();
@@ -61,7 +61,7 @@
                 "all" => faults.extend(all.clone().map(ToString::to_string)),
                 name if all.clone().any(|known| *known == name) => faults.push(name.to_string()),
                 name => bail!(
-                    "no such fault: {name}; known: all, {}",
+                    "unknown fault: {name}; expected all or one of {}",
                     [&REQUEST_FAULTS[..], &FLEET_FAULTS].concat().join(", ")
                 ),
             }
@@ -77,19 +77,20 @@
 /// What the clients counted.
 struct Counts {
     figures: Figures,
-    /// Requests that were not served, by status and reason.
+    /// Number of requests that did not get status 200, by status and reason.
     ends_by_reason: BTreeMap<String, u64>,
-    /// Requests whose client disconnected before the answer.
-    clients_left: u64,
+    /// Number of requests whose client disconnected before the answer.
+    disconnected_clients: u64,
     latency_us: Histogram<u64>,
 }
 
-/// What all clients share.
+/// The state that all clients share.
 struct Workload {
     plan: Plan,
     proxies: Vec<Arc<Proxy>>,
     counts: Mutex<Counts>,
     next_request: AtomicU64,
+    /// No request is sent after this time.
     end: Instant,
 }
 
@@ -106,7 +107,7 @@
         counts: Mutex::new(Counts {
             figures: Figures::default(),
             ends_by_reason: BTreeMap::new(),
-            clients_left: 0,
+            disconnected_clients: 0,
             latency_us: latency_histogram()?,
         }),
         next_request: AtomicU64::new(0),
@@ -115,9 +116,9 @@
     let clients: Vec<_> =
         (0..plan.clients).map(|index| runtime.spawn(client::run(Arc::clone(&workload), index))).collect();
     experiment.inject_faults(|| clients.iter().all(tokio::task::JoinHandle::is_finished));
-    // Every decision lease has ended by then.
-    let has_unreported = plan.has("silent") || plan.has("late");
-    pause_ms(if has_unreported { 500 } else { 100 });
+    // Waits until every decision lease has ended.
+    let has_unreported_outcomes = plan.has("silent") || plan.has("late");
+    pause_ms(if has_unreported_outcomes { 500 } else { 100 });
     experiment.report(&workload)
 }
 
@@ -129,7 +130,7 @@
     std::thread::sleep(Duration::from_millis(millis));
 }
 
-/// The router and its stand-ins.
+/// The router under test, with its stand-in fleet and proxies.
 struct Experiment<'a> {
     plan: &'a Plan,
     runtime: Handle,
@@ -138,8 +139,9 @@
     options: StartOptions,
     front: SocketAddr,
     proxies: [Arc<Proxy>; 2],
-    /// Indexes of the endpoints that are in use.
+    /// Indexes of the caches that have not been replaced.
     active: Vec<usize>,
+    /// How often the router was restarted.
     restarts: u64,
 }
 
@@ -161,7 +163,7 @@
         Ok(Self { plan, runtime, fleet, router, options, front, proxies, active, restarts: 0 })
     }
 
-    /// Injects the faults of fleet and router, one after another, until the clients are finished.
+    /// Injects the faults of the fleet and the router, one after another, until all clients have finished.
     fn inject_faults(&mut self, is_finished: impl Fn() -> bool) {
         let plan = self.plan;
         let mut random = Pcg64Mcg::seed_from_u64(plan.seed ^ 0xfaa1);
@@ -206,7 +208,7 @@
         self.restarts += 1;
     }
 
-    /// Audits the caches and sums up what clients and proxies counted.
+    /// Adds up the counts of the clients and proxies and the audit of the caches, and stops the router.
     fn report(self, workload: &Workload) -> Result<Figures> {
         let mut counts = workload.counts.lock().unwrap();
         let mut figures = std::mem::take(&mut counts.figures);
@@ -230,7 +232,7 @@
             ("choice_us_99", quantile(&decisions, 0.99)),
             ("view_us_median", quantile(&counts.latency_us, 0.5)),
             ("view_us_99", quantile(&counts.latency_us, 0.99)),
-            ("clients_left", json!(counts.clients_left)),
+            ("clients_left", json!(counts.disconnected_clients)),
             ("streams_left", json!(streams_left)),
             ("ends_by_reason", json!(counts.ends_by_reason)),
             ("statuses", json!(statuses)),
@@ -241,20 +243,22 @@
         if let Some(mut router) = self.router {
             router.terminate();
             router.wait();
-            let is_last = |line: &&String| line.contains("stopped");
-            let last_line = router.log.change(|log| log.iter().rev().find(is_last).cloned());
+            let is_stop_line = |line: &&String| line.contains("stopped");
+            let last_line = router.log.change(|log| log.iter().rev().find(is_stop_line).cloned());
             figures.more.insert("router".into(), json!(last_line.unwrap_or_default()));
         }
         Ok(figures)
     }
 }
 
+/// Returns the router's configuration, with all events of the fleet so far.
 fn router_configuration(fleet: &Fleet) -> Value {
     let mut configuration = configuration(fleet.change_stream.address, fleet.endpoint_list());
     configuration["known"] = fleet.known_events();
     configuration
 }
 
+/// Returns the id of the object with this index.
 fn object(index: u64) -> String {
     format!("{:016x}", 0x1000 + index)
 }
