--- a/crates/testbed/src/fleet/attempt.rs
+++ b/crates/testbed/src/fleet/attempt.rs
@@ -1,30 +1,31 @@
-//! An attempt as an endpoint receives it.
+//! Parses an attempt from the request that an endpoint receives.
 
 use std::time::{Duration, Instant};
 
 use crate::stand_in::ReceivedRequest;
 
-/// What of a received request decides how it is answered.
+/// The properties of a received request that the response depends on.
 pub(super) struct Attempt {
-    /// When it came.
+    /// When the request was received.
     pub(super) at: Instant,
     pub(super) path: String,
-    /// Name of the request class.
+    /// The request class.
     pub(super) class: String,
     pub(super) object: String,
     pub(super) correlation_id: String,
-    /// The greatest age of a copy that it accepts, in milliseconds; 0 where it states none.
+    /// The maximum age of a copy that the attempt accepts, in milliseconds; 0 if it does not state one.
     pub(super) accepted_age_ms: u64,
-    /// The endpoint that a miss is to be filled from.
+    /// The endpoint to fill a miss from.
     pub(super) source: Option<String>,
     pub(super) idempotency_key: Option<String>,
-    /// Index of the connection that it came on.
+    /// Index of the connection on which the request was received.
     pub(super) connection: usize,
+    /// Mode flags, separated by `+`.
     mode: String,
 }
 
 impl Attempt {
-    /// Reads a request that comes now.
+    /// Parses a request that has just been received.
     pub(super) fn new(request: &ReceivedRequest) -> Self {
         let at = Instant::now();
         let header = |name: &str| request.headers.get(name).cloned();
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Whether it is answered from a fresh copy or not at all.
+    /// Whether the attempt may only be answered from a fresh copy.
     pub(super) fn is_cache_only(&self) -> bool {
-        self.mode.split('+').any(|word| word == "h")
+        self.mode.split('+').any(|flag| flag == "h")
     }
 
-    /// The greatest age of a copy that it accepts, where it states one.
+    /// The maximum age of a copy that the attempt accepts; `None` if it does not state one.
     pub(super) fn accepted_age(&self) -> Option<Duration> {
         (self.accepted_age_ms > 0).then(|| Duration::from_millis(self.accepted_age_ms))
     }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of stand-in caches with copies, fills, drains and purges, and the record that the audit reads.
-//! What is recorded is what the endpoints saw; grace periods begin when a change is published.
+//! A fleet of stand-in endpoints with copies, fills, drains and purges, and the record that the audit reads.
+//! The record holds only what the endpoints observed. Grace periods begin when a change is published.
 
 mod attempt;
 mod endpoint;
@@ -21,29 +21,30 @@
 pub use record::AcceptedAges;
 pub use shared_use::{Fill, SharedUse};
 
-/// How long ago the group was purged whose requests state an accepted age, in milliseconds.
+/// How long ago a group of objects was purged when the recording of accepted ages starts, in milliseconds.
 const GROUP_PURGE_AGE_MS: u64 = 600_000;
 
-/// The time in milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// A running endpoint.
+/// A running stand-in endpoint.
 struct Endpoint {
     id: String,
     cache: Cache,
-    /// Its kind, as the wire names it.
+    /// The endpoint's kind, as named on the wire.
     kind: &'static str,
 }
 
 impl Endpoint {
+    /// Returns the endpoint's entry in the endpoint list.
     fn entry(&self, phase: &str) -> Value {
         endpoint_entry(&self.id, self.cache.address, self.kind, phase)
     }
 }
 
-/// Caches, parents and an origin, which routers discover by one change stream.
+/// Caches, parents and an origin, which routers discover through one change stream.
 pub struct Fleet {
     /// The change stream that routers watch.
     pub change_stream: ChangeStream,
@@ -51,12 +52,12 @@
     endpoints: Vec<Endpoint>,
     /// Sequence number of the last event.
     sequence: u64,
-    /// All events, from the complete list of the start on.
+    /// All events so far. The first is the complete endpoint list.
     events: Vec<Value>,
 }
 
 impl Fleet {
-    /// Starts so many caches, two parents and an origin.
+    /// Starts this many caches, two parents and an origin.
     pub fn start(caches: usize) -> Self {
         let mut fleet = Self {
             change_stream: ChangeStream::start(),
@@ -86,16 +87,18 @@
         index
     }
 
-    /// All endpoints, as the list has them at the start.
+    /// Returns the entries of all endpoints, each with the phase "active", for the list that a router starts
+    /// with.
     pub fn endpoint_list(&self) -> Vec<Value> {
         self.endpoints.iter().map(|endpoint| endpoint.entry("active")).collect()
     }
 
-    /// All events so far, as the configuration of a router has them that starts now.
+    /// Returns all events so far, in the form that a starting router's configuration expects.
     pub fn known_events(&self) -> Value {
         json!({"seq": self.sequence, "results": self.events})
     }
 
+    /// Publishes an event with the next sequence number.
     fn publish(&mut self, mut event: Value) {
         self.sequence += 1;
         event["seq"] = json!(self.sequence);
@@ -104,7 +107,8 @@
         self.events.push(event);
     }
 
-    /// Publishes an endpoint's phase; one that drains or is gone is recorded as such from now on.
+    /// Publishes an endpoint's phase. Unless the phase is "active", the endpoint is recorded as drained from
+    /// now on.
     fn publish_phase(&mut self, index: usize, phase: &str) {
         let endpoint = &self.endpoints[index];
         let mut entry = endpoint.entry(phase);
@@ -122,7 +126,8 @@
         self.publish_phase(index, "leaving");
     }
 
-    /// Publishes that a drained cache is gone, and starts a new one with no copies; returns its index.
+    /// Publishes that a drained cache has left, and starts an empty cache in its place. Returns the index of
+    /// the new cache.
     pub fn replace(&mut self, index: usize) -> usize {
         self.publish_phase(index, "left");
         let new = self.add("cache");
@@ -130,13 +135,13 @@
         new
     }
 
-    /// Purges an object.
+    /// Publishes and records the purge of an object.
     pub fn purge(&mut self, object: &str) {
         self.record.lock().unwrap().purges.insert(object.to_string(), Instant::now());
         self.publish(json!({"invalidate": {"object": object, "time": unix_ms()}}));
     }
 
-    /// Sets whether an endpoint resets every connection that it gets a request on.
+    /// Sets whether an endpoint resets every connection on which it receives a request.
     pub fn set_dead(&self, index: usize, dead: bool) {
         let mut record = self.record.lock().unwrap();
         record.dead.retain(|known| *known != index);
@@ -145,13 +150,14 @@
         }
     }
 
-    /// Has all endpoints tell a time that is off by so many seconds: as if the router's own were off the
-    /// other way.
-    pub fn tell_time(&self, offset: i64) {
+    /// Makes all endpoints report a time in their `Date` headers that is off by this many seconds, as if the
+    /// router's own clock were off in the other direction.
+    pub fn report_time(&self, offset: i64) {
         self.record.lock().unwrap().clock_offset = Some(offset);
     }
 
-    /// Records from now on which ages attempts accept. A group was purged long ago, so that each states one.
+    /// Starts recording the ages that attempts accept. Also adds the purge of a group long ago to the known
+    /// events, so that each attempt states an accepted age.
     pub fn record_accepted_ages(&mut self) {
         self.record.lock().unwrap().accepted_ages = Some(HashMap::new());
         self.sequence += 1;
@@ -161,33 +167,34 @@
         self.events.push(purge);
     }
 
-    /// The ages that the attempts of each request accepted, by correlation id; they are recorded no longer.
+    /// Returns the ages that the attempts of each request accepted, by correlation id, and stops recording.
     pub fn take_accepted_ages(&self) -> HashMap<String, AcceptedAges> {
         self.record.lock().unwrap().accepted_ages.take().unwrap_or_default()
     }
 
-    /// Records from now on the use of what routers share.
+    /// Starts recording the use of the limits that routers share.
     pub fn record_shared_use(&mut self) {
         self.record.lock().unwrap().shared_use = Some(SharedUse::default());
     }
 
-    /// The use of what routers share so far.
+    /// Returns the recorded use of the limits that routers share.
     pub fn shared_use(&self) -> SharedUse {
         self.record.lock().unwrap().shared_use.clone().unwrap_or_default()
     }
 
-    /// Fails from now on the attempts that accept this age, of requests whose correlation id begins so.
+    /// From now on, fails the attempts that accept this age, of requests whose correlation id begins with
+    /// `id_prefix`.
     pub fn fail_attempts(&self, accepted_age_ms: u64, id_prefix: &str) {
         let failing = FailingAttempts { accepted_age_ms, id_prefix: id_prefix.to_string() };
         self.record.lock().unwrap().failing = Some(failing);
     }
 
-    /// Number of attempts of the request with this correlation id.
+    /// Returns the number of attempts of the request with this correlation id.
     pub fn attempts(&self, correlation_id: &str) -> u64 {
         self.record.lock().unwrap().attempts.get(correlation_id).copied().unwrap_or_default()
     }
 
-    /// Adds what the endpoints saw to the report.
+    /// Adds what the endpoints observed to the report.
     pub fn audit(&self, figures: &mut Figures) {
         self.record.lock().unwrap().report(figures);
     }
--- a/crates/testbed/src/signed/mod.rs
+++ b/crates/testbed/src/signed/mod.rs
@@ -1,6 +1,6 @@
-//! Experiment: signed URLs of every kind, valid and tampered, under key rotation. An oracle that shares no
-//! code with the router, and signs by other libraries, says what each must get; caches say whether a denied
-//! request reached them.
+//! Experiment with signed URLs of every kind, valid and tampered, under key rotation. An oracle determines
+//! the expected result of each request; it shares no code with the router and signs with other libraries. The
+//! caches record whether a denied request reached them.
 
 mod client;
 mod oracle;
@@ -33,25 +33,26 @@
 const ATTEMPT_LIMIT: u64 = 8;
 const CLIENTS: u64 = 16;
 const MAX_PLAYBACKS: u64 = 64;
-/// Requests that need no signed URL, whose answers tell the router the time.
+/// Number of requests, without signed URLs, from whose answers the router learns the time.
 const CLOCK_REQUESTS: u64 = 200;
 
 /// The settings of the experiment.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seeds all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Requests that are sent, at most.
+    /// Maximum number of requests that are sent.
     pub requests: u64,
-    /// How far the signers' clocks are off, in seconds.
+    /// Offset of the signers' clocks from the caches' clocks, in seconds.
     pub signer_off: i64,
-    /// Caches and signers agree on a time that is off the router's by so many seconds.
+    /// Offset of the caches' and signers' clocks from the router's clock, in seconds. `None` if the caches do
+    /// not report their time.
     pub router_off: Option<i64>,
-    /// The router's check that is switched off.
+    /// The check of the router that is disabled, if any.
     pub without: Option<String>,
 }
 
-/// Runs the experiment: half of the requests before the old key is revoked, half after.
+/// Runs the experiment, with half of the requests before the old key is revoked and half after.
 pub fn run(plan: &Plan) -> Result<Figures> {
     if let Some(check) = &plan.without {
         ensure_check_is_known(check, &["links", "revoked", "clock"])?;
@@ -59,8 +60,8 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
     let experiment = Experiment::start(plan, &runtime)?;
     if let Some(offset) = plan.router_off {
-        experiment.fleet.tell_time(offset);
-        runtime.block_on(let_router_learn_time(experiment.proxy.address));
+        experiment.fleet.report_time(offset);
+        runtime.block_on(send_clock_requests(experiment.proxy.address));
     }
     let playbacks = plan.requests.min(MAX_PLAYBACKS);
     let offset = plan.router_off.unwrap_or_default();
@@ -74,12 +75,14 @@
     Ok(report(&experiment.fleet, counts, &tallies))
 }
 
-/// The router under test and what surrounds it.
+/// The router under test, with its stand-in fleet and proxy.
 struct Experiment {
     proxy: Arc<Proxy>,
     router: Router,
     fleet: Fleet,
+    /// Temporary folder, removed at the end of the experiment.
     folder: PathBuf,
+    /// The key set file, in that folder.
     key_set: PathBuf,
 }
 
@@ -104,16 +107,18 @@
         Ok(Self { proxy, router, fleet, folder, key_set })
     }
 
+    /// Revokes the old key, and waits until the router has reread its keys.
     fn revoke_old_key(&self) -> Result<()> {
         write_key_set(&self.key_set, true)?;
         self.router.reread_files();
-        self.router.log.wait("the keys to be read", |log| {
+        self.router.log.wait("the router to reread its keys", |log| {
             log.iter().any(|line| line.contains("keys read again")).then_some(())
         });
         Ok(())
     }
 }
 
+/// Returns the fronts file, which configures the signed URLs.
 fn fronts(front: SocketAddr, call: SocketAddr, key_set: &Path) -> Value {
     let signed_urls = json!({
         "keys": key_set, "base": "https://videos.example", "skew_ms": SKEW * 1000,
@@ -124,7 +129,7 @@
     json!({"external_processing": {"listen": front}, "call": {"listen": call}, "links": signed_urls})
 }
 
-/// The configuration, with a request class that needs no signed URL.
+/// Returns the router's configuration, with an additional request class that needs no signed URL.
 fn router_configuration(fleet: &Fleet) -> Value {
     let mut configuration = configuration(fleet.change_stream.address, fleet.endpoint_list());
     let settings = &mut configuration["settings"];
@@ -136,8 +141,9 @@
     configuration
 }
 
-/// Sends requests whose answers tell the router the time. They need no signed URL: any may be served.
-async fn let_router_learn_time(address: SocketAddr) {
+/// Sends requests from whose answers the router learns the time. They need no signed URL, so that each of
+/// them may be served.
+async fn send_clock_requests(address: SocketAddr) {
     for index in 0..CLOCK_REQUESTS {
         let target = format!("/v1/store/free/{:016x}/0", 0x2000 + index);
         let request = Request { target: &target, headers: "x-envoy-external-address: 10.1.1.1\r\n" };
@@ -149,11 +155,11 @@
 #[derive(Default)]
 struct Counts {
     figures: Figures,
-    /// Requests of each kind, by what they had to get and, where it differs, what they got.
+    /// Number of requests of each kind, by the expected result and, if it differs, the received status.
     by_kind: BTreeMap<&'static str, BTreeMap<String, u64>>,
-    /// Requests that got something else than they had to.
-    wrong: u64,
-    /// Correlation ids of requests that no cache may see.
+    /// Number of requests whose result was not the expected one.
+    mismatches: u64,
+    /// Correlation ids of the requests that must not reach a cache.
     unauthorized: Vec<u64>,
 }
 
@@ -172,14 +178,14 @@
         }
         let mut result = expected.report_key().to_string();
         if seen != Some(expected) {
-            self.wrong += 1;
+            self.mismatches += 1;
             result.push_str(&format!(" got {status:?}"));
         }
         *self.by_kind.entry(kind).or_default().entry(result).or_default() += 1;
     }
 }
 
-/// Sends half of the requests, by all clients at once.
+/// Sends half of the requests from all clients concurrently.
 async fn send_requests(plan: &Plan, address: SocketAddr, old_key_revoked: bool, counts: &Arc<Mutex<Counts>>) {
     let offsets = ClockOffsets { agreed: plan.router_off.unwrap_or_default(), signer: plan.signer_off };
     let tasks: Vec<_> = (0..CLIENTS)
@@ -196,7 +202,7 @@
         })
         .collect();
     for task in tasks {
-        task.await.expect("a client that ends");
+        task.await.expect("a client finishes");
     }
 }
 
@@ -224,23 +230,24 @@
     }
 }
 
+/// Combines the counts of the clients, the audit of the caches and the tallies of the playbacks.
 fn report(fleet: &Fleet, counts: Counts, tallies: &BTreeMap<&'static str, Tally>) -> Figures {
-    let Counts { mut figures, by_kind, wrong, unauthorized } = counts;
+    let Counts { mut figures, by_kind, mismatches, unauthorized } = counts;
     let was_attempted = |id: &&u64| fleet.attempts(&format!("{:016x}", **id)) > 0;
     let reached_a_cache = unauthorized.iter().filter(was_attempted).count() as u64;
     fleet.audit(&mut figures);
     let playbacks: BTreeMap<_, _> =
         tallies.iter().map(|(kind, tally)| (*kind, [tally.passed, tally.total])).collect();
-    // Of a kind of which one failed, all count as failed.
+    // One failed check of a kind counts as a failure of all checks of that kind.
     let failed = tallies.values().filter(|tally| tally.passed != tally.total);
     let failed_playbacks: u64 = failed.map(|tally| tally.total).sum();
     let more = [
         ("by_kind", json!(by_kind)),
-        ("other_than_must", json!(wrong)),
+        ("other_than_must", json!(mismatches)),
         ("refused_reached_a_cache", json!(reached_a_cache)),
         ("videos_as_they_must_of_all", json!(playbacks)),
     ];
     figures.more.extend(more.map(|(key, value)| (key.to_string(), value)));
-    figures.judge(ATTEMPT_LIMIT, wrong + reached_a_cache + failed_playbacks);
+    figures.judge(ATTEMPT_LIMIT, mismatches + reached_a_cache + failed_playbacks);
     figures
 }
