--- a/crates/testbed/src/signed/client.rs
+++ b/crates/testbed/src/signed/client.rs
@@ -1,4 +1,4 @@
-//! A client of the router's plain call.
+//! Client that sends requests to the stand-in proxy.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 
 use crate::proxy::read;
 
-/// How often a client retries after its request failed under overload.
+/// How often a client retries a request that the router gave up under overload.
 const MAX_RETRIES: usize = 8;
 
 /// How long a client waits for a complete answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The answer of the plain call.
+/// The answer to a request.
 pub(super) struct Answer {
     pub(super) status: u16,
     pub(super) set_cookie: String,
-    /// When the client may retry; none unless the router gave the request up, as under overload.
+    /// The pause before a retry; `None` unless the router gave the request up, for example under overload.
     pub(super) retry_after: Option<Duration>,
 }
 
 /// A request without its correlation id.
 pub(super) struct Request<'a> {
     pub(super) target: &'a str,
-    /// Header lines, each with its line end.
+    /// Header lines, each terminated by CRLF.
     pub(super) headers: &'a str,
 }
 
 impl Request<'_> {
-    /// Sends the request once; none without a complete answer.
+    /// Sends the request once. Returns `None` if no complete answer arrives in time.
     pub(super) async fn send(&self, address: SocketAddr, correlation_id: u64) -> Option<Answer> {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(self.head(correlation_id).as_bytes()).await.ok()?;
@@ -47,8 +47,8 @@
         })
     }
 
-    /// Sends the request, and retries while the router is overloaded: such an answer says nothing of the URL.
-    /// Each attempt takes the next correlation id.
+    /// Sends the request and retries while the router is overloaded, because an overload answer does not
+    /// depend on whether the URL is valid. Each attempt uses the next correlation id.
     pub(super) async fn send_with_retries(
         &self,
         address: SocketAddr,
@@ -64,6 +64,7 @@
         self.send(address, *correlation_id).await
     }
 
+    /// Formats the request line and headers.
     fn head(&self, correlation_id: u64) -> String {
         let Self { target, headers } = self;
         format!("GET {target} HTTP/1.1\r\nx-ticket: {correlation_id:016x}\r\nx-max-ms: 3000\r\n{headers}\r\n")
--- a/crates/testbed/src/signed/oracle.rs
+++ b/crates/testbed/src/signed/oracle.rs
@@ -1,4 +1,4 @@
-//! Requests with signed URLs of every kind, each with the result that the router must come to.
+//! Generates requests with signed URLs of every kind, each with the result that the router must return.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -7,7 +7,7 @@
 use super::tokens::{OLD_KEY, REVOKED_TOKEN, hmac_token, json_web_token};
 use crate::fleet::unix_ms;
 
-/// The kinds of requests, by their names in the report.
+/// The kinds of requests, as named in the report.
 pub(super) const KINDS: [&str; 14] = [
     "good",
     "good-token",
@@ -25,13 +25,13 @@
     "revoked",
 ];
 
-/// The clock skew that the router tolerates by its configuration, in seconds.
+/// The clock skew that the router is configured to tolerate, in seconds.
 pub(super) const SKEW: i64 = 2;
 
-/// The paths that a valid token covers.
+/// The paths that a valid token allows.
 const VALID_PATHS: &str = "/v1/store/pages/*";
 
-/// The result that a client must get.
+/// The result that a request must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Expected {
     Authorized,
@@ -40,7 +40,7 @@
 }
 
 impl Expected {
-    /// The result that a status stands for.
+    /// Returns the result that an HTTP status stands for; `None` if the status is none of the expected ones.
     pub(super) fn from_status(status: u16) -> Option<Self> {
         match status {
             200 => Some(Self::Authorized),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The name in the report.
+    /// Returns the name of the result in the report.
     pub(super) fn report_key(self) -> &'static str {
         match self {
             Self::Authorized => "Authorization",
@@ -60,16 +60,16 @@
     }
 }
 
-/// How far clocks are off the testbed's own, in seconds.
+/// Clock offsets, in seconds.
 #[derive(Clone, Copy)]
 pub(super) struct ClockOffsets {
-    /// The time that caches and signers agree on.
+    /// Offset of the time that caches and signers agree on from the testbed's own clock.
     pub(super) agreed: i64,
-    /// The signers' time, against the agreed one.
+    /// Offset of the signers' clocks from the agreed time.
     pub(super) signer: i64,
 }
 
-/// What is settled of a request before its path and client are drawn.
+/// The properties of a request that are set before its path and client are drawn.
 pub(super) struct Variant {
     pub(super) kind: &'static str,
     pub(super) key: &'static str,
@@ -77,36 +77,39 @@
     pub(super) offsets: ClockOffsets,
 }
 
-/// A request, and the result that it must get.
+/// A request and the result that it must have.
 pub(super) struct SignedRequest {
     pub(super) target: String,
-    /// Header lines, each with its line end.
+    /// Header lines, each terminated by CRLF.
     pub(super) headers: String,
     pub(super) expected: Expected,
 }
 
-/// When a token is valid, in Unix seconds.
+/// The period in which a token is valid, in Unix seconds.
 #[derive(Clone, Copy)]
 struct Validity {
     begins: i64,
     ends: i64,
 }
 
-/// A request to be signed.
+/// A request before it is signed.
 struct Draft<'a> {
     variant: &'a Variant,
-    /// The time that caches and signers agree on: the router has to judge by it, not by its own clock.
+    /// The time that caches and signers agree on, in Unix seconds. The router must check tokens against this
+    /// time and not against its own clock.
     now: i64,
+    /// The signer's time, in Unix seconds.
     signed_at: i64,
     path: String,
-    /// Makes each token different: one that many clients use is denied to all but a few.
+    /// Makes each token unique, because a token that many clients use is denied to all but a few of them.
     token_id: u64,
-    /// Different for each request: the checks of one client are limited, and most of these tokens are bad.
+    /// Client address, drawn for each request, because the router limits the checks of one client and most of
+    /// these tokens are invalid.
     client: String,
 }
 
 impl Variant {
-    /// Draws the rest of a request and signs it.
+    /// Draws the other properties of a request and signs it.
     pub(super) fn request(&self, random: &mut Pcg64Mcg) -> SignedRequest {
         let mut draft = self.draw(random);
         let mut headers = String::new();
@@ -133,6 +136,7 @@
         SignedRequest { target, headers, expected }
     }
 
+    /// Draws the path, token id and client of a request.
     fn draw(&self, random: &mut Pcg64Mcg) -> Draft<'_> {
         let now = unix_ms() as i64 / 1000 + self.offsets.agreed;
         let object = format!("{:016x}", random.random_range(0x1000..0x1040u64));
@@ -144,7 +148,7 @@
 }
 
 impl Draft<'_> {
-    /// When the token of a request of this kind is valid.
+    /// Returns the validity period of the token, which depends on the kind of the request.
     fn validity(&self) -> Validity {
         let signed_at = self.signed_at;
         match self.variant.kind {
@@ -155,8 +159,8 @@
         }
     }
 
-    /// The result for a token that nobody tampered with. A signer that is off by more than the skew makes its
-    /// tokens begin or end at other times, as it should.
+    /// Returns the result for a token that was not tampered with. If the signer's clock is off by more than
+    /// the skew, its tokens begin or end at other times, and the expected result changes accordingly.
     fn expected(&self, validity: Validity) -> Expected {
         if self.variant.old_key_revoked && self.variant.key == OLD_KEY {
             Expected::Denied
@@ -169,20 +173,24 @@
         }
     }
 
+    /// Formats the fields of an HMAC token.
     fn fields(&self, validity: Validity, paths: &str) -> String {
         let Validity { begins, ends } = validity;
         format!("ip=10.1.0.0/16~st={begins}~exp={ends}~acl={paths}~data={}", self.token_id)
     }
 
+    /// Appends an HMAC token to the path.
     fn target_with(&self, token: &str) -> String {
         format!("{}?t={}", self.path, token.replace('=', "%3d"))
     }
 
+    /// Returns a target with an HMAC token, and the expected result.
     fn hmac_target(&self, validity: Validity) -> (String, Expected) {
         let token = hmac_token(self.variant.key, &self.fields(validity, VALID_PATHS));
         (self.target_with(&token), self.expected(validity))
     }
 
+    /// Returns a JSON Web Token with this token id, and the expected result.
     fn sign_json(&self, id: &str) -> (String, Expected) {
         let validity = self.validity();
         let container = "regex:https://videos\\.example/v1/store/pages/.*";
@@ -191,12 +199,13 @@
         (json_web_token(self.variant.key, &claims), self.expected(validity))
     }
 
+    /// Returns a target with a JSON Web Token, and the expected result.
     fn json_target(&self, id: &str) -> (String, Expected) {
         let (token, expected) = self.sign_json(id);
         (format!("{}?URISigningPackage={token}", self.path), expected)
     }
 
-    /// A target whose token is invalid for this request, or that has none.
+    /// Returns a target whose token is invalid for this request or missing.
     fn tampered_target(&self, random: &mut Pcg64Mcg) -> String {
         let key = self.variant.key;
         let fields = self.fields(self.validity(), VALID_PATHS);
--- a/crates/testbed/src/signed/tokens.rs
+++ b/crates/testbed/src/signed/tokens.rs
@@ -1,4 +1,4 @@
-//! Keys and tokens, made by other libraries than the router's.
+//! Generates keys and tokens with libraries that the router does not use.
 
 use std::io::Write;
 use std::os::unix::fs::OpenOptionsExt;
@@ -12,36 +12,37 @@
 use serde_json::{Value, json};
 use sha2::Sha256;
 
-/// The key that is revoked halfway.
+/// The id of the key that is revoked after half of the requests.
 pub(super) const OLD_KEY: &str = "old";
-/// The key that stays valid.
+/// The id of the key that stays valid.
 pub(super) const NEW_KEY: &str = "new";
 /// The id of a token that is revoked from the start.
 pub(super) const REVOKED_TOKEN: &str = "stolen";
 
-/// The secret of a key, which follows from its id.
+/// Derives the secret of a key from its id.
 fn secret(key: &str) -> [u8; 32] {
     let mut secret = [0x5a; 32];
     secret.iter_mut().zip(key.bytes()).for_each(|(byte, other)| *byte ^= other);
     secret
 }
 
-/// A token with these fields and their HMAC.
+/// Returns a token with these fields and their HMAC.
 pub(super) fn hmac_token(key: &str, fields: &str) -> String {
-    let mut mac = Hmac::<Sha256>::new_from_slice(&secret(key)).expect("any length");
+    let mut mac = Hmac::<Sha256>::new_from_slice(&secret(key)).expect("HMAC accepts keys of any length");
     mac.update(fields.as_bytes());
     let digits: String = mac.finalize().into_bytes().iter().map(|byte| format!("{byte:02x}")).collect();
     format!("{fields}~hmac={digits}")
 }
 
-/// A JSON Web Token with these claims.
+/// Returns a JSON Web Token with these claims.
 pub(super) fn json_web_token(key: &str, claims: &Value) -> String {
     let mut header = Header::new(jsonwebtoken::Algorithm::HS256);
     header.kid = Some(key.to_string());
-    jsonwebtoken::encode(&header, claims, &EncodingKey::from_secret(&secret(key))).expect("a token")
+    jsonwebtoken::encode(&header, claims, &EncodingKey::from_secret(&secret(key)))
+        .expect("the claims can be signed")
 }
 
-/// Replaces the file of the key set; its owner alone can read it.
+/// Replaces the key set file. Only its owner can read the file.
 pub(super) fn write_key_set(path: &Path, revoke_old_key: bool) -> Result<()> {
     let new = path.with_extension("new");
     let _ = std::fs::remove_file(&new);
