--- a/crates/testbed/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -21,7 +21,8 @@
     /// Runs proxies that call the router for each request, with injected faults.
     #[command(name = "called")]
     ExternalProcessing(ExternalProcessingArgs),
-    /// Requests valid and tampered signed URLs of every kind; one signing key is revoked halfway.
+    /// Sends requests with signed URLs of every kind, valid and tampered, and revokes one key after
+    /// half of them.
     Signed(SignedArgs),
     /// Measures the cost of a routing decision on concurrent streams, compared with a call that the router
     /// rejects while it parses the headers.
@@ -65,7 +66,8 @@
     /// Maximum number of requests that are sent.
     #[arg(long, alias = "views", default_value_t = 2000)]
     pub requests: u64,
-    /// Maximum time during which requests are sent, in seconds.
+    /// Maximum time during which requests are sent, in seconds. For `policy`, `budgets` and `simulated` it is
+    /// the time during which faults are injected.
     #[arg(long, default_value_t = 20)]
     pub seconds: u64,
     /// Prints the report as one JSON object instead of a table.
@@ -175,8 +177,8 @@
     /// wakes or floor.
     #[arg(long)]
     pub without: Option<String>,
-    /// Distributes policies by a simpler protocol, for comparison: told (each router rereads a file) or
-    /// two-phase (two-phase commit).
+    /// Distributes policies by a simpler protocol, for comparison: told (each router applies a change as
+    /// soon as it is notified) or two-phase (two-phase commit).
     #[arg(long = "way", value_name = "WAY")]
     pub baseline: Option<String>,
     /// Fills from the origin per second that are divided among the routers. Without it, no budget is
