--- a/crates/testbed/src/simulation/audit.rs
+++ b/crates/testbed/src/simulation/audit.rs
@@ -1,4 +1,5 @@
-//! The audit of a simulated day against the true time.
+//! Audits a simulated day: checks by true time what the routers did with requests and fills, and counts
+//! violations.
 
 use std::collections::BTreeSet;
 
@@ -8,19 +9,21 @@
 
 use super::world::World;
 
-/// The generation with which a fleet begins.
+/// The generation of the policy with which a fleet is bootstrapped.
 const FIRST_GENERATION: u64 = 1;
-/// By how much a rate measured by true time may exceed the nominal one because clocks drift.
+/// The factor by which a rate measured in true time may exceed the nominal one, because clocks drift.
 const CLOCK_RATE_TOLERANCE: f64 = 1.0005;
 
-/// The rate of fills that the fleet may use from a time on.
+/// The rate of fills that the fleet is allowed from a point in time on.
 struct RateLimit {
+    /// True time, in microseconds.
     from_us: u64,
+    /// Fills per second.
     per_second: f64,
 }
 
 impl World {
-    /// Counts the violations of the day. Does nothing if no process runs.
+    /// Counts the violations of the day. Does nothing if no process is running.
     pub(super) fn audit(&mut self) {
         let Some(agreed) = self.most_advanced_node().map(|node| node.agreed().clone()) else { return };
         self.outcome.stuck_changes = u64::from(agreed.has_undecided_change());
@@ -36,7 +39,7 @@
         self.audit_final_state();
     }
 
-    /// Counts requests decided by a generation that never came into force.
+    /// Counts requests that were decided by a generation that was never activated.
     fn audit_generations(&mut self, agreed: &AgreedState) {
         let mut activated = BTreeSet::from([FIRST_GENERATION]);
         for past in &agreed.past {
@@ -70,7 +73,8 @@
         }
     }
 
-    /// Counts requests decided by a generation after a newer one had decided one.
+    /// Counts requests that were decided by an old generation after a newer generation had already decided a
+    /// request.
     fn audit_activations(&mut self) {
         let tolerance = self.clock_tolerance_us();
         let times: Vec<&Vec<u64>> = self.request_times.values().collect();
@@ -83,6 +87,7 @@
         }
     }
 
+    /// Records the time from each proposal to the first request that the activated policy decided.
     fn measure_activation_delays(&mut self, agreed: &AgreedState) {
         for past in activated(agreed) {
             let proposed = self.proposal_times.get(&past.token);
@@ -93,14 +98,18 @@
         }
     }
 
-    /// Counts fills beyond the rate and burst, by a token bucket that begins full: it covers all windows at
-    /// once.
+    /// Counts the fills that exceed the rate and burst of the budget. A token bucket that starts full checks
+    /// all time windows at once.
     fn audit_fills(&mut self, initial_rate: f64) {
         let burst = self.day.fill_budget("burst");
         let limits = self.rate_limits(initial_rate);
         let (mut tokens, mut last) = (burst, 0u64);
         for time in &self.fill_times {
-            let limit = limits.iter().rev().find(|limit| limit.from_us <= *time).expect("one from the start");
+            let limit = limits
+                .iter()
+                .rev()
+                .find(|limit| limit.from_us <= *time)
+                .expect("the initial limit applies from time 0");
             let refill = (time - last) as f64 / 1e6 * limit.per_second * CLOCK_RATE_TOLERANCE;
             tokens = (tokens + refill).min(burst) - 1.0;
             last = *time;
@@ -111,8 +120,8 @@
         }
     }
 
-    /// The rates in force over the day. Within the clock tolerance around an activation, the higher rate is
-    /// allowed.
+    /// Returns the rate limits over the day, in the order of activation. Within the clock tolerance around
+    /// an activation, the higher rate is allowed.
     fn rate_limits(&self, initial_rate: f64) -> Vec<RateLimit> {
         let tolerance = self.clock_tolerance_us();
         let mut limits = vec![RateLimit { from_us: 0, per_second: initial_rate }];
@@ -122,14 +131,14 @@
         for past in activated(node.agreed()) {
             let rate = self.proposed_rates.get(&past.token);
             let Some((first, per_second)) = self.first_request(past).zip(rate.copied()) else { continue };
-            let lowered = per_second < limits.last().expect("one from the start").per_second;
+            let lowered = per_second < limits.last().expect("the initial limit is always present").per_second;
             let from_us = if lowered { first + tolerance } else { first - tolerance };
             limits.push(RateLimit { from_us, per_second });
         }
         limits
     }
 
-    /// Counts the routers that could not decide requests at the end.
+    /// Counts the routers that could not decide requests at the end of the day.
     fn audit_final_state(&mut self) {
         for index in 0..self.processes.len() {
             let now = self.local_time(index);
@@ -139,7 +148,7 @@
                 continue;
             }
             let status = self.processes[index].node.as_mut().map(|node| node.status(now));
-            self.trace(index, &("out at the end", error, status));
+            self.trace(index, &("inactive at the end", error, status));
             if error == Some(Some(UnavailableReason::PolicyNotApplicable)) {
                 self.outcome.not_applicable_at_end += 1;
             } else {
@@ -148,22 +157,23 @@
         }
     }
 
-    /// By how much the clocks of two processes may differ.
+    /// The largest allowed difference between the clocks of two processes, in microseconds.
     fn clock_tolerance_us(&self) -> u64 {
         2 * self.day.timings.clock_bound.as_micros()
     }
 
-    /// The true time of the first request decided by a proposal.
+    /// Returns the true time, in microseconds, of the first request decided by the policy of a proposal.
     fn first_request(&self, past: &PastProposal) -> Option<u64> {
         self.request_times.get(&past.generation?)?.iter().min().copied()
     }
 }
 
+/// Returns the activated proposals of the bounded history.
 fn activated(agreed: &AgreedState) -> impl Iterator<Item = &PastProposal> {
     agreed.past.iter().filter(|past| past.outcome == ProposalOutcome::Activated)
 }
 
-/// The oldest generation in the bounded history; older ones can no longer be checked.
+/// Returns the oldest generation in the bounded history. Older generations can no longer be checked.
 fn oldest_known_generation(agreed: &AgreedState) -> u64 {
     agreed.past.iter().filter_map(|past| past.generation).min().unwrap_or(FIRST_GENERATION)
 }
--- a/crates/testbed/src/simulation/baselines.rs
+++ b/crates/testbed/src/simulation/baselines.rs
@@ -1,5 +1,5 @@
-//! Baselines for the distribution of policy changes, simulated under the same faults as the fleet's own
-//! protocol: direct file reload and a plain two-phase commit.
+//! Baseline protocols for distributing policy changes: direct file reload and plain two-phase commit. They
+//! are simulated under the same faults as the fleet's own protocol, for comparison.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,45 +9,46 @@
 use super::day::DaySettings;
 use super::events::EventQueue;
 
-/// The generation with which all routers begin.
+/// The generation of the policy that all routers have at the start.
 const FIRST_GENERATION: u64 = 1;
-/// How long a day goes on after its last fault, in microseconds.
+/// The time from the end of fault injection to the end of the day, in microseconds.
 const RECOVERY_US: u64 = 12_000_000;
-/// When the first change is proposed, in microseconds.
+/// The time of the first proposal, in microseconds from the start of the day.
 const FIRST_PROPOSAL_US: u64 = 2_000_000;
-/// When the first fault is injected, in microseconds.
+/// The time of the first fault, in microseconds from the start of the day.
 const FIRST_FAULT_US: u64 = 2_200_000;
-/// From one message of a coordinator to its retransmission, in microseconds.
+/// The interval at which a coordinator retransmits its messages, in microseconds.
 const RETRANSMIT_INTERVAL_US: u64 = 200_000;
-/// How long a coordinator waits for all votes, in microseconds.
+/// The time within which a coordinator must receive all votes, in microseconds.
 const VOTE_TIMEOUT_US: u64 = 2_000_000;
 
-/// A protocol that distributes policy changes.
+/// A baseline protocol for distributing policy changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Baseline {
-    /// Each router applies a change as soon as it is notified.
+    /// Each router applies a change as soon as it receives it.
     FileReload,
-    /// All routers vote, then all commit. Messages are sent again until every router has acknowledged the
-    /// commit.
+    /// All routers vote, then all commit. The coordinator retransmits its messages until every router has
+    /// acknowledged the commit.
     TwoPhaseCommit,
 }
 
-/// The counts of a simulated day of a baseline.
+/// The counts of a simulated day with a baseline protocol.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BaselineOutcome {
     /// Requests decided.
     pub requests: u64,
-    /// Requests decided by a policy after a newer one had decided one, by more than clocks may differ.
+    /// Requests that were decided by an old policy after a newer policy had already decided a request, later
+    /// by more than clocks may differ.
     pub mixed_policy_requests: u64,
     /// Changes proposed.
     pub proposals: u64,
-    /// Changes that decided at least one request.
+    /// Changes whose policy decided at least one request.
     pub activated: u64,
-    /// Routers that did not have the newest policy at the end.
+    /// Routers that did not have the newest policy at the end of the day.
     pub outdated_at_end: u64,
 }
 
-/// A message about the change to a generation.
+/// A message about a change. The number is the generation of the changed policy.
 #[derive(Clone, Copy, Debug)]
 enum Message {
     Reload(u64),
@@ -79,7 +80,7 @@
     },
     Fault,
     UnblockLinks,
-    /// A killed or paused process runs again.
+    /// A killed process restarts, or a paused process resumes.
     Recover {
         process: usize,
     },
@@ -87,14 +88,14 @@
 
 #[derive(Clone)]
 struct Process {
-    /// The generation in its file, which outlives the process.
+    /// The generation of the policy in the router's file, which survives a restart of the process.
     generation: u64,
     up: bool,
     paused: bool,
     queued_messages: Vec<QueuedMessage>,
 }
 
-/// A change at its coordinator.
+/// The state of a change at its coordinator.
 struct Change {
     coordinator: usize,
     proposed_at: u64,
@@ -117,7 +118,7 @@
     outcome: BaselineOutcome,
 }
 
-/// Simulates one day and audits it.
+/// Simulates and audits one day with a baseline protocol.
 pub fn simulate_day(day: &DaySettings, baseline: Baseline) -> BaselineOutcome {
     let process =
         Process { generation: FIRST_GENERATION, up: true, paused: false, queued_messages: Vec::new() };
@@ -187,12 +188,12 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let faulty = !self.faults_over();
-        let lost = faulty && self.day.has("drop") && self.rng.random_bool(0.1);
+        let faults_active = !self.faults_over();
+        let lost = faults_active && self.day.has("drop") && self.rng.random_bool(0.1);
         if self.blocked_links.contains(&(from, to)) || lost {
             return;
         }
-        let late = faulty && self.day.has("delay") && self.rng.random_bool(0.05);
+        let late = faults_active && self.day.has("delay") && self.rng.random_bool(0.05);
         let delay = if late { self.rng.random_range(0..600_000) } else { 0 };
         let jitter = self.rng.random_range(0..self.day.latency_jitter.as_micros());
         let latency = self.day.min_latency.as_micros() + jitter + delay;
@@ -273,8 +274,8 @@
         }
     }
 
-    /// Sends the current message of a change again, until the change has timed out or all have acknowledged
-    /// it.
+    /// Retransmits the current message of a change, until the change times out or all routers have
+    /// acknowledged the commit.
     fn retransmit(&mut self, generation: u64) {
         let Some(change) = self.changes.get(&generation) else { return };
         let (coordinator, committed) = (change.coordinator, change.committed);
@@ -288,7 +289,7 @@
         self.schedule_in(RETRANSMIT_INTERVAL_US, Event::Retransmit { generation });
     }
 
-    /// Starts or resumes a process, which then receives the messages that arrived meanwhile.
+    /// Starts or resumes a process, which then receives the messages that were queued during a pause.
     fn recover(&mut self, index: usize) {
         let process = &mut self.processes[index];
         process.up = true;
--- a/crates/testbed/src/simulation/day.rs
+++ b/crates/testbed/src/simulation/day.rs
@@ -7,17 +7,17 @@
 use tindoor_policy::budgets::Budget;
 use tindoor_quota::BudgetKey;
 
-/// The least limit of concurrent fills on a day with a budget.
+/// The minimum limit of concurrent fills on a day with a fill budget.
 const MIN_CONCURRENT_FILLS: f64 = 40.0;
-/// The least burst of fills on a day with a budget.
+/// The minimum burst, in fills, on a day with a fill budget.
 const MIN_FILL_BURST: f64 = 60.0;
-/// From the beginning of a day to the first proposal. The time in which faults are injected counts from then
-/// on.
+/// The time from the start of a day to the first proposal. [`DaySettings::fault_duration`] starts at the end
+/// of the warm-up.
 pub(super) const WARM_UP: Span = Span::millis(2000);
-/// How many routers beyond the initial ones the budget is laid out for.
+/// The number of routers that the budget allows for beyond the initial ones.
 const SPARE_ROUTERS: usize = 3;
 
-/// The faults that a day can have, as users name them.
+/// The names of all faults that can be injected, as given on the command line.
 pub const FAULTS: &[&str] = &[
     "drop",
     "delay",
@@ -47,32 +47,34 @@
     pub seed: u64,
     /// The number of routers.
     pub routers: usize,
-    /// How long faults are injected. The day goes on afterwards until pending changes must have been decided.
+    /// How long faults are injected. The day then continues for long enough that all pending changes must be
+    /// decided.
     pub fault_duration: Span,
-    /// The faults to inject, out of [`FAULTS`].
+    /// The names of the faults to inject, from [`FAULTS`].
     pub faults: Vec<String>,
-    /// The timings of membership and leases.
+    /// The time limits of membership and leases.
     pub timings: Timings,
     /// The safety checks of consensus and quota that are enabled.
     pub checks: SafetyChecks,
-    /// Time between two proposals.
+    /// The interval between proposals.
     pub proposal_interval: Span,
-    /// Mean time between two requests of a router.
+    /// The mean time between two requests to a router.
     pub request_interval: Span,
-    /// The least latency of a message.
+    /// The minimum latency of a message.
     pub min_latency: Span,
-    /// The upper bound of the random latency added to it.
+    /// The upper bound of the random latency that is added to `min_latency`.
     pub latency_jitter: Span,
-    /// The part of messages lost where the fault `drop` is injected.
+    /// The fraction of messages that is lost if the fault `drop` is injected.
     pub loss: f64,
-    /// The fills per second that the routers divide among themselves; each request wants one.
+    /// The fill budget that the routers share, in fills per second; each request demands one fill. `None` if
+    /// the day has no fill budget.
     pub fills_per_second: Option<f64>,
-    /// Whether transitions and faults are printed as they come.
+    /// Whether state transitions and faults are printed to standard error as they happen.
     pub trace: bool,
 }
 
 impl DaySettings {
-    /// A day without faults and budgets.
+    /// Creates the settings of a day without faults and without a fill budget.
     pub fn new(seed: u64, routers: usize) -> Self {
         let timings = Timings {
             lease: Span::millis(1500),
@@ -98,18 +100,18 @@
         }
     }
 
-    /// Whether the day has this fault.
+    /// Returns whether this fault is injected.
     pub fn has(&self, fault: &str) -> bool {
         self.faults.iter().any(|injected| injected == fault)
     }
 
-    /// How long the day goes on after the last fault.
+    /// The time from the end of fault injection to the end of the day.
     pub(super) fn recovery_duration(&self) -> Span {
         let Timings { lease, quorum_loss_grace, .. } = self.timings;
         (lease + quorum_loss_grace) * 2.0 + lease * 6.0
     }
 
-    /// The policy with which the fleet is bootstrapped.
+    /// Returns the policy with which the fleet is bootstrapped.
     pub(super) fn initial_policy(&self) -> Policy {
         let Some(rate) = self.fills_per_second else { return Policy::default() };
         let max_routers = (self.routers + SPARE_ROUTERS) as f64;
@@ -126,13 +128,13 @@
         Policy::default().with(settings.map(|(key, number)| (key.to_string(), number)))
     }
 
-    /// A number of the initial policy's fill budget: `per_s`, `burst` or `in_hand`.
+    /// Returns a setting of the initial policy's fill budget: `per_s`, `burst` or `in_hand`.
     pub(super) fn fill_budget(&self, setting: &str) -> f64 {
         self.initial_policy().0[&format!("budget.origin_fills.{setting}")]
     }
 }
 
-/// The budget key of the rate of fills.
+/// The budget key of the fill rate.
 pub(super) fn fill_key() -> BudgetKey {
     Budget::OriginFills.key(0)
 }
--- a/crates/testbed/src/simulation/events.rs
+++ b/crates/testbed/src/simulation/events.rs
@@ -2,9 +2,11 @@
 
 use std::collections::BTreeMap;
 
-/// Events in the order of their time. Events of the same time come in the order in which they were scheduled.
+/// Events ordered by time. Events with the same time are ordered as they were scheduled.
 pub(super) struct EventQueue<E> {
+    /// By time in microseconds and sequence number.
     events: BTreeMap<(u64, u64), E>,
+    /// The sequence number of the last scheduled event.
     sequence: u64,
 }
 
@@ -14,13 +16,13 @@
         Self { events: BTreeMap::new(), sequence: 0 }
     }
 
-    /// Schedules an event for a time, in microseconds.
+    /// Schedules an event at an absolute time, in microseconds.
     pub fn schedule(&mut self, at_us: u64, event: E) {
         self.sequence += 1;
         self.events.insert((at_us, self.sequence), event);
     }
 
-    /// Takes the next event, and its time in microseconds.
+    /// Removes and returns the next event and its time in microseconds.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         let ((at_us, _), event) = self.events.pop_first()?;
         Some((at_us, event))
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: processes, links, disks and clocks fail and recover.
+//! Fault injection: makes processes, links, disks and clocks fail and recover.
 
 use rand::Rng;
 use tindoor_consensus::{Node, StoredState};
@@ -7,18 +7,19 @@
 use super::process::Process;
 use super::world::{Event, World};
 
-/// The faults that are injected one after the other; the others of a day apply to each message or proposal.
+/// The faults that are injected one at a time. The remaining faults of a day apply to individual messages or
+/// proposals, or to the load.
 const INJECTED_FAULTS: [&str; 12] = [
     "oneway", "split", "kill", "killmost", "pause", "restart", "forget", "leader", "away", "sleep", "deaf",
     "clock",
 ];
-/// How long a fault counts as a disturbance, in microseconds.
+/// How long after a fault the fleet is considered disturbed, in microseconds.
 const DISTURBANCE_US: u64 = 5_000_000;
-/// The least time between two clock jumps, in microseconds.
+/// The minimum time between two clock jumps, in microseconds.
 const CLOCK_JUMP_INTERVAL_US: u64 = 8_000_000;
 
 impl World {
-    /// Injects a random fault, and schedules the next one.
+    /// Injects a random fault and schedules the next one.
     pub(super) fn inject_fault(&mut self) {
         if self.faults_over {
             return;
@@ -40,7 +41,7 @@
             "kill" | "restart" => self.kill_and_restart(process, duration),
             "forget" => self.lose_storage(process, duration),
             "killmost" => self.kill_most(duration),
-            "away" => self.take_away(process, duration),
+            "away" => self.take_offline(process, duration),
             "pause" => self.pause(process, duration),
             "leader" => self.kill_leader(duration),
             "sleep" => self.suspend_all(duration),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Ends all faults, and starts and resumes all processes.
+    /// Ends all faults: unblocks all links, and starts or resumes every process that is not running.
     pub(super) fn end_faults(&mut self) {
         self.faults_over = true;
         self.blocked_links.clear();
@@ -89,13 +90,15 @@
         self.schedule_in(duration, Event::Restart { process });
     }
 
-    /// Loses the storage of one replica, while all others are there to have what it knew.
+    /// Erases the storage of one replica. Does nothing unless all other replicas are available with the
+    /// entries that the erased storage held.
     fn lose_storage(&mut self, process: usize, duration: u64) {
         if !self.all_running() || !self.has_redundant_voters() {
             return;
         }
         self.kill(process);
-        // The loss takes place now and not at the restart: another replica may have lost its storage by then.
+        // The storage is erased now and not at the restart, because another replica may have lost its storage
+        // by then.
         if self.processes[process].replica_id.is_some() {
             self.processes[process].storage = Some(StoredState::default());
             self.processes[process].replica_id = Some(self.rng.random_range(1_000..u64::MAX));
@@ -116,20 +119,21 @@
         }
     }
 
-    /// Kills or isolates one process for longer than it stays a member. One at a time, and not the leader.
-    fn take_away(&mut self, process: usize, duration: u64) {
+    /// Kills or isolates one process for so long that it is removed from the member list. Only one process is
+    /// offline at a time, and never the leader.
+    fn take_offline(&mut self, process: usize, duration: u64) {
         let undisturbed = self.has_redundant_voters() && self.all_running() && self.blocked_links.is_empty();
         if !undisturbed || self.processes[process].is_leader() {
             return;
         }
         let Timings { lease, quorum_loss_grace, .. } = self.day.timings;
-        let away = (quorum_loss_grace + lease * 4.0).as_micros() + duration;
+        let offline_us = (quorum_loss_grace + lease * 4.0).as_micros() + duration;
         if self.rng.random_bool(0.5) {
-            self.kill_and_restart(process, away);
+            self.kill_and_restart(process, offline_us);
         } else {
             let others = 0..self.processes.len();
             self.blocked_links.extend(others.flat_map(|other| [(process, other), (other, process)]));
-            self.schedule_in(away, Event::UnblockLinks);
+            self.schedule_in(offline_us, Event::UnblockLinks);
         }
     }
 
@@ -146,7 +150,8 @@
         }
     }
 
-    /// Suspends all machines together, as on one host: every process sees its clock jump.
+    /// Suspends all machines together, as if they ran on one suspended host: every process detects that its
+    /// clock jumped.
     fn suspend_all(&mut self, duration: u64) {
         if self.now <= self.last_clock_jump + CLOCK_JUMP_INTERVAL_US {
             return;
@@ -157,7 +162,8 @@
         }
     }
 
-    /// Blocks messages of the leader to half of the others; it still receives theirs.
+    /// Blocks messages from the leader to half of the other processes; the leader still receives theirs. The
+    /// parity of `process` selects the half.
     fn block_leader(&mut self, process: usize, duration: u64) {
         if let Some(leader) = self.leader() {
             let others = (0..self.processes.len()).filter(|other| *other != leader);
@@ -167,7 +173,8 @@
         }
     }
 
-    /// Moves one clock beyond its stated bound; the process sees the jump. One at a time.
+    /// Moves one clock beyond its stated error bound; the process detects the jump. Clocks jump one at a
+    /// time.
     fn jump_clock(&mut self, process: usize) {
         let offset_us = self.rng.random_range(-2_000_000..2_000_000);
         if self.now < self.last_clock_jump + CLOCK_JUMP_INTERVAL_US {
@@ -193,8 +200,9 @@
         self.processes.iter().all(Process::is_running)
     }
 
-    /// Whether three or more voters run and agree on the voters. A replica that loses its storage then is not
-    /// the last one that knew an entry; while a third voter is added to two, both are needed.
+    /// Returns whether at least three voters are running and agree on who the voters are. If one of them then
+    /// loses its storage, it was not the only replica that held an entry. While a third voter is being added
+    /// to two, both of the two are needed.
     fn has_redundant_voters(&self) -> bool {
         let Some(newest) = self.most_advanced_node() else { return false };
         let voters = &newest.agreed().voters;
--- a/crates/testbed/src/simulation/many_days.rs
+++ b/crates/testbed/src/simulation/many_days.rs
@@ -1,4 +1,4 @@
-//! Experiments of many simulated days, one for each seed, on as many threads as there are cores.
+//! Experiments with many simulated days, one for each seed, run on as many threads as there are cores.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,26 +14,26 @@
 use super::{DayOutcome, DaySettings, FAULTS, simulate_day};
 use crate::figures::Figures;
 
-/// How many failing seeds are listed at most.
+/// The maximum number of failing seeds that are reported.
 const MAX_FAILING_SEEDS: usize = 20;
 
-/// An experiment of many simulated days.
+/// An experiment with many simulated days.
 pub struct Plan {
-    /// The seed of the first day; each further day has the next one.
+    /// The seed of the first day; each further day uses the next seed.
     pub seed: u64,
-    /// How long faults are injected on each day, in its own time.
+    /// How long faults are injected on each day, in seconds of virtual time.
     pub seconds: u64,
     /// The number of days.
     pub days: u64,
     /// The number of routers.
     pub routers: usize,
-    /// The faults, separated by commas, or `all`.
+    /// The names of the faults, separated by commas, or `all`.
     pub faults: String,
-    /// The safety check that is disabled, if any.
+    /// The name of the safety check that is disabled. `None` if all checks are enabled.
     pub disabled_check: Option<String>,
-    /// The fills per second that the routers divide among themselves, if any.
+    /// The fill budget that the routers share, in fills per second. `None` if there is no fill budget.
     pub fills_per_second: Option<f64>,
-    /// Whether transitions and faults are printed as they come.
+    /// Whether state transitions and faults are printed to standard error as they happen.
     pub trace: bool,
 }
 
@@ -50,6 +50,7 @@
         })
     }
 
+    /// All safety checks except the disabled one.
     fn checks(&self) -> Result<SafetyChecks> {
         let mut checks = SafetyChecks::default();
         match self.disabled_check.as_deref() {
@@ -58,25 +59,29 @@
             Some("staged") => checks.staged_activation = false,
             Some("compare") => checks.compare_generation = false,
             Some(name) if self.fills_per_second.is_some() => checks.quota = quota_checks_without(name)?,
-            Some(name) => bail!("no such guard: {name}"),
+            Some(name) => bail!("unknown check: {name}; known without a budget: lease, staged, compare"),
         }
         Ok(checks)
     }
 }
 
-/// Parses a list of fault names, separated by commas, or `all`. Fails for a name that is not in `known`.
+/// Parses a list of fault names, separated by commas, or `all`.
+///
+/// # Errors
+///
+/// Fails for a name that is not in `known`.
 pub fn parse_faults(faults: &str, known: &[&str]) -> Result<Vec<String>> {
     let names: Vec<String> = match faults {
         "all" => known.iter().map(ToString::to_string).collect(),
         list => list.split(',').filter(|name| !name.is_empty()).map(str::to_string).collect(),
     };
     for name in &names {
-        ensure!(known.contains(&name.as_str()), "no such fault: {name}; there are {}", known.join(", "));
+        ensure!(known.contains(&name.as_str()), "unknown fault: {name}; known: all, {}", known.join(", "));
     }
     Ok(names)
 }
 
-/// All safety checks of quotas but the named one.
+/// Returns all safety checks of quotas except the named one.
 fn quota_checks_without(name: &str) -> Result<tindoor_quota::SafetyChecks> {
     let mut checks = tindoor_quota::SafetyChecks::default();
     match name {
@@ -86,12 +91,15 @@
         "burst" => checks.empty_bursts = false,
         "wakes" => checks.stop_at_expiry = false,
         "floor" => checks.reserve_guaranteed = false,
-        other => bail!("no such guard: {other}"),
+        other => bail!(
+            "unknown check: {other}; known: lease, staged, compare, lapse, epoch, returned, burst, wakes, \
+             floor"
+        ),
     }
     Ok(checks)
 }
 
-/// Simulates the days of a plan, and sums their counts and violations.
+/// Simulates the days of a plan and sums their counts and violations.
 pub fn run(plan: &Plan) -> Result<Figures> {
     let settings = plan.settings()?;
     let begin = Instant::now();
@@ -114,13 +122,13 @@
     Ok(figures)
 }
 
-/// A simulated day.
+/// The result of one simulated day.
 pub(super) struct Day {
     pub seed: u64,
     pub outcome: DayOutcome,
 }
 
-/// Simulates days with successive seeds on all cores, and returns them in the order of their seeds.
+/// Simulates days with consecutive seeds on all cores, and returns them in the order of their seeds.
 pub(super) fn simulate_days(first: &DaySettings, count: u64) -> Vec<Day> {
     let next = AtomicU64::new(0);
     let days = Mutex::new(Vec::new());
@@ -172,7 +180,7 @@
     let delays = days.iter().flat_map(|day| &day.outcome.activation_delays);
     let mut delays_ms: Vec<u64> = delays.map(|delay| delay.as_micros() / 1000).collect();
     delays_ms.sort_unstable();
-    let quantile = |part: f64| delays_ms.get((part * delays_ms.len() as f64) as usize).copied();
+    let quantile = |fraction: f64| delays_ms.get((fraction * delays_ms.len() as f64) as usize).copied();
     vec![
         ("hold_ms_p50", json!(quantile(0.5))),
         ("hold_ms_p99", json!(quantile(0.99))),
@@ -201,14 +209,14 @@
     ]
 }
 
-/// The part of the allowed fills that were admitted in periods without disturbance.
+/// Returns the fraction of the allowed fills that were admitted, over all periods without disturbance.
 pub(super) fn fill_utilization(days: &[Day]) -> f64 {
     let admitted: f64 = days.iter().map(|day| day.outcome.fills_admitted).sum();
     let allowed: f64 = days.iter().map(|day| day.outcome.fills_allowed).sum();
     admitted / f64::max(allowed, 1.0)
 }
 
-/// A count per router and second of simulated time.
+/// Returns a count per router and per second of virtual time.
 fn rate_per_router(days: &[Day], plan: &Plan, count: fn(&DayOutcome) -> u64) -> f64 {
     let sum: u64 = days.iter().map(|day| count(&day.outcome)).sum();
     let recovery = DaySettings::new(0, plan.routers).recovery_duration();
@@ -216,7 +224,7 @@
     sum as f64 / (days.len().max(1) as f64 * plan.routers as f64 * seconds)
 }
 
-/// Simulates the days of a plan with a baseline protocol.
+/// Simulates the days of a plan with a baseline protocol, and sums their counts and violations.
 pub fn run_baseline(plan: &Plan, baseline: Baseline) -> Result<Figures> {
     let settings = DaySettings {
         faults: parse_faults(&plan.faults, FAULTS)?,
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,8 +1,8 @@
 //! Deterministic simulation of a router fleet in virtual time.
 //!
-//! A simulated day runs the consensus, membership and quota state machines of all routers without sockets,
-//! injects faults, and audits afterwards what the routers did with requests. The audit uses the true time,
-//! which no process knows. The same seed always gives the same day.
+//! A simulated day runs the consensus, membership and quota state machines of all routers without sockets and
+//! injects faults. Afterwards, it audits what the routers did with requests. The audit uses the true time,
+//! which is not available to any process. The same seed always produces the same day.
 
 mod audit;
 pub mod baselines;
--- a/crates/testbed/src/simulation/outcome.rs
+++ b/crates/testbed/src/simulation/outcome.rs
@@ -1,4 +1,4 @@
-//! What a simulated day counted.
+//! The result of a simulated day.
 
 use tindoor::time::Span;
 
@@ -17,39 +17,41 @@
     pub proposals_rejected: u64,
     /// Proposals that were accepted and then cancelled.
     pub proposals_cancelled: u64,
-    /// Violations: requests decided by a policy while another one was in force.
+    /// Violations: requests decided by an old policy after a newer policy had already decided a request,
+    /// later by more than clocks may differ.
     pub mixed_policy_requests: u64,
     /// Violations: requests decided by a policy that was never activated.
     pub unknown_policy_requests: u64,
     /// Violations: proposals activated though their base generation was no longer in force.
     pub lost_updates: u64,
-    /// Violations: changes still undecided long after the last fault.
+    /// Violations: changes that were still undecided at the end, long after the last fault.
     pub stuck_changes: u64,
     /// Messages sent.
     pub messages: u64,
     /// Bytes of the messages sent; extrapolated from a sample in large fleets.
     pub bytes: u64,
-    /// From each proposal to the first request decided by it.
+    /// The times from each activated proposal to the first request decided by its policy.
     pub activation_delays: Vec<Span>,
     /// Routers that rejected requests at the end because they could not apply the policy in force.
     pub not_applicable_at_end: u64,
     /// Violations: routers that rejected requests at the end for any other reason.
     pub inactive_at_end: u64,
-    /// Members removed from the member list, as seen by the router that saw most removals.
+    /// Members removed from the member list, as counted by the router that saw the most removals.
     pub members_removed: u64,
     /// Violations: fills that exceeded the rate and burst of the budget.
     pub rate_violations: u64,
-    /// Violations: fills started while too many were in flight.
+    /// Violations: fills that exceeded the limit of concurrent fills when they started.
     pub concurrency_violations: u64,
     /// Violations: samples in which all running routers together could have exceeded the budget.
     pub overcommitted_samples: u64,
-    /// The largest part of the budget that they could have spent, in thousandths.
+    /// The largest fraction of the budget that all running routers together could have spent, in thousandths.
     pub peak_commitment_permille: u64,
     /// Fills admitted in periods without disturbance.
     pub fills_admitted: f64,
-    /// Fills that the budget allowed in these periods.
+    /// Fills that the budget allowed in periods without disturbance.
     pub fills_allowed: f64,
-    /// Routers with demand and without a single fill in such a period.
+    /// Routers that had demand but were not admitted a single fill in a period without disturbance, summed
+    /// over these periods.
     pub starved_routers: u64,
 }
 
--- a/crates/testbed/src/simulation/plots.rs
+++ b/crates/testbed/src/simulation/plots.rs
@@ -1,5 +1,5 @@
-//! Plots of simulated days: activation delay and use of a budget, by fleet size and message loss, for several
-//! leases.
+//! Plots of simulated days: activation delay and budget utilization, by fleet size and by message loss, for
+//! several lease durations.
 
 use std::path::Path;
 
@@ -10,27 +10,33 @@
 use super::DaySettings;
 use super::many_days::{Day, fill_utilization, simulate_days};
 
+/// The numbers of routers in plots by fleet size.
 const FLEET_SIZES: [usize; 6] = [3, 7, 15, 30, 60, 120];
+/// The lease durations, in milliseconds; each plot has one line for each of them.
 const LEASES_MS: [u64; 3] = [750, 1500, 3000];
+/// The fractions of messages lost in plots by message loss.
 const LOSSES: [f64; 6] = [0.0, 0.05, 0.1, 0.2, 0.3, 0.4];
-/// The fleet size of plots by message loss.
+/// The number of routers in plots by message loss.
 const LOSS_FLEET_SIZE: usize = 7;
-/// The fills per second that each router of a fleet adds to the budget.
-const FILLS_PER_SECOND_OF_ROUTER: f64 = 14.0;
+/// The fills per second that each router of a fleet adds to the shared budget.
+const FILLS_PER_SECOND_PER_ROUTER: f64 = 14.0;
+/// The width and height of each plot, in pixels.
 const IMAGE_SIZE_PX: (u32, u32) = (640, 400);
 
-/// A labelled line of a plot, as points of x and y.
+/// A line of a plot: its label and its points (x, y).
 pub type Series = (String, Vec<(f64, f64)>);
 
-/// What a plot shows.
+/// The content of a plot.
 struct Plot {
+    /// The file name, without its extension.
     name: &'static str,
     x_label: &'static str,
     y_label: &'static str,
     lines: Vec<Series>,
 }
 
-/// Simulates the days and draws the plots into a folder. Returns the lines of each plot by its name.
+/// Simulates the days and writes the plots as SVG files to a folder. Returns the name and the lines of each
+/// plot.
 pub fn draw(seed: u64, folder: &Path) -> Result<Vec<(String, Vec<Series>)>> {
     std::fs::create_dir_all(folder)?;
     let plots = simulate_plots(seed);
@@ -59,13 +65,13 @@
             name: "use-by-size",
             x_label: "routers",
             y_label: "used of the whole",
-            lines: for_each_lease(|lease_ms| use_by_size(seed, lease_ms)),
+            lines: for_each_lease(|lease_ms| utilization_by_size(seed, lease_ms)),
         },
         Plot {
             name: "use-by-loss",
             x_label: "messages lost, %",
             y_label: "used of the whole",
-            lines: for_each_lease(|lease_ms| use_by_loss(seed, lease_ms)),
+            lines: for_each_lease(|lease_ms| utilization_by_loss(seed, lease_ms)),
         },
     ]
 }
@@ -85,14 +91,15 @@
     LOSSES.into_iter().filter_map(|loss| Some((loss * 100.0, delay(loss)?))).collect()
 }
 
-fn use_by_size(seed: u64, lease_ms: u64) -> Vec<(f64, f64)> {
-    let point = |size| (size as f64, budget_use(settings(seed, size, lease_ms, 0.0)));
+fn utilization_by_size(seed: u64, lease_ms: u64) -> Vec<(f64, f64)> {
+    let point = |size| (size as f64, budget_utilization(settings(seed, size, lease_ms, 0.0)));
     FLEET_SIZES.into_iter().map(point).collect()
 }
 
-/// Loss of messages is not a disturbance, so use is counted throughout the day.
-fn use_by_loss(seed: u64, lease_ms: u64) -> Vec<(f64, f64)> {
-    let point = |loss| (loss * 100.0, budget_use(settings(seed, LOSS_FLEET_SIZE, lease_ms, loss)));
+/// Returns the budget utilization by message loss. Message loss is not a disturbance, so utilization is
+/// measured throughout the day.
+fn utilization_by_loss(seed: u64, lease_ms: u64) -> Vec<(f64, f64)> {
+    let point = |loss| (loss * 100.0, budget_utilization(settings(seed, LOSS_FLEET_SIZE, lease_ms, loss)));
     LOSSES.into_iter().map(point).collect()
 }
 
@@ -117,9 +124,9 @@
     Some(*delays_us.get(delays_us.len() / 2)? as f64 / 1e6)
 }
 
-fn budget_use(settings: DaySettings) -> f64 {
+fn budget_utilization(settings: DaySettings) -> f64 {
     let settings = DaySettings {
-        fills_per_second: Some(FILLS_PER_SECOND_OF_ROUTER * settings.routers as f64),
+        fills_per_second: Some(FILLS_PER_SECOND_PER_ROUTER * settings.routers as f64),
         fault_duration: Span::secs(24.0),
         ..settings
     };
@@ -149,7 +156,7 @@
         Ok(())
     }
 
-    /// The end of an axis, a tenth beyond the largest coordinate.
+    /// Returns the end of an axis, 10 % beyond the largest coordinate.
     fn axis_end(&self, coordinate: fn(&(f64, f64)) -> f64) -> f64 {
         self.lines.iter().flat_map(|line| &line.1).map(coordinate).fold(0.0, f64::max) * 1.1
     }
--- a/crates/testbed/src/simulation/process.rs
+++ b/crates/testbed/src/simulation/process.rs
@@ -1,4 +1,4 @@
-//! A simulated router process and its machine.
+//! A simulated router: its process, storage, clock and disk.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -6,44 +6,46 @@
 use tindoor_consensus::{Envelope, Node, StorageWrite, StoredState};
 use tindoor_membership::{Incarnation, Member};
 
-/// The number of routers that have replica storage and thus can be voters.
+/// The number of routers that have replica storage and can therefore become voters.
 const REPLICAS: usize = 9;
-/// The bits of an incarnation that count the starts of one router.
+/// The number of low bits of an incarnation that count the starts of a router.
 const START_COUNT_BITS: u32 = 20;
 
-/// A router of the simulated fleet: its process, and what outlives it.
+/// A router of the simulated fleet: its current process, and the state that survives a restart.
 pub(super) struct Process {
-    /// The running process; none while it is down.
+    /// The node of the running process. `None` while the process is down.
     pub node: Option<Node>,
     pub name: String,
     pub address: String,
     pub location: u16,
     pub start_count: u64,
-    /// The identity of its replica storage, where it has any.
+    /// The identity of the replica storage. `None` if the router has no storage.
     pub replica_id: Option<u64>,
+    /// The completed writes. `None` if the router has no storage.
     pub storage: Option<StoredState>,
-    /// The reading of its clock at the true time 0.
+    /// The reading of the router's clock at true time 0, in microseconds.
     pub clock_offset_us: i64,
-    /// The rate of its clock.
+    /// The rate of the router's clock relative to true time.
     pub clock_rate: f64,
     pub paused: bool,
-    /// When its disk has completed all writes.
+    /// The true time at which the disk will have completed all writes, in microseconds.
     pub disk_busy_until: u64,
-    /// Messages that arrived while it was paused.
+    /// Messages that arrived while the process was paused.
     pub queued_messages: Vec<Envelope>,
-    /// Counts starts and kills, so that events for an earlier process are dropped.
+    /// The number of starts and kills. Events that were scheduled in an earlier epoch are dropped.
     pub epoch: u64,
-    /// Request rate relative to the usual one.
+    /// The request rate relative to the mean rate of the day.
     pub load_factor: f64,
-    /// Fills wanted and admitted in the current sampling period.
-    pub fills_wanted: u64,
+    /// Fills requested in the current period.
+    pub fills_requested: u64,
+    /// Fills admitted in the current period.
     pub fills_admitted: u64,
-    /// How many removals of members its processes have seen.
+    /// The number of member removals that the router's processes have observed.
     pub members_removed: u64,
 }
 
 impl Process {
-    /// A router that has not been started yet, with a random clock.
+    /// Creates a router with a random clock that has not been started yet.
     pub fn new(index: usize, rng: &mut Pcg64Mcg) -> Self {
         let ppm = rng.random_range(-100.0..100.0);
         let has_storage = index < REPLICAS;
@@ -62,34 +64,34 @@
             queued_messages: Vec::new(),
             epoch: 0,
             load_factor: 1.0,
-            fills_wanted: 0,
+            fills_requested: 0,
             fills_admitted: 0,
             members_removed: 0,
         }
     }
 
-    /// The reading of its clock at a true time.
+    /// Returns the reading of the router's clock at a true time, in microseconds.
     pub fn local_time(&self, now_us: u64) -> Moment {
         let reading = self.clock_offset_us + (now_us as f64 * self.clock_rate) as i64;
         Moment::at_micros(reading.max(0) as u64)
     }
 
-    /// Whether its process runs and is not paused.
+    /// Returns whether the process is up and not paused.
     pub fn is_running(&self) -> bool {
         self.node.is_some() && !self.paused
     }
 
-    /// Whether its process is the consensus leader.
+    /// Returns whether the process is the consensus leader.
     pub fn is_leader(&self) -> bool {
         self.node.as_ref().is_some_and(Node::is_leader)
     }
 
-    /// The incarnation of its current process.
+    /// Returns the incarnation of the current process.
     pub fn incarnation(&self, index: usize) -> Incarnation {
         Incarnation((index as u64 + 1) << START_COUNT_BITS | self.start_count)
     }
 
-    /// Its entry in the member list.
+    /// Returns the router's entry in the member list.
     pub fn member(&self) -> Member {
         Member {
             name: self.name.clone(),
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Applies a completed write to its storage.
+    /// Applies a completed write to the storage.
     pub fn store(&mut self, write: StorageWrite) {
         let Some(storage) = &mut self.storage else { return };
         let StorageWrite { hard_state, snapshot, entries, discard_before, .. } = write;
--- a/crates/testbed/src/simulation/workload.rs
+++ b/crates/testbed/src/simulation/workload.rs
@@ -1,4 +1,4 @@
-//! The load of a simulated day: requests, fills within a budget, and proposals of policy changes.
+//! The workload of a simulated day: requests, fills within a budget, and proposals of policy changes.
 
 use rand::Rng;
 use tindoor::time::Moment;
@@ -8,31 +8,31 @@
 use super::day::{concurrent_fill_key, fill_key};
 use super::world::{Event, World};
 
-/// The shortest and the longest time of a fill, in microseconds.
+/// The range of the duration of a fill, in microseconds.
 const FILL_DURATION_US: std::ops::Range<u64> = 20_000..400_000;
-/// From one sample of the quotas to the next, in microseconds.
+/// The interval between samples of the quotas, in microseconds.
 const QUOTA_SAMPLE_INTERVAL_US: u64 = 20_000;
-/// The period in which each router with demand has to get a fill, in microseconds.
+/// The period in which each router with demand must be admitted at least one fill, in microseconds.
 const FILL_PERIOD_US: u64 = 4_000_000;
-/// From when on the use of the budget is counted, in microseconds of true time.
+/// The true time from which on the use of the budget is counted, in microseconds.
 const FILL_COUNT_START_US: u64 = 8_000_000;
-/// The fills that a router must have wanted in a period to count as starved.
+/// The minimum number of fills that a router must have requested in a period to be considered starved.
 const STARVATION_DEMAND: u64 = 20;
-/// From one change of the load factors to the next, in microseconds.
+/// The interval between changes of the load factors, in microseconds.
 const LOAD_SHIFT_INTERVAL_US: u64 = 4_000_000;
-/// The setting that makes one router object to a policy.
+/// A policy setting that makes the last router object to the policy.
 pub(super) const OBJECTIONABLE_SETTING: &str = "bad";
 const FILL_RATE_SETTING: &str = "budget.origin_fills.per_s";
 
-/// A fill that ended while its process was paused.
+/// A fill that ended while its process was paused, and that the process has not released yet.
 pub(super) struct UnreleasedFill {
     pub process: usize,
-    /// When it was admitted, by the clock of the process.
+    /// The time of admission, by the clock of the process.
     pub admitted_at: Moment,
 }
 
 impl World {
-    /// Sends a request to a process, and schedules the next one.
+    /// Sends a request to a process and schedules the next request.
     pub(super) fn generate_request(&mut self, process: usize) {
         let interval = self.day.request_interval.as_micros();
         let mean = (interval as f64 / self.processes[process].load_factor) as u64;
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Decides a request by the policy that is active at the process.
+    /// Lets a process decide a request by its active policy, or reject the request if it has no active
+    /// policy.
     pub(super) fn handle_request(&mut self, process: usize) {
         let now = self.local_time(process);
         let Some(node) = self.processes[process].node.as_mut() else { return };
@@ -53,7 +54,7 @@
             return;
         };
         if self.request_times.keys().next_back().is_some_and(|newest| generation < *newest) {
-            self.trace(process, &("a view by the old", generation));
+            self.trace(process, &("request decided by an outdated generation", generation));
         }
         self.request_times.entry(generation).or_default().push(self.now);
         if self.day.fills_per_second.is_some() {
@@ -66,7 +67,7 @@
         let keys = [fill_key(), concurrent_fill_key()];
         let process = &mut self.processes[index];
         let admitted = process.node.as_mut().is_some_and(|node| node.quota().spend(now, &keys));
-        process.fills_wanted += 1;
+        process.fills_requested += 1;
         process.fills_admitted += u64::from(admitted);
         if !admitted {
             return;
@@ -80,7 +81,8 @@
         self.schedule_in(duration, Event::FillCompleted { process: index, epoch, admitted_at: now });
     }
 
-    /// Releases a completed fill, unless its process is gone. A paused process releases it when it resumes.
+    /// Releases a completed fill, unless its process has been killed or restarted since. A paused process
+    /// releases the fill when it resumes.
     pub(super) fn complete_fill(&mut self, process: usize, epoch: u64, admitted_at: Moment) {
         self.fills_in_flight -= 1;
         if self.processes[process].epoch != epoch {
@@ -97,8 +99,8 @@
         self.with_node(process, |node, _| node.quota().release(admitted_at, &[concurrent_fill_key()]));
     }
 
-    /// Samples what all running routers together could spend, and counts starvation at the end of each
-    /// period.
+    /// Samples the quota that all running routers together could spend. At the end of each period without
+    /// disturbance, records the admitted fills and the starved routers.
     pub(super) fn sample_quotas(&mut self) {
         self.schedule_in(QUOTA_SAMPLE_INTERVAL_US, Event::SampleQuotas);
         self.record_commitment();
@@ -110,7 +112,7 @@
             self.record_fill_use();
         }
         for process in &mut self.processes {
-            process.fills_wanted = 0;
+            process.fills_requested = 0;
             process.fills_admitted = 0;
         }
     }
@@ -126,7 +128,7 @@
                 burst += quota.burst;
             }
         }
-        // Quotas count in thousandths.
+        // Quotas are in thousandths of a fill.
         let max_rate = self.day.fill_budget("per_s") * 1000.0;
         let max_burst = self.day.fill_budget("burst") * 1000.0;
         let commitment = (rate as f64 / max_rate).max(burst as f64 / max_burst);
@@ -138,7 +140,7 @@
     fn record_fill_use(&mut self) {
         let running = self.processes.iter().filter(|process| process.node.is_some());
         let starved = running
-            .filter(|process| process.fills_wanted >= STARVATION_DEMAND && process.fills_admitted == 0)
+            .filter(|process| process.fills_requested >= STARVATION_DEMAND && process.fills_admitted == 0)
             .count();
         self.outcome.starved_routers += starved as u64;
         let admitted: u64 = self.processes.iter().map(|process| process.fills_admitted).sum();
@@ -147,7 +149,7 @@
         self.outcome.fills_allowed += rate * FILL_PERIOD_US as f64 / 1e6;
     }
 
-    /// Gives some routers a high load and the others a low one.
+    /// Gives a random subset of the routers a high load, and the others a low load.
     pub(super) fn shift_load(&mut self) {
         self.schedule_in(LOAD_SHIFT_INTERVAL_US, Event::ShiftLoad);
         for process in &mut self.processes {
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Proposes one or more policy changes, and schedules the next ones.
+    /// Proposes one or two policy changes and schedules the next proposals.
     pub(super) fn generate_proposals(&mut self) {
         if self.faults_over {
             return;
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Proposes a policy change at a random process, if that process is a member.
+    /// Proposes a policy change at a random process, if that process is running and has joined the fleet.
     fn propose(&mut self, objectionable: bool) {
         let process = self.rng.random_range(0..self.processes.len());
         if self.processes[process].paused {
--- a/crates/testbed/src/simulation/world.rs
+++ b/crates/testbed/src/simulation/world.rs
@@ -18,15 +18,15 @@
 use super::process::Process;
 use super::workload::{OBJECTIONABLE_SETTING, UnreleasedFill};
 
-/// The true time at which a day begins, in microseconds.
+/// The true time at which a day starts, in microseconds.
 const START_US: u64 = 1_000_000;
-/// From the first proposal to the first fault, in microseconds.
+/// The time from the end of the warm-up to the first fault, in microseconds.
 const FIRST_FAULT_DELAY_US: u64 = 200_000;
-/// The largest fleet whose members join one by one, and of whose messages all are measured.
+/// The largest number of routers that join one by one, and for which the size of every message is measured.
 pub(super) const SMALL_FLEET: usize = 64;
-/// The number of routers whose addresses each process knows from its configuration.
+/// The number of routers whose addresses are in the configuration of each process.
 const SEED_ADDRESSES: usize = 5;
-/// Short enough that a change can follow the one before it within the day.
+/// The longest probation of a policy change. It is short enough that several changes fit into a day.
 const MAX_PROBATION: Span = Span::millis(500);
 
 /// An event of a simulated day.
@@ -37,47 +37,49 @@
     Request { process: usize },
     /// A message arrives.
     Message { to: usize, envelope: Box<Envelope> },
-    /// A write has reached the disk.
+    /// The disk has completed a write.
     WriteCompleted { process: usize, epoch: u64, write: Box<StorageWrite> },
-    /// A fault is to be injected.
+    /// The next fault is due.
     Fault,
-    /// A policy change is to be proposed.
+    /// The next policy change is due.
     Propose,
     /// A paused process resumes.
     Resume { process: usize },
-    /// A killed process starts again.
+    /// A killed process restarts.
     Restart { process: usize },
-    /// All blocked links work again.
+    /// All blocked links are unblocked.
     UnblockLinks,
-    /// A fill has ended at the origin.
+    /// The origin has completed a fill.
     FillCompleted { process: usize, epoch: u64, admitted_at: Moment },
-    /// The quotas of all processes are to be sampled.
+    /// The next sample of all quotas is due.
     SampleQuotas,
-    /// The load is to move between routers.
+    /// The next change of the load factors is due.
     ShiftLoad,
 }
 
-/// The state of a simulated day. Times are true times in microseconds unless they are of the type [`Moment`].
+/// The state of a simulated day. Times are true times in microseconds, except values of type [`Moment`],
+/// which are readings of the clock of a process.
 pub(super) struct World {
     pub day: DaySettings,
     pub rng: Pcg64Mcg,
     pub now: u64,
     events: EventQueue<Event>,
     pub processes: Vec<Process>,
+    /// The indexes of the processes by address.
     pub indexes_by_address: BTreeMap<String, usize>,
     /// Links from one process to another on which all messages are lost.
     pub blocked_links: BTreeSet<(usize, usize)>,
     pub faults_over: bool,
     pub last_clock_jump: u64,
-    /// Until when a fault counts as a disturbance.
+    /// The time until which the fleet is considered disturbed by the last fault.
     pub disturbed_until: u64,
-    /// When each generation decided requests.
+    /// The times of the requests decided by each generation.
     pub request_times: BTreeMap<u64, Vec<u64>>,
-    /// When each proposal was made, by token.
+    /// The time of each proposal, by token.
     pub proposal_times: BTreeMap<u64, u64>,
-    /// The rate of fills that each proposal states, by token.
+    /// The fill rate in each proposal, by token, in fills per second.
     pub proposed_rates: BTreeMap<u64, f64>,
-    /// When fills were started.
+    /// The times at which fills were started.
     pub fill_times: Vec<u64>,
     pub fills_in_flight: u64,
     pub unreleased_fills: Vec<UnreleasedFill>,
@@ -85,7 +87,7 @@
 }
 
 impl World {
-    /// Starts and bootstraps a fleet.
+    /// Starts and bootstraps a fleet, and schedules the first events.
     pub fn new(day: DaySettings) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed);
         let processes: Vec<Process> = (0..day.routers).map(|index| Process::new(index, &mut rng)).collect();
@@ -131,7 +133,8 @@
         }
     }
 
-    /// Gives all processes of a large fleet the complete member list, as its joins are not what is simulated.
+    /// Installs the complete member list at all processes of a large fleet, because the simulation of a large
+    /// fleet is not about joins.
     fn install_member_list(&mut self) {
         let entries = self.processes.iter().enumerate();
         let members =
@@ -139,7 +142,7 @@
         let first = self.processes[0].node.as_ref().expect("just started");
         let mut agreed = first.agreed().clone();
         agreed.members = MemberList::new(members);
-        // Stands for the log's second entry, which the leader's own first one follows.
+        // The list takes the place of the second log entry; the leader's own first entry follows it.
         agreed.index = 2;
         for index in 0..self.processes.len() {
             let now = self.local_time(index);
@@ -150,7 +153,8 @@
 
     fn schedule_first_events(&mut self) {
         let warm_up = WARM_UP.as_micros();
-        // A day with a budget and without changes of it shows undisturbed use.
+        // On a day with a budget, policies are proposed only if a fault requires it, so that undisturbed use
+        // of the budget can be measured.
         let changes_budget = ["lower", "proposers", "badchange"].iter().any(|fault| self.day.has(fault));
         if self.day.fills_per_second.is_none() || changes_budget {
             self.schedule_in(warm_up, Event::Propose);
@@ -182,23 +186,23 @@
         }
     }
 
-    /// Schedules an event for a while from now, in microseconds.
+    /// Schedules an event after a delay, in microseconds.
     pub fn schedule_in(&mut self, delay_us: u64, event: Event) {
         self.events.schedule(self.now + delay_us, event);
     }
 
-    /// The reading of a process's clock.
+    /// Returns the current reading of the clock of a process.
     pub fn local_time(&self, process: usize) -> Moment {
         self.processes[process].local_time(self.now)
     }
 
-    /// The running node that has applied most of the log.
+    /// Returns the running node that has applied the most log entries. `None` if no process is up.
     pub fn most_advanced_node(&self) -> Option<&Node> {
         let nodes = self.processes.iter().filter_map(|process| process.node.as_ref());
         nodes.max_by_key(|node| node.agreed().index)
     }
 
-    /// Prints what happens at a process, if the day is traced.
+    /// Prints an event at a process to standard error if tracing is enabled.
     pub fn trace(&self, process: usize, event: &dyn Debug) {
         if self.day.trace {
             eprintln!("{:9.3} n{process}: {event:?}", self.now as f64 / 1e6);
@@ -218,7 +222,7 @@
             }
             Event::Restart { process } => {
                 if self.processes[process].node.is_none() {
-                    self.trace(process, &"starts");
+                    self.trace(process, &"restarted");
                     self.start(process);
                 }
             }
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Starts a process, from what its storage holds.
+    /// Starts a process from its stored state.
     pub fn start(&mut self, index: usize) {
         let now = self.local_time(index);
         let random_seed = self.rng.random();
@@ -287,7 +291,7 @@
             let fill = self.unreleased_fills.swap_remove(at);
             self.release_fill(process, fill.admitted_at);
         }
-        // The worst order: a request is handled before all messages that arrived during the pause.
+        // The worst case: a request is handled before all messages that arrived during the pause.
         self.handle_request(process);
         for envelope in std::mem::take(&mut self.processes[process].queued_messages) {
             self.with_node(process, |node, now| node.receive(now, envelope));
@@ -315,7 +319,7 @@
         self.with_node(index, |node, now| node.write_completed(now, number));
     }
 
-    /// Passes an event to a process, if it is up, and executes the resulting actions.
+    /// Applies a function to the node of a process, if the process is up, and executes the resulting actions.
     pub fn with_node(&mut self, process: usize, apply: impl FnOnce(&mut Node, Moment)) {
         let now = self.local_time(process);
         if let Some(node) = self.processes[process].node.as_mut() {
@@ -324,7 +328,7 @@
         }
     }
 
-    /// Executes the actions of a process until it has no more.
+    /// Executes the actions of a process until none are left.
     pub fn execute_actions(&mut self, process: usize) {
         while let Some(node) = self.processes[process].node.as_mut() {
             for action in node.take_actions() {
@@ -341,7 +345,7 @@
             Action::Send { address, envelope } => self.send(process, &address, envelope),
             Action::Write(write) => self.write(process, write),
             Action::CheckPolicy(version) => self.check_policy(process, &version),
-            Action::LeadershipChanged(term) => self.trace(process, &("leads", term)),
+            Action::LeadershipChanged(term) => self.trace(process, &("leadership changed", term)),
             Action::Transition(transition) => {
                 self.trace(process, &transition);
                 let removed = matches!(transition, Transition::Removed(_));
@@ -350,6 +354,7 @@
         }
     }
 
+    /// Schedules the completion of a write. The disk completes writes one after another.
     fn write(&mut self, process: usize, write: StorageWrite) {
         let epoch = self.processes[process].epoch;
         let duration = self.rng.random_range(500..4_000);
@@ -359,13 +364,15 @@
         self.events.schedule(completed_at, Event::WriteCompleted { process, epoch, write });
     }
 
-    /// The last router objects to policies with [`OBJECTIONABLE_SETTING`].
+    /// Answers a policy check: the last router objects to policies with [`OBJECTIONABLE_SETTING`], all others
+    /// accept every policy.
     fn check_policy(&mut self, process: usize, version: &PolicyVersion) {
         let objects = version.policy.0.contains_key(OBJECTIONABLE_SETTING) && process == self.day.routers - 1;
         let objection = objects
             .then(|| Objection { reason: "an offering would have no cache".to_string(), permanent: true });
         let now = self.local_time(process);
-        let node = self.processes[process].node.as_mut().expect("it asked for this check");
+        let node =
+            self.processes[process].node.as_mut().expect("only a running node requests a policy check");
         node.policy_checked(now, version.generation, objection);
     }
 }
