--- a/crates/testbed/src/policy/audit.rs
+++ b/crates/testbed/src/policy/audit.rs
@@ -1,88 +1,94 @@
-//! Audits the policy experiment, from what clients and endpoints saw.
+//! Audits the policy experiment by what clients and endpoints observed.
 
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
 
 use super::history::{ProposalHistory, Timeline};
+use super::observations::{Observation, Observations};
 use super::proposals::Proposal;
-use super::sightings::{Sighting, Sightings};
 use super::traffic::Traffic;
 use crate::cluster::{CLOCK_BOUND_MS, Cluster};
 use crate::figures::Figures;
 
-/// Attempts of one request, at most.
+/// The maximum number of attempts per request.
 const ATTEMPT_LIMIT: u64 = 8;
 
-/// By how much the clocks of two routers may differ.
+/// The maximum difference between the clocks of two routers.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(2 * CLOCK_BOUND_MS);
 
-/// Violations that are printed, at most.
-const MAX_PRINTED: u64 = 5;
+/// The maximum number of violations that are printed.
+const MAX_PRINTED_VIOLATIONS: u64 = 5;
 
-/// What a run left for its audit.
+/// The evidence from a run for its audit.
 pub struct Evidence {
     /// What clients observed.
     pub traffic: Traffic,
     /// The proposals.
     pub proposals: Vec<Proposal>,
-    /// Waits for the fleet to settle that failed.
+    /// The number of times that the fleet did not settle in time.
     pub unsettled: u64,
-    /// How long it took from the bootstrap until all routers were healthy.
+    /// The time from the bootstrap until all routers were healthy.
     pub time_to_healthy: Duration,
 }
 
-/// Counts of sightings that don't fit the order of activations.
+/// Counts of observations that contradict the order of activations.
 #[derive(Default)]
 struct Violations {
-    /// Requests decided by a version while it was not in force.
+    /// Requests that were decided by a version while it was not in force.
     out_of_order: u64,
-    /// Those by a router that had become healthy only after the version's end: it forgot a newer one.
+    /// The part of `out_of_order` that was decided by a router that had become healthy only after the version
+    /// was replaced: the router lost a newer version.
     forgotten: u64,
-    /// Requests decided by a version that was never in force.
+    /// Requests that were decided by a version that was never in force.
     never_in_force: u64,
 }
 
-/// What an audit found.
+/// The findings of an audit.
 struct Findings {
+    /// Attempts that accepted a copy age of no version.
     unknown_ages: u64,
+    /// Requests for which more than one version was observed.
     half_applied: u64,
+    /// Proposals that were rejected or cancelled.
     rejected: u64,
+    /// Activated proposals that reverted another one.
     reverted: u64,
+    /// Activated proposals that were derived from a generation that was no longer in force.
     overwritten: u64,
     violations: Violations,
     timeline: Timeline,
 }
 
-/// Audits a run.
+/// Audits a run and returns its report.
 pub fn audit(cluster: &Cluster, mut evidence: Evidence) -> Figures {
     let ages = cluster.fleet.lock().unwrap().take_accepted_ages();
     let mut figures = std::mem::take(&mut evidence.traffic.figures);
     cluster.fleet.lock().unwrap().audit(&mut figures);
-    let sightings = Sightings::of(&evidence.traffic.observed, &ages);
-    let findings = find(cluster, &evidence.traffic, &sightings);
+    let observations = Observations::of(&evidence.traffic.observed, &ages);
+    let findings = collect_findings(cluster, &evidence.traffic, &observations);
     let report = report(cluster, &evidence, &findings);
     figures.more.extend(report.into_iter().map(|(name, value)| (name.to_string(), value)));
     let violations = &findings.violations;
-    let of_versions = violations.out_of_order + violations.never_in_force + violations.forgotten;
-    let of_changes = findings.half_applied + findings.overwritten;
-    figures.judge(ATTEMPT_LIMIT, of_versions + of_changes + evidence.unsettled);
+    let version_violations = violations.out_of_order + violations.never_in_force + violations.forgotten;
+    let change_violations = findings.half_applied + findings.overwritten;
+    figures.judge(ATTEMPT_LIMIT, version_violations + change_violations + evidence.unsettled);
     figures
 }
 
-fn find(cluster: &Cluster, traffic: &Traffic, sightings: &Sightings) -> Findings {
-    let history = ProposalHistory::ask(cluster);
+fn collect_findings(cluster: &Cluster, traffic: &Traffic, observations: &Observations) -> Findings {
+    let history = ProposalHistory::fetch(cluster);
     let (rejected, reverted) = (history.rejected, history.reverted);
     let overwritten = history.overwritten;
-    let timeline = history.first_seen(&sightings.first, CLOCK_TOLERANCE);
+    let timeline = history.into_timeline(&observations.first, CLOCK_TOLERANCE);
     let started_at = traffic.observed.iter().map(|request| request.sent_at).min();
     let mut violations = Violations::default();
-    for sighting in &sightings.first {
-        violations.check(sighting, &timeline, started_at);
+    for observation in &observations.first {
+        violations.check(observation, &timeline, started_at);
     }
     Findings {
-        unknown_ages: sightings.unknown_ages,
-        half_applied: sightings.of_mixed_versions,
+        unknown_ages: observations.unknown_ages,
+        half_applied: observations.mixed_version_requests,
         rejected,
         reverted,
         overwritten,
@@ -92,40 +98,41 @@
 }
 
 impl Violations {
-    /// Counts a sighting that fits no activation of its version.
-    fn check(&mut self, sighting: &Sighting, timeline: &Timeline, started_at: Option<Instant>) {
-        let Some(last) = timeline.positions_of(sighting.version).last() else {
+    /// Counts an observation as a violation if it fits no activation of its version.
+    fn check(&mut self, observation: &Observation, timeline: &Timeline, started_at: Option<Instant>) {
+        let Some(last) = timeline.positions_of(observation.version).last() else {
             self.never_in_force += 1;
             return;
         };
-        if timeline.positions_of(sighting.version).any(|position| timeline.fits(position, sighting)) {
+        if timeline.positions_of(observation.version).any(|position| timeline.fits(position, observation)) {
             return;
         }
         self.out_of_order += 1;
-        if self.out_of_order <= MAX_PRINTED {
-            print_violation(sighting, timeline, started_at);
+        if self.out_of_order <= MAX_PRINTED_VIOLATIONS {
+            print_violation(observation, timeline, started_at);
         }
         let end = timeline.ended_by(last);
-        let became_healthy_later = end.zip(sighting.healthy_since).is_some_and(|(end, since)| end < since);
+        let became_healthy_later = end.zip(observation.healthy_since).is_some_and(|(end, since)| end < since);
         self.forgotten += u64::from(became_healthy_later);
     }
 }
 
-/// Prints a sighting and the timeline, in milliseconds from the first request on.
-fn print_violation(sighting: &Sighting, timeline: &Timeline, started_at: Option<Instant>) {
+/// Prints an observation and the timeline, in milliseconds since the first request.
+fn print_violation(observation: &Observation, timeline: &Timeline, started_at: Option<Instant>) {
     let ms = |at: Option<Instant>| Some((at? - started_at?).as_millis());
     let [sent, seen, healthy] =
-        [Some(sighting.sent_at), Some(sighting.seen_at), sighting.healthy_since].map(ms);
+        [Some(observation.sent_at), Some(observation.seen_at), observation.healthy_since].map(ms);
     let first_seen: Vec<_> = timeline.first_seen.iter().map(|at| ms(*at)).collect();
     let activated: Vec<_> = timeline.activated.iter().map(|version| version.number()).collect();
-    let (router, version) = (sighting.router, sighting.version.number());
+    let (router, version) = (observation.router, observation.version.number());
     eprintln!(
-        "mixed: n{router} by {version}, sent {sent:?}, seen {seen:?}, healthy {healthy:?}; \
-         {activated:?} at {first_seen:?}"
+        "request decided by a version not in force: router n{router}, version {version}, sent at {sent:?} ms, \
+         observed at {seen:?} ms, healthy since {healthy:?} ms; versions {activated:?} first observed at \
+         {first_seen:?} ms"
     );
 }
 
-/// The figures that only this experiment has, by their keys.
+/// Returns the figures that only this experiment reports, by their keys.
 fn report(cluster: &Cluster, evidence: &Evidence, findings: &Findings) -> Vec<(&'static str, Value)> {
     let Evidence { traffic, proposals, unsettled, time_to_healthy } = evidence;
     let Findings { violations, timeline, .. } = findings;
@@ -159,7 +166,8 @@
     ]
 }
 
-/// How long it took from each proposal until its version's first activation was seen.
+/// Returns the time from each proposal until the first activation of its version was observed, in
+/// milliseconds. Skips proposals whose activation was not observed.
 fn activation_delays_ms(proposals: &[Proposal], timeline: &Timeline) -> Vec<u64> {
     let delay = |proposal: &Proposal| {
         let activated_at = timeline.first_activation_of(proposal.version)?;
@@ -169,7 +177,7 @@
     proposals.iter().filter_map(delay).collect()
 }
 
-/// The median and the 99th percentile; none where there are no values.
+/// The median and the 99th percentile. `None` if there are no values.
 struct Percentiles {
     p50: Option<u64>,
     p99: Option<u64>,
@@ -178,7 +186,7 @@
 impl Percentiles {
     fn of(mut values: Vec<u64>) -> Self {
         values.sort_unstable();
-        let at = |part: f64| values.get((part * values.len() as f64) as usize).copied();
+        let at = |fraction: f64| values.get((fraction * values.len() as f64) as usize).copied();
         Self { p50: at(0.5), p99: at(0.99) }
     }
 }
--- a/crates/testbed/src/policy/history.rs
+++ b/crates/testbed/src/policy/history.rs
@@ -1,30 +1,31 @@
-//! In which order versions were activated, and when each first showed.
+//! Reconstructs the order in which policy versions were activated, and when each was first observed.
 
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
 
-use super::sightings::Sighting;
+use super::observations::Observation;
 use super::version::PolicyVersion;
 use crate::cluster::Cluster;
 
-/// The proposals of a run, as the fleet's own history has them.
+/// The proposals of a run, according to the history that the fleet reports.
 pub struct ProposalHistory {
-    /// The versions in the order of their activation, from the initial one on.
+    /// The versions in the order of their activation, starting with the initial version.
     pub activated: Vec<PolicyVersion>,
     /// Proposals that were rejected or cancelled.
     pub rejected: u64,
-    /// Activated proposals that reverted another.
+    /// Activated proposals that reverted another one.
     pub reverted: u64,
-    /// Activated proposals that were derived from a generation no longer in force: they overwrote what their
-    /// proposer never saw.
+    /// Activated proposals that were derived from a generation that was no longer in force. They overwrote
+    /// changes that their proposer had not seen.
     pub overwritten: u64,
+    /// The generation of the last activated proposal.
     generation: u64,
 }
 
 impl ProposalHistory {
-    /// The longest history that a router states.
-    pub fn ask(cluster: &Cluster) -> Self {
+    /// Fetches the histories of all routers and keeps the longest one.
+    pub fn fetch(cluster: &Cluster) -> Self {
         let histories =
             (0..cluster.nodes.len()).filter_map(|router| cluster.control(router, &json!("history")));
         let longest = histories.max_by_key(|history| history.as_array().map_or(0, Vec::len));
@@ -58,33 +59,37 @@
         self.activated.push(version.unwrap_or_else(|| self.previous()));
     }
 
-    /// The version before the last one, which a revert puts in force again.
+    /// Returns the version before the last one, which a revert restores.
     fn previous(&self) -> PolicyVersion {
         self.activated.iter().rev().nth(1).copied().unwrap_or(PolicyVersion::INITIAL)
     }
 
-    /// When each version first showed.
-    pub fn first_seen(self, sightings: &[Sighting], clock_tolerance: Duration) -> Timeline {
+    /// Determines when each activation was first observed, and returns the timeline.
+    pub fn into_timeline(self, observations: &[Observation], clock_tolerance: Duration) -> Timeline {
         let mut first_seen = vec![None; self.activated.len()];
         for position in 1..self.activated.len() {
-            let window = SightingWindow::of(&self.activated, &first_seen, position, clock_tolerance);
-            let fitting = sightings.iter().filter(|sighting| window.contains(sighting));
-            first_seen[position] = fitting.map(|sighting| sighting.seen_at).min();
+            let window = ObservationWindow::of(&self.activated, &first_seen, position, clock_tolerance);
+            let fitting = observations.iter().filter(|observation| window.contains(observation));
+            first_seen[position] = fitting.map(|observation| observation.seen_at).min();
         }
         Timeline { activated: self.activated, first_seen, clock_tolerance }
     }
 }
 
-/// Which sightings can be of one activation of a version, which may have been in force before.
-struct SightingWindow {
+/// Selects the observations that can belong to one particular activation of a version. The same version may
+/// have been in force before.
+struct ObservationWindow {
     version: PolicyVersion,
-    /// If it was in force before, it was replaced by then: only what was sent later counts.
+    /// The time by which the earlier activation had been replaced: only requests that were sent later belong
+    /// to this activation. `None` if the version was not in force before, or if its replacement was not
+    /// observed.
     sent_after: Option<Instant>,
-    /// If it was in force before, all activations since were seen by then.
+    /// The time by which all earlier activations had been observed: only later observations belong to this
+    /// activation. `None` if the version was not in force before.
     seen_after: Option<Instant>,
 }
 
-impl SightingWindow {
+impl ObservationWindow {
     fn of(
         activated: &[PolicyVersion],
         first_seen: &[Option<Instant>],
@@ -103,49 +108,51 @@
         }
     }
 
-    fn contains(&self, sighting: &Sighting) -> bool {
-        sighting.version == self.version
-            && self.sent_after.is_none_or(|earliest| sighting.sent_at > earliest)
-            && self.seen_after.is_none_or(|earliest| sighting.seen_at > earliest)
+    fn contains(&self, observation: &Observation) -> bool {
+        observation.version == self.version
+            && self.sent_after.is_none_or(|earliest| observation.sent_at > earliest)
+            && self.seen_after.is_none_or(|earliest| observation.seen_at > earliest)
     }
 }
 
-/// The activations of a run, in order, with when each was first seen.
+/// The activations of a run in order, and when each was first observed.
 pub struct Timeline {
-    /// The activated versions, from the initial one on.
+    /// The activated versions, starting with the initial version.
     pub activated: Vec<PolicyVersion>,
-    /// When each first showed; none for the initial one, and for one that no request showed.
+    /// When each activation was first observed. `None` for the initial version, and for activations that were
+    /// never observed.
     pub first_seen: Vec<Option<Instant>>,
+    /// The maximum difference between the clocks of two routers.
     clock_tolerance: Duration,
 }
 
 impl Timeline {
-    /// The positions at which a version was activated.
+    /// Returns the positions in the timeline at which a version was activated.
     pub fn positions_of(&self, version: PolicyVersion) -> impl Iterator<Item = usize> {
         let activated = self.activated.iter().enumerate();
-        activated.filter(move |(_, of)| **of == version).map(|(position, _)| position)
+        activated.filter(move |(_, activated)| **activated == version).map(|(position, _)| position)
     }
 
-    /// Whether a request may have been decided by the version activated at this position.
-    pub fn fits(&self, position: usize, sighting: &Sighting) -> bool {
-        let has_begun = self.first_seen[position].is_none_or(|first| sighting.seen_at >= first);
-        has_begun && self.ended_by(position).is_none_or(|end| sighting.sent_at <= end)
+    /// Returns whether an observed request can have been decided by the version activated at this position.
+    pub fn fits(&self, position: usize, observation: &Observation) -> bool {
+        let has_begun = self.first_seen[position].is_none_or(|first| observation.seen_at >= first);
+        has_begun && self.ended_by(position).is_none_or(|end| observation.sent_at <= end)
     }
 
-    /// By when a router had to have replaced the version activated at this position; none where no later one
-    /// showed.
+    /// Returns the time by which every router must have replaced the version activated at this position.
+    /// `None` if no later activation was observed.
     pub fn ended_by(&self, position: usize) -> Option<Instant> {
         let replaced_at = self.first_seen[position + 1..].iter().flatten().min();
         replaced_at.map(|at| *at + self.clock_tolerance)
     }
 
-    /// When the version's first activation was first seen.
+    /// Returns when the first activation of a version was first observed.
     pub fn first_activation_of(&self, version: PolicyVersion) -> Option<Instant> {
         self.positions_of(version).next().and_then(|position| self.first_seen[position])
     }
 
-    /// The longest time from the first request under a version that was reverted to the first under the one
-    /// before.
+    /// Returns the longest time from the first observation of a version that was later reverted to the first
+    /// observation of the restored version.
     pub fn longest_revert(&self) -> Option<Duration> {
         let is_revert = |position: &usize| {
             let version = self.activated[*position];
--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -1,12 +1,12 @@
-//! Several routers of one fleet as processes, with faults between them and policy changes under way. Each
-//! policy version shows at clients and endpoints: by the Retry-After of rejections, and by the copy age that
-//! attempts accept. So every response tells which version decided its request, and nothing that a router
-//! states is trusted.
+//! The policy experiment: runs several routers of one fleet as processes, and changes the policy while faults
+//! are injected. Clients and endpoints can observe which policy version decided a request: rejections state
+//! the version's Retry-After, and attempts state the copy age that the version accepts. The audit therefore
+//! does not rely on what routers report about themselves.
 
 mod audit;
 mod history;
+mod observations;
 mod proposals;
-mod sightings;
 mod traffic;
 mod version;
 
@@ -24,14 +24,16 @@
 use proposals::{Proposal, Proposer};
 use traffic::{Client, Traffic};
 
-/// Faults that only this experiment injects.
+/// Names of the faults that only this experiment injects.
 pub const FAULTS: &[&str] = &["torn", "proposers", "drain", "purge", "badchange", "strand"];
 
-/// Checks that the experiment can disable.
+/// Names of the safety checks that this experiment can disable.
 const CHECKS: &[&str] = &["lease", "staged", "compare", "incarnation", "pinned", "synced"];
 
+/// The number of stand-in endpoints.
 const ENDPOINTS: usize = 4;
 
+/// The number of clients of each router.
 const CLIENTS_PER_ROUTER: usize = 2;
 
 /// Runs the experiment.
@@ -59,12 +61,12 @@
     Ok(figures)
 }
 
-/// Proposes changes and injects faults until the plan's time is over.
+/// Proposes changes and injects faults until the plan's time is over. Returns the proposals.
 fn propose_under_faults(cluster: &Arc<Cluster>) -> Vec<Proposal> {
-    let faulty = Arc::clone(cluster);
-    let faults = thread::spawn(move || FaultInjector::new(&faulty).run());
+    let injected_cluster = Arc::clone(cluster);
+    let faults = thread::spawn(move || FaultInjector::new(&injected_cluster).run());
     let proposals = Proposer::new(cluster).run();
     cluster.faults_finished.store(true, Ordering::SeqCst);
-    faults.join().expect("faults end");
+    faults.join().expect("the fault injector does not panic");
     proposals
 }
--- a/crates/testbed/src/policy/sightings.rs
+++ b/crates/testbed/src/policy/observations.rs
@@ -1,4 +1,4 @@
-//! Where a policy version showed: in a rejection at a client, or in an attempt at an endpoint.
+//! Observations of policy versions: from a rejection at a client, or from an attempt at an endpoint.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -6,50 +6,51 @@
 use super::traffic::ObservedRequest;
 use super::version::PolicyVersion;
 
-/// The copy ages that the attempts of each request accepted, by correlation id.
+/// The copy ages that the attempts of each request accepted, in milliseconds, and when; by correlation id.
 type AcceptedAges = HashMap<String, Vec<(Instant, u64)>>;
 
-/// A request that showed a version. The version was chosen between the two times.
-pub struct Sighting {
+/// An observation that a router decided a request by a version. The router decided between `sent_at` and
+/// `seen_at`.
+pub struct Observation {
     /// The index of the router.
     pub router: usize,
-    /// The version that showed first.
+    /// The version that was observed first.
     pub version: PolicyVersion,
     /// When the request was sent.
     pub sent_at: Instant,
-    /// When the version showed.
+    /// When the version was observed.
     pub seen_at: Instant,
-    /// When the router had last stated after a connect that it is healthy.
+    /// When the router last reported itself healthy after the client had connected.
     pub healthy_since: Option<Instant>,
 }
 
-/// What requests showed of versions.
+/// The observations from all requests.
 #[derive(Default)]
-pub struct Sightings {
-    /// One for each request that showed a version.
-    pub first: Vec<Sighting>,
-    /// Requests that showed more than one version.
-    pub of_mixed_versions: u64,
-    /// Attempts that accepted an age that is no version's.
+pub struct Observations {
+    /// The first observation of each request for which a version was observed.
+    pub first: Vec<Observation>,
+    /// Requests for which more than one version was observed.
+    pub mixed_version_requests: u64,
+    /// Attempts that accepted a copy age of no version.
     pub unknown_ages: u64,
 }
 
-/// A version, and when it showed.
+/// A version, and when it was observed.
 struct SeenVersion {
     version: PolicyVersion,
     at: Instant,
 }
 
-impl Sightings {
-    /// What these requests showed.
+impl Observations {
+    /// Collects the observations from these requests.
     pub fn of(requests: &[ObservedRequest], ages: &AcceptedAges) -> Self {
-        let mut sightings = Self::default();
+        let mut observations = Self::default();
         for request in requests {
-            let seen = sightings.seen_versions(request, ages);
+            let seen = observations.seen_versions(request, ages);
             let Some(first) = seen.first() else { continue };
             let is_mixed = seen.iter().any(|seen| seen.version != first.version);
-            sightings.of_mixed_versions += u64::from(is_mixed);
-            sightings.first.push(Sighting {
+            observations.mixed_version_requests += u64::from(is_mixed);
+            observations.first.push(Observation {
                 router: request.router,
                 version: first.version,
                 sent_at: request.sent_at,
@@ -57,16 +58,18 @@
                 healthy_since: request.healthy_since,
             });
         }
-        sightings
+        observations
     }
 
-    /// All versions that a request showed: its attempts first.
+    /// Returns all versions that were observed for a request: first those from its attempts, then the one
+    /// from its rejection.
     fn seen_versions(&mut self, request: &ObservedRequest, ages: &AcceptedAges) -> Vec<SeenVersion> {
         let mut seen = Vec::new();
         for (at, age) in ages.get(&request.correlation_id).into_iter().flatten() {
             match PolicyVersion::of_accepted_age(*age) {
                 Some(version) => seen.push(SeenVersion { version, at: *at }),
-                // Of what was purged just now no version's age is accepted: that attempt shows none.
+                // For a recently purged object, attempts accept an age that belongs to no version, so no
+                // version can be observed.
                 None => self.unknown_ages += 1,
             }
         }
--- a/crates/testbed/src/policy/proposals.rs
+++ b/crates/testbed/src/policy/proposals.rs
@@ -1,5 +1,5 @@
-//! Proposes policy changes: some from an old generation, some that routers must refuse, some that make
-//! requests fail.
+//! Proposes policy changes. Depending on the faults, some are derived from an old generation, some must be
+//! rejected by routers, and some make requests fail.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -11,30 +11,33 @@
 use super::version::PolicyVersion;
 use crate::cluster::{Cluster, isolate};
 
-/// How often the outcomes of proposals are asked for.
+/// The interval at which the outcomes of proposals are polled.
 const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a router is chosen anew while none can be stranded.
+/// The pause before another router is chosen if the chosen one cannot be stranded.
 const STRAND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A change as its proposer knows of it.
+/// A policy change, as recorded by its proposer.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     /// The proposed version.
     pub version: PolicyVersion,
     /// When it was proposed.
     pub proposed_at: Instant,
+    /// The token that identifies the proposal.
     token: u64,
+    /// Whether the outcome is known.
     has_ended: bool,
 }
 
-/// What a proposal does beside stating its version.
+/// The effect of a proposal, besides setting its version.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Effect {
     Harmless,
-    /// Some router must refuse it, as more requests are in flight there.
-    Refused,
-    /// The requests of one location fail under it.
+    /// At least one router must reject the proposal, because more requests are in flight there than the
+    /// proposal allows.
+    Rejected,
+    /// Requests of one location fail while the version is in force.
     FailsRequests,
 }
 
@@ -44,12 +47,12 @@
     random: Pcg64Mcg,
     end: Instant,
     proposals: Vec<Proposal>,
-    /// The first generation that was seen in force.
+    /// The first generation that was observed in force.
     oldest_generation: Option<u64>,
 }
 
 impl<'a> Proposer<'a> {
-    /// A proposer whose time begins now.
+    /// Creates a proposer that proposes changes for the plan's time from now on.
     pub fn new(cluster: &'a Cluster) -> Self {
         Self {
             cluster,
@@ -60,10 +63,10 @@
         }
     }
 
-    /// Proposes changes until the time is over; returns those that routers accepted as proposals.
+    /// Proposes changes until the time is over. Returns the changes that routers accepted as proposals.
     pub fn run(mut self) -> Vec<Proposal> {
         while Instant::now() < self.end {
-            let stranded = self.strand_sometimes();
+            let stranded = self.maybe_strand_router();
             self.propose_round(stranded);
             self.await_next_round(stranded.is_some());
             if stranded.is_some() {
@@ -73,24 +76,24 @@
         self.proposals
     }
 
-    /// Isolates a router where that fault is injected. Among other faults it is not done each time, as it
-    /// waits until a change is possible.
-    fn strand_sometimes(&mut self) -> Option<usize> {
+    /// Isolates a router if the fault `strand` is injected, and returns its index. If other faults are
+    /// injected as well, this is done only in some rounds, because it waits until a change is possible.
+    fn maybe_strand_router(&mut self) -> Option<usize> {
         let cluster = self.cluster;
         let strands =
             cluster.has_fault("strand") && (cluster.faults.len() == 1 || self.random.random_bool(0.3));
-        if strands { self.strand() } else { None }
+        if strands { self.strand_router() } else { None }
     }
 
-    /// Isolates a router that does not lead, while nothing stands in the way of the next change; returns its
-    /// index.
-    fn strand(&mut self) -> Option<usize> {
+    /// Waits until no change is pending or on probation, isolates a router that is not the leader, and
+    /// returns its index. Returns `None` if the time is over before that.
+    fn strand_router(&mut self) -> Option<usize> {
         while Instant::now() < self.end {
             let router = self.random.random_range(0..self.cluster.nodes.len());
             let status = self.cluster.control(router, &json!("status")).unwrap_or_default();
             let leader = &status["leader"];
-            let is_free = status["under_way"].is_null() && status["on_probation"].is_null();
-            if is_free && leader.is_string() && *leader != json!(self.cluster.peer_address(router)) {
+            let can_change = status["under_way"].is_null() && status["on_probation"].is_null();
+            if can_change && leader.is_string() && *leader != json!(self.cluster.peer_address(router)) {
                 isolate(self.cluster, router);
                 return Some(router);
             }
@@ -99,8 +102,8 @@
         None
     }
 
-    /// Proposes one change, or two that compete. Sometimes they are derived from a generation that was in
-    /// force some time ago.
+    /// Proposes one change, or two competing changes if the fault `proposers` is injected. Competing changes
+    /// are sometimes derived from a generation that is no longer in force.
     fn propose_round(&mut self, stranded: Option<usize>) {
         let competes = self.cluster.has_fault("proposers");
         let proposers = if competes { 2 } else { 1 };
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Draws the router to propose at; never the stranded one.
+    /// Draws the router at which to propose a change; never the stranded router.
     fn draw_router(&mut self, stranded: Option<usize>) -> usize {
         let routers = self.cluster.nodes.len();
         (self.random.random_range(1..routers.max(2)) + stranded.unwrap_or(0)) % routers
@@ -144,7 +147,7 @@
             return Effect::Harmless;
         }
         if self.random.random_bool(0.2) {
-            return Effect::Refused;
+            return Effect::Rejected;
         }
         if self.random.random_bool(0.25) {
             return Effect::FailsRequests;
@@ -152,7 +155,7 @@
         Effect::Harmless
     }
 
-    /// Polls outcomes until the next round. After a router was stranded that takes longer than its lease.
+    /// Polls outcomes until the next round. If a router is stranded, waits for longer than its lease.
     fn await_next_round(&mut self, has_stranded: bool) {
         let mut next = Instant::now() + Duration::from_millis(self.random.random_range(1500..4500));
         if has_stranded {
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Asks about the proposals that are not known to have ended.
+    /// Queries the outcomes of the proposals that are not known to have ended.
     fn poll_outcomes(&mut self) {
         let cluster = self.cluster;
         let Some(router) = (0..cluster.nodes.len()).find(|router| cluster.is_running(*router)) else {
@@ -177,12 +180,13 @@
     }
 }
 
+/// Returns the settings that a proposal changes.
 fn changes(version: PolicyVersion, effect: Effect) -> Value {
     let mut changes = json!({
         "offering.pages.fresh_ms": version.fresh_ms(),
         "longest_come_back_ms": version.max_retry_after_ms(),
     });
-    if effect == Effect::Refused {
+    if effect == Effect::Rejected {
         changes["limit.open_views"] = json!(1);
     }
     changes
--- a/crates/testbed/src/policy/traffic.rs
+++ b/crates/testbed/src/policy/traffic.rs
@@ -1,4 +1,4 @@
-//! The clients of the experiment, and what they observe.
+//! The clients of the experiment and their observations.
 
 use std::sync::Mutex;
 use std::sync::atomic::Ordering;
@@ -13,26 +13,27 @@
 use crate::figures::Figures;
 use crate::stand_in::Reply;
 
-/// Pause between requests beyond the plan's: a request now and then still shows which version is in force.
+/// The pause between requests after the planned number of requests has been sent. Occasional requests still
+/// show which version is in force.
 const PAUSE_BEYOND_PLAN: Duration = Duration::from_millis(50);
 
-/// What a client observed of one request.
+/// A client's observation of one request.
 pub struct ObservedRequest {
-    /// The index of the router it was sent to.
+    /// The index of the router to which the request was sent.
     pub router: usize,
-    /// Its correlation id, which endpoints see as well.
+    /// The correlation id, which endpoints receive as well.
     pub correlation_id: String,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Instant,
-    /// When it was answered.
+    /// When the request was answered.
     pub answered_at: Instant,
-    /// The Retry-After, where it was rejected.
+    /// The Retry-After, in milliseconds. `None` unless the request was rejected with a Retry-After.
     pub retry_after_ms: Option<u64>,
-    /// When the router had last stated after a connect that it is healthy.
+    /// When the router last reported itself healthy after the client had connected.
     pub healthy_since: Option<Instant>,
 }
 
-/// What all clients observed.
+/// The observations of all clients.
 #[derive(Default)]
 pub struct Traffic {
     /// The counts that all experiments share.
@@ -41,14 +42,14 @@
     pub observed: Vec<ObservedRequest>,
     /// Rejections by routers without a lease.
     pub rejected_without_lease: u64,
-    /// Requests that were lost with their router.
+    /// Requests that were not sent, or whose router was killed or stopped before it answered.
     pub lost_with_router: u64,
-    /// Latencies of requests that endpoints don't fail, in microseconds.
+    /// Latencies of the requests that endpoints do not fail on purpose, in microseconds.
     pub latencies_us: Vec<u64>,
 }
 
 impl Traffic {
-    /// Counts a reply; returns its Retry-After, where it is a rejection.
+    /// Counts a reply. Returns its Retry-After, in milliseconds, if the reply is a rejection that states one.
     fn count_reply(&mut self, reply: Reply) -> Option<u64> {
         match reply {
             Reply::Served { .. } => self.figures.done += 1,
@@ -64,11 +65,11 @@
     }
 }
 
-/// A request that is drawn.
+/// A randomly drawn request.
 struct Request {
     object: String,
     correlation_id: String,
-    /// Whether endpoints fail it.
+    /// Whether endpoints fail the request on purpose.
     fails: bool,
 }
 
@@ -95,7 +96,7 @@
 }
 
 impl<'a> Client<'a> {
-    /// The client with this index; clients take the routers in turn.
+    /// Creates the client with this index. Clients are assigned to the routers in turn.
     pub fn new(cluster: &'a Cluster, traffic: &'a Mutex<Traffic>, index: usize) -> Self {
         let router = index % cluster.nodes.len();
         let seed = cluster.plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add(index as u64);
@@ -131,7 +132,7 @@
         Request { object, correlation_id, fails: kind <= 1 }
     }
 
-    /// Records the result; returns whether there was an answer.
+    /// Records the result of a request. Returns whether the request was answered.
     fn record(&self, request: Request, result: CallResult, answered_at: Instant) -> bool {
         let mut traffic = self.traffic.lock().unwrap();
         traffic.figures.requests += 1;
