--- a/crates/testbed/src/budgets/audit.rs
+++ b/crates/testbed/src/budgets/audit.rs
@@ -1,5 +1,5 @@
-//! Audits the budget experiment, from what endpoints and clients saw and from the grants that passed between
-//! routers.
+//! Audits the budget experiment by what endpoints and clients observed, and by the grants that were sent
+//! between routers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,58 +16,64 @@
 use crate::figures::Figures;
 use crate::fleet::SharedUse;
 
-/// Attempts of one request, at most.
+/// The maximum number of attempts per request.
 const ATTEMPT_LIMIT: u64 = 8;
 
 /// The number of budgets that are audited.
 const BUDGETS: usize = 5;
 
-/// In a quiet period of this length, a router with much demand is granted something.
+/// The time in the quiet period, in seconds, within which a router with much demand must be granted a fill.
 const STARVATION_PERIOD_S: u64 = 2;
 
-/// As many fills demanded in such a period are much demand.
-const MUCH_DEMAND: u64 = 10;
+/// The minimum number of fills that a router must demand in such a period to be considered starved.
+const STARVATION_DEMAND: u64 = 10;
 
-/// After most routers were killed: the others use the budget again once fills in a window of this length are
-/// so much of what the rate allows.
+/// The window in which fills are counted after most routers were killed. The remaining routers have recovered
+/// once the fills in a window reach [`RECOVERED_FRACTION`] of what the rate allows.
 const RECOVERY_WINDOW: Duration = Duration::from_millis(500);
-const RECOVERED_PART: f64 = 0.85;
+/// The fraction of the allowed fills in a window from which on the fleet has recovered.
+const RECOVERED_FRACTION: f64 = 0.85;
 
-/// How far apart the windows start, and how many there are.
+/// The time between the starts of consecutive windows.
 const RECOVERY_STEP: Duration = Duration::from_millis(100);
+/// The exclusive upper bound of the number of windows.
 const RECOVERY_STEPS: u32 = 100;
 
-/// What a run left for its audit.
+/// The evidence from a run for its audit.
 pub struct Evidence {
-    /// What clients observed.
+    /// The observations of the clients.
     pub traffic: Traffic,
-    /// The activated rates of fills.
+    /// The activated fill rates.
     pub rates: RateHistory,
-    /// How far a spending and its arrival at an endpoint may lie apart, in seconds.
+    /// The maximum time from a router spending from a budget until the endpoint observes it, in seconds.
     pub tolerance_s: f64,
-    /// When clients started.
+    /// When the clients started.
     pub started_at: Instant,
-    /// When no more faults were injected.
+    /// The period after the end of fault injection.
     pub quiet_period: QuietPeriod,
-    /// Waits for the fleet to settle that failed.
+    /// The number of times that the fleet did not settle in time.
     pub unsettled: u64,
-    /// How long it took from the bootstrap until all routers were healthy.
+    /// The time from the bootstrap until all routers were healthy.
     pub time_to_healthy: Duration,
 }
 
-/// What an audit found of each budget.
+/// The findings of an audit, by budget.
 struct Findings {
     fills: RateAudit,
     retries: RateAudit,
     requests: RateAudit,
     connections: RateAudit,
+    /// The most fills that were in flight at a time.
     peak_fills_in_flight: i64,
+    /// The number of fills by which that peak exceeded the limit.
     fills_in_flight_over: u64,
+    /// Grants that exceeded the grantable quota.
     grant_violations: u64,
-    peak_granted_part: f64,
+    /// The largest fraction of the grantable quota that was outstanding.
+    peak_granted_fraction: f64,
 }
 
-/// Audits a run.
+/// Audits a run and returns its report.
 pub fn audit(cluster: &Cluster, mut evidence: Evidence) -> Figures {
     let shared = cluster.fleet.lock().unwrap().shared_use();
     let mut figures = std::mem::take(&mut evidence.traffic.figures);
@@ -91,8 +97,8 @@
         };
         let fill_starts = since_start(&fill_starts(shared));
         let rate_at = |at| rates.at(at);
-        let of_endpoints = shared.connections.values();
-        let connections = of_endpoints
+        let connection_times = shared.connections.values();
+        let connections = connection_times
             .map(|times| RateAudit::of(&since_start(times), limits.connections, tolerance_s))
             .fold(RateAudit::default(), RateAudit::plus);
         let peak_fills_in_flight = peak_fills_in_flight(shared);
@@ -107,43 +113,44 @@
             peak_fills_in_flight,
             fills_in_flight_over,
             grant_violations: grants.violations,
-            peak_granted_part: grants.peak_part,
+            peak_granted_fraction: grants.peak_fraction,
         }
     }
 
-    /// All spending and grants beyond a limit.
+    /// Returns the number of all violations by spending and by grants.
     fn violations(&self) -> u64 {
-        let of_rates = [self.fills, self.retries, self.requests, self.connections];
-        let of_rates: u64 = of_rates.iter().map(|audit| audit.violations).sum();
-        of_rates + self.fills_in_flight_over + self.grant_violations
+        let rate_audits = [self.fills, self.retries, self.requests, self.connections];
+        let rate_violations: u64 = rate_audits.iter().map(|audit| audit.violations).sum();
+        rate_violations + self.fills_in_flight_over + self.grant_violations
     }
 
     fn report(&self) -> Vec<(&'static str, Value)> {
-        let other_peaks = [self.retries.peak_part, self.requests.peak_part, self.connections.peak_part];
+        let other_peaks =
+            [self.retries.peak_fraction, self.requests.peak_fraction, self.connections.peak_fraction];
         vec![
             ("budgets", json!(BUDGETS)),
             ("windows_over", json!(self.violations())),
             ("fills_over", json!(self.fills.violations)),
             ("granted_over", json!(self.grant_violations)),
-            ("most_granted", json!(self.peak_granted_part)),
+            ("most_granted", json!(self.peak_granted_fraction)),
             ("in_hand_over", json!(self.fills_in_flight_over)),
             ("further_over", json!(self.retries.violations)),
             ("requests_over", json!(self.requests.violations)),
             ("connections_over", json!(self.connections.violations)),
-            ("most_of_whole", json!(self.fills.peak_part)),
+            ("most_of_whole", json!(self.fills.peak_fraction)),
             ("most_of_others", json!(other_peaks)),
             ("most_in_hand", json!(self.peak_fills_in_flight)),
         ]
     }
 }
 
-/// Figures of the run itself, by their keys.
+/// Returns the figures of the run itself, by their keys.
 fn report_run(cluster: &Cluster, evidence: &Evidence) -> Vec<(&'static str, Value)> {
     let (messages, bytes) = cluster.relay.carried();
     vec![
         ("routers", json!(cluster.plan.routers)),
         ("slack_s", json!(evidence.tolerance_s)),
-        ("lowered", json!(evidence.rates.changes())),
+        ("lowered", json!(evidence.rates.change_count())),
         ("stuck", json!(evidence.unsettled)),
         ("lost_with_router", json!(evidence.traffic.lost_with_router)),
         ("ready_ms", json!(evidence.time_to_healthy.as_millis() as u64)),
@@ -152,14 +159,14 @@
     ]
 }
 
-/// Figures of how well the budgets were used, by their keys.
+/// Returns the figures of how well the fill budget was used, by their keys.
 fn report_use(cluster: &Cluster, shared: &SharedUse, evidence: &Evidence) -> Vec<(&'static str, Value)> {
     let fill_starts = fill_starts(shared);
     let starved = starved_periods(&evidence.traffic.demanded_fills, evidence.quiet_period);
     let recoveries = recoveries_ms(cluster, &fill_starts, evidence);
-    let percentile = |part: f64| recoveries.get((part * recoveries.len() as f64) as usize).copied();
+    let percentile = |fraction: f64| recoveries.get((fraction * recoveries.len() as f64) as usize).copied();
     vec![
-        ("used_of_whole", json!(used_part(&fill_starts, evidence.quiet_period))),
+        ("used_of_whole", json!(used_fraction(&fill_starts, evidence.quiet_period))),
         ("starved", json!(starved)),
         ("regrant_ms_p50", json!(percentile(0.5))),
         ("regrant_ms_p99", json!(percentile(0.99))),
@@ -172,10 +179,10 @@
     shared.fills.iter().map(|fill| fill.began).collect()
 }
 
-/// The most fills that had begun and had not ended.
+/// Returns the most fills that were in flight at a time.
 fn peak_fills_in_flight(shared: &SharedUse) -> i64 {
-    let edges_of_fills = shared.fills.iter().flat_map(|fill| [(fill.began, 1), (fill.ended, -1)]);
-    let mut edges: Vec<(Instant, i64)> = edges_of_fills.collect();
+    let fill_edges = shared.fills.iter().flat_map(|fill| [(fill.began, 1), (fill.ended, -1)]);
+    let mut edges: Vec<(Instant, i64)> = fill_edges.collect();
     edges.sort_unstable();
     let (mut in_flight, mut peak) = (0, 0);
     for (_, change) in edges {
@@ -185,22 +192,22 @@
     peak
 }
 
-/// How much of what the rate allows was filled in the quiet period.
-fn used_part(fill_starts: &[Instant], quiet_period: QuietPeriod) -> f64 {
+/// Returns the fraction of the allowed fills that were started in the quiet period.
+fn used_fraction(fill_starts: &[Instant], quiet_period: QuietPeriod) -> f64 {
     let QuietPeriod { start, end, fills_per_second } = quiet_period;
     let used = fill_starts.iter().filter(|at| (start..end).contains(*at)).count() as f64;
     let allowed = fills_per_second * (end - start).as_secs_f64();
     used / allowed.max(1.0)
 }
 
-/// The fills that clients of one router demanded in a part of the quiet period.
+/// The fills that clients of one router demanded in one starvation period of the quiet period.
 #[derive(Default)]
 struct PeriodDemand {
     demanded: u64,
     served: u64,
 }
 
-/// Counts the parts of the quiet period in which a router with much demand was granted nothing.
+/// Counts the starvation periods in which a router with much demand was not granted any fill.
 fn starved_periods(demanded_fills: &[DemandedFill], quiet_period: QuietPeriod) -> usize {
     let mut periods: HashMap<(usize, u64), PeriodDemand> = HashMap::new();
     for fill in demanded_fills.iter().filter(|fill| fill.sent_at >= quiet_period.start) {
@@ -209,21 +216,22 @@
         period.demanded += 1;
         period.served += u64::from(fill.served);
     }
-    let is_starved = |period: &&PeriodDemand| period.demanded >= MUCH_DEMAND && period.served == 0;
+    let is_starved = |period: &&PeriodDemand| period.demanded >= STARVATION_DEMAND && period.served == 0;
     periods.values().filter(is_starved).count()
 }
 
-/// Each time that most routers were killed: how long it took until the others used the budget again. Sorted.
+/// Returns how long it took the remaining routers to use the budget again each time that most routers were
+/// killed, in milliseconds and sorted. Times without a recovery are left out.
 fn recoveries_ms(cluster: &Cluster, fill_starts: &[Instant], evidence: &Evidence) -> Vec<u64> {
-    let is_used = |start: Instant| {
+    let has_recovered = |start: Instant| {
         let end = start + RECOVERY_WINDOW;
         let filled = fill_starts.iter().filter(|at| (start..end).contains(*at)).count() as f64;
         let allowed = RECOVERY_WINDOW.as_secs_f64() * evidence.rates.at(start);
-        end < evidence.quiet_period.end && filled >= RECOVERED_PART * allowed
+        end < evidence.quiet_period.end && filled >= RECOVERED_FRACTION * allowed
     };
     let recovery = |killed_at: Instant| {
         let mut steps = (1..RECOVERY_STEPS).map(|step| RECOVERY_STEP * step);
-        let recovery = steps.find(|elapsed| is_used(killed_at + *elapsed))?;
+        let recovery = steps.find(|elapsed| has_recovered(killed_at + *elapsed))?;
         Some(recovery.as_millis() as u64)
     };
     let injected = cluster.injected.lock().unwrap().clone();
--- a/crates/testbed/src/budgets/grants.rs
+++ b/crates/testbed/src/budgets/grants.rs
@@ -1,34 +1,36 @@
-//! Audits the grants of fills that pass between routers. Messages are read by the testbed's own account of
-//! their encoding, which is by position.
+//! Audits the grants of fills that are sent between routers. The messages are decoded by the testbed's own
+//! definition of their encoding, which is positional.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use serde::Deserialize;
 
-use super::limits::{GUARANTEED_PART, Limits};
+use super::limits::{GUARANTEED_FRACTION, Limits};
 use super::rates::RateHistory;
 use crate::relay::RecordedMessage;
 
-/// Amounts are in thousandths of a unit.
-const UNIT: f64 = 1000.0;
+/// The number of thousandths in a unit; the amounts in messages are in thousandths.
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
-/// What is guaranteed to each router of a burst, in units.
+/// The burst that is guaranteed to each router, in units.
 const GUARANTEED_BURST: f64 = 1.0;
 
-/// Guaranteed minimums are rounded down to thousandths, so that a little more may be granted beside them.
-const ROUNDING: f64 = 1e-3;
+/// The fraction by which grants may exceed the grantable quota. Guaranteed minimums are rounded down to
+/// thousandths, so slightly more can be granted besides them.
+const ROUNDING_TOLERANCE: f64 = 1e-3;
 
-/// A message's kind, by its number in the encoding.
+/// The number of a quota request in the encoding of the message kind.
 const QUOTA_REQUEST: u32 = 3;
+/// The number of a quota grant in the encoding of the message kind.
 const QUOTA_GRANT: u32 = 4;
 
-/// The key of the fleet's fills by the origin.
+/// The budget key of the fleet's fills by the origin.
 const ORIGIN_FILLS: BudgetKey = BudgetKey { budget: 1, scope: 0 };
 
-/// What each message begins with.
+/// The header of each message.
 #[derive(Deserialize)]
-#[expect(dead_code, reason = "the encoding has all fields, by position")]
+#[expect(dead_code, reason = "the encoding is positional and has all fields")]
 struct Header {
     fleet: String,
     incarnation: u64,
@@ -42,7 +44,7 @@
     scope: u64,
 }
 
-/// Thousandths of a unit: each second, and at once.
+/// A quota: the rate in thousandths of a unit per second, and the burst in thousandths of a unit.
 #[derive(Clone, Copy, Default, Deserialize)]
 struct Quota {
     rate: u64,
@@ -55,18 +57,18 @@
     }
 }
 
-/// What is granted of one key.
+/// The quota that is granted for one budget key.
 #[derive(Clone, Copy, Deserialize)]
 struct Granted {
     key: BudgetKey,
     quota: Quota,
-    /// How long it may be spent, from the request on.
+    /// How long the quota may be spent, in microseconds from the request on.
     duration_us: u64,
 }
 
-/// The answer to a request.
+/// The answer to a quota request.
 #[derive(Deserialize)]
-#[expect(dead_code, reason = "the encoding has all fields, by position")]
+#[expect(dead_code, reason = "the encoding is positional and has all fields")]
 struct QuotaGrant {
     nonce: u64,
     lender_term: u64,
@@ -80,7 +82,7 @@
 }
 
 impl QuotaMessage {
-    /// Decodes a message; none where it is not about quota.
+    /// Decodes a message. `None` if the message is not about quota or cannot be decoded.
     fn decode(message: &[u8]) -> Option<Self> {
         let (header, body) = postcard::take_from_bytes::<Header>(message).ok()?;
         match header.kind {
@@ -94,41 +96,42 @@
     }
 }
 
-/// A router's latest request.
+/// The latest quota request of a router.
 struct OpenRequest {
     incarnation: u64,
     nonce: u64,
     sent_at: Instant,
 }
 
-/// What an incarnation was granted.
+/// The quota that an incarnation holds.
 struct Holding {
     quota: Quota,
     until: Instant,
 }
 
-/// What an audit of grants found. What the leader keeps for itself passes nobody, and is not seen.
+/// The findings of an audit of grants. Quota that the leader keeps for itself is not sent in any message, so
+/// the audit does not include it.
 pub struct GrantAudit<'a> {
     limits: &'a Limits,
     rates: &'a RateHistory,
-    /// Grants by which more was outstanding than the limit allows beside the guaranteed minimums.
+    /// Grants after which more quota was outstanding than the limit allows besides the guaranteed minimums.
     pub violations: u64,
-    /// The most that was outstanding, as a part of what might be.
-    pub peak_part: f64,
-    /// By the router's name.
+    /// The largest fraction of the grantable quota that was outstanding.
+    pub peak_fraction: f64,
+    /// The latest request of each router, by the router's name.
     requests: HashMap<&'a str, OpenRequest>,
-    /// By incarnation.
+    /// The latest grant to each incarnation.
     holdings: HashMap<u64, Holding>,
 }
 
 impl<'a> GrantAudit<'a> {
-    /// Audits the messages that passed between routers.
+    /// Audits the messages that were sent between routers.
     pub fn of(messages: &'a [RecordedMessage], limits: &'a Limits, rates: &'a RateHistory) -> Self {
         let mut audit = Self {
             limits,
             rates,
             violations: 0,
-            peak_part: 0.0,
+            peak_fraction: 0.0,
             requests: HashMap::new(),
             holdings: HashMap::new(),
         };
@@ -140,7 +143,8 @@
         audit
     }
 
-    /// A request counts from when it arrives at the relay, a grant from when it is forwarded.
+    /// Applies a recorded message. A request takes effect when it arrives at the relay, a grant when the
+    /// relay forwards it.
     fn apply(&mut self, recorded: &'a RecordedMessage) {
         match QuotaMessage::decode(&recorded.message) {
             Some(QuotaMessage::Request { incarnation, nonce }) if !recorded.forwarded => {
@@ -154,7 +158,8 @@
         }
     }
 
-    /// A grant that does not answer the latest request is void.
+    /// Applies a grant to the router that receives it. A grant that does not answer the router's latest
+    /// request is ignored.
     fn apply_grant(&mut self, recorded: &RecordedMessage, grant: &QuotaGrant) {
         let request = self.requests.get(recorded.to.as_str());
         let Some(request) = request.filter(|request| request.nonce == grant.nonce) else { return };
@@ -163,19 +168,19 @@
         let duration = Duration::from_micros(fills.map_or(0, |granted| granted.duration_us));
         let holding = Holding { quota, until: request.sent_at + duration };
         self.holdings.insert(request.incarnation, holding);
-        let part = self.outstanding_part(recorded.at);
-        self.peak_part = self.peak_part.max(part);
-        self.violations += u64::from(part > 1.0 + ROUNDING);
+        let fraction = self.outstanding_fraction(recorded.at);
+        self.peak_fraction = self.peak_fraction.max(fraction);
+        self.violations += u64::from(fraction > 1.0 + ROUNDING_TOLERANCE);
     }
 
-    /// All grants that have not expired, as a part of what may be granted.
-    fn outstanding_part(&self, now: Instant) -> f64 {
+    /// Returns the grants that have not expired, as a fraction of the grantable quota.
+    fn outstanding_fraction(&self, now: Instant) -> f64 {
         let alive = self.holdings.values().filter(|holding| holding.until > now);
         let outstanding = alive.fold(Quota::default(), |sum, holding| sum.plus(holding.quota));
-        let grantable_rate = self.rates.at(now) * (1.0 - GUARANTEED_PART) * UNIT;
+        let grantable_rate = self.rates.at(now) * (1.0 - GUARANTEED_FRACTION) * THOUSANDTHS_PER_UNIT;
         let guaranteed_burst = self.limits.max_routers as f64 * GUARANTEED_BURST;
-        let grantable_burst = (self.limits.fills.burst - guaranteed_burst) * UNIT;
-        let part_of_rate = outstanding.rate as f64 / grantable_rate;
-        part_of_rate.max(outstanding.burst as f64 / grantable_burst)
+        let grantable_burst = (self.limits.fills.burst - guaranteed_burst) * THOUSANDTHS_PER_UNIT;
+        let rate_fraction = outstanding.rate as f64 / grantable_rate;
+        rate_fraction.max(outstanding.burst as f64 / grantable_burst)
     }
 }
--- a/crates/testbed/src/budgets/limits.rs
+++ b/crates/testbed/src/budgets/limits.rs
@@ -1,16 +1,16 @@
-//! The budgets of the experiment.
+//! The limits of the budgets in the experiment.
 
 use serde_json::{Value, json};
 
 use crate::cluster::Plan;
 
-/// The part of each budget that is guaranteed to the routers without a grant.
-pub const GUARANTEED_PART: f64 = 0.05;
+/// The fraction of each budget that is guaranteed to the routers without a grant.
+pub const GUARANTEED_FRACTION: f64 = 0.05;
 
-/// Routers that may belong beyond those that are started.
+/// The number of routers that may join the fleet besides those of the plan.
 const SPARE_ROUTERS: usize = 4;
 
-/// The least burst for each router that may belong.
+/// The minimum burst, in units, for each router that may be in the fleet.
 const MIN_BURST_PER_ROUTER: f64 = 2.0;
 
 /// A rate and its burst.
@@ -18,16 +18,16 @@
 pub struct RateLimit {
     /// Units per second.
     pub per_second: f64,
-    /// Units at once.
+    /// Burst, in units.
     pub burst: f64,
 }
 
-/// The fleet's limits. They are so low that clients demand more even on a slow machine, and so high that a
-/// router whose clients demand little demands less than its quota.
+/// The limits of the fleet. They are low enough that clients demand more even on a slow machine, and high
+/// enough that a router whose clients demand little demands less than its quota.
 pub struct Limits {
-    /// Fills by the origin, as the plan has them. A lowered rate is half of this one.
+    /// Fills by the origin, as in the plan. A lowered rate is half of this rate.
     pub fills: RateLimit,
-    /// Fills by the origin that are in flight.
+    /// The maximum number of fills by the origin in flight.
     pub fills_in_flight: f64,
     /// Retries.
     pub retries: RateLimit,
@@ -35,12 +35,12 @@
     pub requests: RateLimit,
     /// New connections to one endpoint.
     pub connections: RateLimit,
-    /// Routers that may belong.
+    /// The maximum number of routers in the fleet.
     pub max_routers: usize,
 }
 
 impl Limits {
-    /// The limits of a plan.
+    /// Returns the limits of a plan.
     pub fn of(plan: &Plan) -> Self {
         let max_routers = plan.routers + SPARE_ROUTERS;
         let limit = |per_second: f64, burst: f64| RateLimit {
@@ -58,11 +58,11 @@
         }
     }
 
-    /// The policy changes that set them.
+    /// Returns the policy changes that set the limits.
     pub fn policy_changes(&self) -> Value {
         json!({
             "budget.routers_most": self.max_routers,
-            "budget.floor_part": GUARANTEED_PART,
+            "budget.floor_part": GUARANTEED_FRACTION,
             "budget.origin_fills.per_s": self.fills.per_second,
             "budget.origin_fills.burst": self.fills.burst,
             "budget.origin_fills.in_hand": self.fills_in_flight,
--- a/crates/testbed/src/budgets/mod.rs
+++ b/crates/testbed/src/budgets/mod.rs
@@ -1,6 +1,6 @@
-//! Several routers of one fleet as processes that divide the fleet's budgets, with faults between them. What
-//! is counted is what stand-in endpoints saw by their own clock, over every window; nothing that a router
-//! states is trusted.
+//! The budget experiment: runs several routers of one fleet as processes that share the fleet's budgets,
+//! while faults are injected. The audit counts what stand-in endpoints observed by their own clock, over
+//! every time window, and does not excuse a violation by what routers report about themselves.
 
 mod audit;
 mod grants;
@@ -26,39 +26,41 @@
 use rates::{RateChanger, RateHistory};
 use traffic::{Client, Traffic};
 
-/// Faults that only this experiment injects.
+/// Names of the faults that only this experiment injects.
 pub const FAULTS: &[&str] = &["join", "lower", "shift"];
 
-/// Checks that the experiment can disable.
+/// Names of the safety checks that this experiment can disable.
 const CHECKS: &[&str] = &["lapse", "epoch", "returned", "burst", "wakes", "floor"];
 
+/// The number of stand-in endpoints.
 const ENDPOINTS: usize = 4;
 
-/// Clients of each router: together they demand more than a budget's total.
+/// The number of clients of each router. All clients together demand more than the total of each budget.
 const CLIENTS_PER_ROUTER: usize = 6;
 
-/// How far a spending and its arrival at an endpoint may lie apart, in seconds. What a busy machine adds to
-/// it is measured: by how much a thread that sleeps oversleeps.
+/// The maximum time from a router spending from a budget until the endpoint observes it, on an idle machine,
+/// in seconds. The delay that a busy machine adds is measured during the run, by how much a sleeping thread
+/// oversleeps.
 const ARRIVAL_TOLERANCE_S: f64 = 0.15;
 
-/// How long the measuring thread sleeps at a time.
+/// The duration of each sleep of the thread that measures oversleeping.
 const SLEEP_SAMPLE: Duration = Duration::from_millis(5);
 
-/// How long the fleet is left undisturbed at the end, while its use of the budget is counted.
+/// How long the fleet is left undisturbed at the end, while its use of the fill budget is measured.
 const QUIET_PERIOD: Duration = Duration::from_millis(7000);
 
-/// How long the proposed budgets may take to be in force everywhere.
+/// The time within which the proposed budgets must be in force at all routers.
 const ACTIVATION_LIMIT: Duration = Duration::from_secs(60);
 
-/// The generation by which the budgets are in force.
+/// The generation of the policy that sets the budgets.
 const BUDGET_GENERATION: u64 = 2;
 
-/// A part of a run in which no faults are injected.
+/// A period of a run in which no faults are injected.
 #[derive(Clone, Copy)]
 struct QuietPeriod {
     start: Instant,
     end: Instant,
-    /// The fills per second in force.
+    /// The fill rate in force, in fills per second.
     fills_per_second: f64,
 }
 
@@ -87,7 +89,7 @@
     let tolerance_s = ARRIVAL_TOLERANCE_S + oversleep.join().unwrap_or_default();
     let mut traffic = std::mem::take(&mut *traffic.lock().unwrap());
     traffic.demanded_fills.retain(|fill| !inactive.contains(&fill.router));
-    let rates = RateHistory::ask(&cluster, &changes);
+    let rates = RateHistory::fetch(&cluster, &changes);
     let evidence =
         Evidence { traffic, rates, tolerance_s, started_at, quiet_period, unsettled, time_to_healthy };
     let mut figures = audit::audit(&cluster, evidence);
@@ -95,17 +97,19 @@
     Ok(figures)
 }
 
-/// Lets many fills be in flight by the routing engine's own reckoning, as the budget is what is tested, and
-/// puts all routers into the endpoints' location, so that they reach all of them.
+/// Configures a router so that the routing engine itself allows many fills in flight, because the experiment
+/// tests the budget. Also puts all routers into the location of the endpoints, so that they reach all
+/// endpoints.
 fn configure(configuration: &mut Value) {
     configuration["settings"]["request_classes"][0]["objective"] = json!(2_000_000);
     configuration["settings"]["zone"] = json!(0);
 }
 
-/// Proposes the budgets and waits until all routers have them in force.
+/// Proposes the budgets and waits until they are in force at all routers.
 fn put_budgets_in_force(cluster: &Cluster) -> Result<()> {
     let limits = Limits::of(&cluster.plan);
-    rates::propose(cluster, 0, 0, &limits.policy_changes()).context("budgets are proposed")?;
+    rates::propose(cluster, 0, 0, &limits.policy_changes())
+        .context("router n0 did not accept the proposal of the budgets")?;
     let is_in_force = |router: usize| {
         let status = cluster.control(router, &json!("status")).unwrap_or_default();
         let has_generation = status["generation"] == json!(BUDGET_GENERATION);
@@ -122,7 +126,7 @@
     (0..cluster.plan.routers * CLIENTS_PER_ROUTER).map(start).collect()
 }
 
-/// Measures, until the experiment is finished, by how many seconds a thread oversleeps at most.
+/// Measures the longest time by which a thread oversleeps until the experiment is finished, in seconds.
 fn measure_oversleep(cluster: &Arc<Cluster>) -> JoinHandle<f64> {
     let cluster = Arc::clone(cluster);
     thread::spawn(move || {
@@ -136,18 +140,18 @@
     })
 }
 
-/// Injects faults and changes the fill rate until the plan's time is over; returns the changes.
+/// Injects faults and changes the fill rate until the plan's time is over. Returns the changes.
 fn change_rates_under_faults(cluster: &Arc<Cluster>, started_at: Instant) -> Vec<rates::RateChange> {
-    let faulty = Arc::clone(cluster);
-    let faults = thread::spawn(move || FaultInjector::new(&faulty).run());
+    let injected_cluster = Arc::clone(cluster);
+    let faults = thread::spawn(move || FaultInjector::new(&injected_cluster).run());
     let changes = RateChanger::new(cluster, started_at).run();
     cluster.faults_finished.store(true, Ordering::SeqCst);
-    faults.join().expect("faults end");
+    faults.join().expect("the fault injector does not panic");
     changes
 }
 
-/// Waits until grants of the time before have expired, and then for the quiet period. With a check disabled,
-/// use of the budget does not matter, and the period is empty.
+/// Waits until grants from the time of faults have expired, and then for the quiet period. If a check is
+/// disabled, the use of the budget does not matter, and the quiet period is empty.
 fn await_quiet_period(cluster: &Cluster) -> QuietPeriod {
     let plan = &cluster.plan;
     let length = if plan.without.is_some() { Duration::ZERO } else { QUIET_PERIOD };
@@ -155,7 +159,8 @@
         thread::sleep(Duration::from_millis(2 * plan.lease));
     }
     let start = Instant::now();
-    // What use is compared with is asked of the routers: no violation is excused by it.
+    // The rate in force is queried from the routers. It is compared only with the use of the budget, so it
+    // cannot excuse a violation.
     let answer = (0..plan.routers).find_map(|router| cluster.control(router, &json!("policy")));
     let in_force = answer.and_then(|answer| answer["policy"]["budget.origin_fills.per_s"].as_f64());
     let fills_per_second = in_force.unwrap_or(plan.fills[0]);
@@ -163,8 +168,8 @@
     QuietPeriod { start, end: Instant::now(), fills_per_second }
 }
 
-/// The routers that take no requests, as their clock is off. It is asked of them: no violation is excused by
-/// it.
+/// Returns the routers that accept no requests because their clock is off. The routers are queried for this,
+/// which cannot excuse a violation.
 fn inactive_routers(cluster: &Cluster) -> Vec<usize> {
     let is_inactive = |router: &usize| {
         let status = cluster.control(*router, &json!("status")).unwrap_or_default();
--- a/crates/testbed/src/budgets/rates.rs
+++ b/crates/testbed/src/budgets/rates.rs
@@ -1,4 +1,4 @@
-//! Lowers and raises the rate of fills, and says which rate was in force when.
+//! Lowers and raises the fill rate, and determines which rate was in force at a time.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -8,30 +8,32 @@
 use super::BUDGET_GENERATION;
 use crate::cluster::Cluster;
 
-/// How often the experiment looks for what is due.
+/// The interval at which the rate changer checks what is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long after a proposed rate the next one is proposed.
+/// The time between two proposals of a fill rate.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(2500);
 
-/// A rate of fills that was proposed.
+/// A proposed fill rate.
 #[derive(Clone, Copy, Debug)]
 pub struct RateChange {
+    /// Fills per second.
     per_second: f64,
     proposed_at: Instant,
-    /// When it was known to be activated.
+    /// When the change was known to be activated. `None` if it is not known to be.
     activated_at: Option<Instant>,
 }
 
 impl RateChange {
-    /// From when on it counts, after the rate before. A lower rate counts from when it was known to be
-    /// activated, a higher one from when it was proposed.
-    fn counts_from(&self, former_per_second: f64) -> Option<Instant> {
-        if self.per_second < former_per_second { self.activated_at } else { Some(self.proposed_at) }
+    /// Returns the time from which on the audit applies this rate. A rate lower than the previous one applies
+    /// from when it was known to be activated, a higher rate from when it was proposed.
+    fn applies_from(&self, previous_per_second: f64) -> Option<Instant> {
+        if self.per_second < previous_per_second { self.activated_at } else { Some(self.proposed_at) }
     }
 }
 
-/// Proposes policy changes at a router, with a number as their note; returns the proposal's token.
+/// Proposes policy changes at a router, with a number as the note of the proposal. Returns the token of the
+/// proposal, or `None` if the router did not accept it.
 pub fn propose(cluster: &Cluster, router: usize, number: usize, changes: &Value) -> Option<u64> {
     let proposal =
         json!({"propose": {"changes": changes, "from": null, "by": "lab", "note": number.to_string()}});
@@ -40,12 +42,13 @@
 
 /// A change whose outcome is not known yet.
 struct PendingChange {
-    /// Its position among all changes, which is its proposal's note.
+    /// The position among all changes, which is the note of the proposal.
     number: usize,
     token: u64,
 }
 
-/// While faults are injected: proposes rates, and starts a further router, where the plan has these faults.
+/// While faults are injected, proposes fill rates if the plan has the fault `lower`, and starts another
+/// router if it has the fault `join`.
 pub struct RateChanger<'a> {
     cluster: &'a Cluster,
     started_at: Instant,
@@ -57,7 +60,7 @@
 }
 
 impl<'a> RateChanger<'a> {
-    /// A changer for a run that started then.
+    /// Creates a rate changer for a run that started at `started_at`.
     pub fn new(cluster: &'a Cluster, started_at: Instant) -> Self {
         let per_second = cluster.plan.fills[0];
         let initial = RateChange { per_second, proposed_at: started_at, activated_at: Some(started_at) };
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Proposes rates until the plan's time is over; returns all of them, from the initial one on.
+    /// Proposes rates until the plan's time is over. Returns all rates, starting with the initial rate.
     pub fn run(mut self) -> Vec<RateChange> {
         let length = Duration::from_secs(self.cluster.plan.seconds);
         let end = self.started_at + length;
@@ -94,7 +97,7 @@
         (0..self.cluster.nodes.len()).find(|router| self.cluster.is_running(*router))
     }
 
-    /// Starts the last router, once, unless it runs already.
+    /// Starts the last router once, unless it is running already.
     fn join_last_router(&mut self) {
         let last = self.cluster.nodes.len() - 1;
         if !self.has_joined && !self.cluster.is_running(last) {
@@ -103,7 +106,7 @@
         self.has_joined = true;
     }
 
-    /// Proposes half of the plan's rate and the whole of it in turn.
+    /// Proposes half of the plan's rate and the plan's full rate in turn.
     fn propose_rate(&mut self, router: usize) {
         let (number, proposed_at) = (self.changes.len(), Instant::now());
         let planned = self.cluster.plan.fills[0];
@@ -115,7 +118,7 @@
         self.next_change = proposed_at + CHANGE_INTERVAL;
     }
 
-    /// Asks a router which of the pending changes have ended, and how.
+    /// Queries a router for the outcomes of the pending changes.
     fn poll_outcomes(&mut self, router: usize) {
         let (cluster, changes) = (self.cluster, &mut self.changes);
         self.pending.retain(|pending| {
@@ -135,8 +138,9 @@
 }
 
 impl RateHistory {
-    /// The activated ones of the proposed changes, as the longest history that a router states has them.
-    pub fn ask(cluster: &Cluster, changes: &[RateChange]) -> Self {
+    /// Fetches the histories of all routers, and returns which of the proposed changes were activated
+    /// according to the longest history.
+    pub fn fetch(cluster: &Cluster, changes: &[RateChange]) -> Self {
         let histories =
             (0..cluster.nodes.len()).filter_map(|router| cluster.control(router, &json!("history")));
         let longest = histories.max_by_key(|history| history.as_array().map_or(0, Vec::len));
@@ -153,27 +157,27 @@
     fn add(&mut self, proposal: &Value, changes: &[RateChange]) {
         let number = proposal["note"].as_str().and_then(|note| note.parse::<usize>().ok());
         let change = number.and_then(|number| changes.get(number)).copied();
-        self.activated.push(change.unwrap_or_else(|| self.reverted()));
+        self.activated.push(change.unwrap_or_else(|| self.revert_change()));
     }
 
-    /// The change that a revert makes, which has no number: the rate before the last one is in force again.
-    /// It counts from when that rate was proposed.
-    fn reverted(&self) -> RateChange {
+    /// Returns the change that a revert makes, whose proposal has no number: it restores the rate before the
+    /// last one. The restored rate applies from when it was originally proposed.
+    fn revert_change(&self) -> RateChange {
         let previous = self.activated.len().saturating_sub(2);
         RateChange { activated_at: None, ..self.activated[previous] }
     }
 
-    /// How many rates were activated after the initial one.
-    pub fn changes(&self) -> usize {
+    /// Returns the number of rates that were activated after the initial one.
+    pub fn change_count(&self) -> usize {
         self.activated.len() - 1
     }
 
-    /// The rate that counts at that time.
+    /// Returns the rate that the audit applies at a time, in fills per second.
     pub fn at(&self, time: Instant) -> f64 {
         let mut per_second = self.activated[0].per_second;
         for pair in self.activated.windows(2) {
-            let counts_from = pair[1].counts_from(pair[0].per_second);
-            if counts_from.is_some_and(|from| time >= from) {
+            let applies_from = pair[1].applies_from(pair[0].per_second);
+            if applies_from.is_some_and(|from| time >= from) {
                 per_second = pair[1].per_second;
             }
         }
--- a/crates/testbed/src/budgets/token_bucket.rs
+++ b/crates/testbed/src/budgets/token_bucket.rs
@@ -1,25 +1,27 @@
-//! Whether events stayed within a rate and its burst.
+//! Audits by a token bucket whether events stayed within a rate and its burst.
 
 use std::time::Instant;
 
 use super::limits::RateLimit;
 
-/// What an audit of events found.
+/// The findings of an audit of events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateAudit {
-    /// Events beyond the limit.
+    /// Events that exceeded the limit.
     pub violations: u64,
-    /// The most that any window took, as a part of what it might.
-    pub peak_part: f64,
+    /// The largest fraction of the bucket's capacity that was used at a time. Above 1 if the limit was
+    /// exceeded.
+    pub peak_fraction: f64,
 }
 
 impl RateAudit {
-    /// Audits events against a limit.
+    /// Audits events against a constant limit. `tolerance_s` is the uncertainty of event times, in seconds.
     pub fn of(times: &[Instant], limit: RateLimit, tolerance_s: f64) -> Self {
         Self::of_changing_rate(times, limit.burst, tolerance_s, |_| limit.per_second)
     }
 
-    /// Audits events against a rate that changes. A token bucket that begins full covers all windows at once.
+    /// Audits events against a rate that changes over time, in events per second. A token bucket that starts
+    /// full checks all time windows at once.
     pub fn of_changing_rate(
         times: &[Instant],
         burst: f64,
@@ -36,7 +38,7 @@
             let refill = (at - last).as_secs_f64() * rate(at);
             tokens = (tokens + refill).min(capacity(at)) - 1.0;
             last = at;
-            audit.peak_part = audit.peak_part.max((capacity(at) - tokens) / capacity(at));
+            audit.peak_fraction = audit.peak_fraction.max((capacity(at) - tokens) / capacity(at));
             if tokens < 0.0 {
                 audit.violations += 1;
                 tokens = 0.0;
@@ -45,11 +47,11 @@
         audit
     }
 
-    /// The violations of both, and the higher of their peaks.
+    /// Returns the sum of the violations and the higher of the peaks.
     pub fn plus(self, other: Self) -> Self {
         Self {
             violations: self.violations + other.violations,
-            peak_part: self.peak_part.max(other.peak_part),
+            peak_fraction: self.peak_fraction.max(other.peak_fraction),
         }
     }
 }
--- a/crates/testbed/src/budgets/traffic.rs
+++ b/crates/testbed/src/budgets/traffic.rs
@@ -1,4 +1,4 @@
-//! The clients of the experiment, and what they observe. Most requests are for objects that no endpoint
+//! The clients of the experiment and their observations. Most requests are for objects that no endpoint
 //! holds.
 
 use std::sync::Mutex;
@@ -13,39 +13,39 @@
 use crate::figures::Figures;
 use crate::stand_in::Reply;
 
-/// Pause between requests beyond the plan's.
+/// The pause between requests after the planned number of requests has been sent.
 const PAUSE_BEYOND_PLAN: Duration = Duration::from_millis(50);
 
-/// How often a pausing client looks whether it is to go on.
+/// The interval at which a pausing client checks whether to end the pause.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// With fewer fills at once than this each one lasts long, so that the origin has in flight what routers
-/// count as in flight.
+/// If the limit of fills in flight is below this number, clients request objects whose fills take long, so
+/// that the fills in flight at the origin match those that routers count.
 const FEW_FILLS_IN_FLIGHT: f64 = 20.0;
 
-/// A request that only a fill can serve.
+/// A request that can only be served by a fill.
 pub struct DemandedFill {
-    /// The index of the router it was sent to.
+    /// The index of the router to which the request was sent.
     pub router: usize,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Instant,
-    /// Whether it was served.
+    /// Whether the request was served.
     pub served: bool,
 }
 
-/// What all clients observed.
+/// The observations of all clients.
 #[derive(Default)]
 pub struct Traffic {
     /// The counts that all experiments share.
     pub figures: Figures,
-    /// Requests that only fills can serve.
+    /// The answered requests that can only be served by a fill.
     pub demanded_fills: Vec<DemandedFill>,
-    /// Requests that were lost with their router.
+    /// Requests that were not sent, or whose router was killed or stopped before it answered.
     pub lost_with_router: u64,
 }
 
 impl Traffic {
-    /// Counts a reply; returns whether the request was served.
+    /// Counts a reply. Returns whether the request was served.
     fn count_reply(&mut self, is_own: bool, reply: &Reply) -> bool {
         self.figures.answered_twice += u64::from(!is_own);
         match reply {
@@ -57,11 +57,11 @@
     }
 }
 
-/// A request that is drawn.
+/// A randomly drawn request.
 struct Request {
     object: String,
     correlation_id: String,
-    /// Whether only a fill can serve it.
+    /// Whether the request can only be served by a fill.
     demands_fill: bool,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl<'a> Client<'a> {
-    /// The client with this index; clients take the routers in turn.
+    /// Creates the client with this index. Clients are assigned to the routers in turn.
     pub fn new(cluster: &'a Cluster, traffic: &'a Mutex<Traffic>, index: usize) -> Self {
         let router = index % cluster.nodes.len();
         let seed = cluster.plan.seed.wrapping_mul(0x9E37_79B9).wrapping_add(index as u64);
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Pauses until the next request is due. Where demand shifts, it is low for some routers, for a shorter
-    /// time than routers remember demand; a pause of low demand ends with the period.
+    /// Pauses until the next request is due. If demand shifts, it is low for some routers at a time, for a
+    /// shorter time than routers remember demand. A long pause of low demand ends when demand becomes high.
     fn pause(&mut self) {
         let cluster = self.cluster;
         let shifts = cluster.has_fault("shift") && !cluster.faults_finished.load(Ordering::SeqCst);
--- a/crates/testbed/src/policy/audit.rs
+++ b/crates/testbed/src/policy/audit.rs
@@ -126,8 +126,8 @@
     let activated: Vec<_> = timeline.activated.iter().map(|version| version.number()).collect();
     let (router, version) = (observation.router, observation.version.number());
     eprintln!(
-        "request decided by a version not in force: router n{router}, version {version}, sent at {sent:?} ms, \
-         observed at {seen:?} ms, healthy since {healthy:?} ms; versions {activated:?} first observed at \
+        "request decided by a version not in force: router n{router}, version {version}, sent at {sent:?} \
+         ms, observed at {seen:?} ms, healthy since {healthy:?} ms; versions {activated:?} first observed at \
          {first_seen:?} ms"
     );
 }
