--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The figures of simulated days of a fleet, compared with the recorded file in `tests/golden/`. A seed
-//! replays exactly, so every figure has to stay the same.
+//! Compares the figures of simulated days of a fleet with the recorded file in `tests/golden/`. A seed always
+//! produces the same day, so every figure must stay the same.
 //!
-//! To record the file anew: `cargo test -p tindoor-testbed --test golden -- --ignored record`
+//! To record the file again: `cargo test -p tindoor-testbed --test golden -- --ignored record`
 
 #[path = "support/golden.rs"]
 mod golden;
@@ -10,12 +10,13 @@
 use tindoor::time::Span;
 use tindoor_testbed::simulation::{DayOutcome, DaySettings, FAULTS, simulate_day};
 
+/// Simulates the recorded days and returns the files to compare.
 fn recordings() -> Vec<Recording> {
     vec![("simulated_days.txt", simulated_days())]
 }
 
 #[test]
-fn simulated_days_are_as_recorded() {
+fn simulated_days_match_the_recorded_file() {
     golden::compare(&recordings());
 }
 
@@ -25,7 +26,8 @@
     golden::record(&recordings());
 }
 
-/// The days that are recorded: router count, faults by name, and fills a second where they are budgeted.
+/// The recorded days: the number of routers, the names of the faults, and the fill budget in fills per
+/// second. `None` if the day has no fill budget.
 const DAYS: &[(usize, &str, Option<f64>)] = &[
     (1, "", None),
     (3, "", None),
@@ -45,6 +47,7 @@
 
 const SEEDS: [u64; 4] = [1, 2, 17, 1234];
 
+/// Returns the settings of one recorded day.
 fn day(seed: u64, (routers, faults, budget): (usize, &str, Option<f64>)) -> DaySettings {
     let mut day = DaySettings::new(seed, routers);
     day.faults = match faults {
@@ -56,7 +59,7 @@
     day
 }
 
-/// Every figure of a day, by a name that stays.
+/// Returns every figure of a day with its name in the recorded file. The names must not change.
 fn figures(outcome: &DayOutcome) -> [(&'static str, String); 23] {
     let DayOutcome {
         requests,
@@ -110,12 +113,13 @@
     ]
 }
 
+/// Formats durations in microseconds, separated by spaces.
 fn microseconds(spans: &[Span]) -> String {
     let spans: Vec<String> = spans.iter().map(|span| span.as_micros().to_string()).collect();
     spans.join(" ")
 }
 
-/// The outcome of one day, under its seed and row.
+/// Simulates one day and formats its figures under a line with its seed and settings.
 fn section(seed: u64, row: (usize, &str, Option<f64>)) -> String {
     let (routers, faults, budget) = row;
     let budget = budget.map_or(String::new(), |budget| format!(", {budget} fills a second"));
@@ -124,10 +128,11 @@
     format!("seed {seed}, {routers} routers, faults [{faults}]{budget}\n{figures}")
 }
 
+/// Simulates all recorded days in parallel and returns the text of the recorded file.
 fn simulated_days() -> String {
     let days = DAYS.iter().flat_map(|row| SEEDS.map(|seed| (seed, *row)));
     std::thread::scope(|scope| {
         let running: Vec<_> = days.map(|(seed, row)| scope.spawn(move || section(seed, row))).collect();
-        running.into_iter().map(|day| day.join().expect("a simulated day")).collect()
+        running.into_iter().map(|day| day.join().expect("the simulation of a day does not panic")).collect()
     })
 }
--- a/crates/testbed/tests/simulated.rs
+++ b/crates/testbed/tests/simulated.rs
@@ -1,19 +1,21 @@
-//! Simulated days of a fleet: consensus, membership and quotas under all faults, in virtual time.
+//! Simulates days of a fleet in virtual time and checks consensus, membership and quotas under all faults.
 
 use tindoor_testbed::figures::Figures;
 use tindoor_testbed::simulation::baselines::Baseline;
 use tindoor_testbed::simulation::many_days::{Plan, run, run_baseline};
 
+/// A plan of days of 25 s without a fill budget.
 fn plan(seed: u64, days: u64, routers: usize, faults: &str, disabled_check: Option<&str>) -> Plan {
     let (faults, disabled_check) = (faults.to_string(), disabled_check.map(str::to_string));
     Plan { seed, seconds: 25, days, routers, faults, disabled_check, fills_per_second: None, trace: false }
 }
 
+/// Runs days without a fill budget.
 fn days(seed: u64, days: u64, routers: usize, faults: &str, disabled_check: Option<&str>) -> Figures {
-    run(&plan(seed, days, routers, faults, disabled_check)).expect("a plan that can be run")
+    run(&plan(seed, days, routers, faults, disabled_check)).expect("the plan has valid settings")
 }
 
-/// Days on which the routers divide a hundred fills per second among themselves.
+/// Runs days of 20 s on which the routers share a budget of 100 fills per second.
 fn days_with_budget(
     seed: u64,
     days: u64,
@@ -26,7 +28,7 @@
         fills_per_second: Some(100.0),
         ..plan(seed, days, routers, faults, disabled_check)
     };
-    run(&plan).expect("a plan that can be run")
+    run(&plan).expect("the plan has valid settings")
 }
 
 #[test]
@@ -50,13 +52,14 @@
     );
 }
 
-/// A member that was away for longer than it stays listed rejoins at once, and no activation waits for an
-/// absent one. The bound on removals detects a leader that counts the silence of a returning member from its
-/// own election on.
+/// A member that was absent for long enough to be removed from the member list must rejoin at once, and no
+/// activation may wait for an absent member. The bound on removals detects a leader that measures the silence
+/// of a returning member from the leader's own election on, and therefore removes the member again.
 #[test]
 fn a_router_that_was_away_rejoins_and_delays_no_activation() {
     for routers in [3, 5] {
-        let figures = run(&Plan { seconds: 40, ..plan(1, 20, routers, "away", None) }).expect("a plan");
+        let figures = run(&Plan { seconds: 40, ..plan(1, 20, routers, "away", None) })
+            .expect("the plan has valid settings");
         let count = |name: &str| figures.more[name].as_u64().unwrap_or_default();
         assert_eq!(figures.rules_broken, 0, "{}", figures.table());
         assert!(count("unlisted") <= 6 * 20, "{}", figures.table());
@@ -65,7 +68,7 @@
     }
 }
 
-/// As on one host that was suspended: no clock is within its bound any more.
+/// All clocks jump together, as on one suspended host. Afterwards, no clock is within its error bound.
 #[test]
 fn a_fleet_continues_after_all_clocks_jump() {
     for routers in [1, 2, 5] {
@@ -75,7 +78,7 @@
 }
 
 #[test]
-fn a_seed_replays_exactly() {
+fn the_same_seed_reproduces_the_same_days() {
     let [one, two] = [1, 1].map(|seed| {
         let mut figures = days(seed, 3, 5, "all", None);
         figures.more.remove("seconds");
@@ -88,7 +91,11 @@
 fn violations_with_a_consensus_check_disabled_are_detected() {
     for check in ["lease", "staged", "compare"] {
         let figures = days(1, 40, 7, "all", Some(check));
-        assert!(figures.rules_broken > 0, "without {check} nothing was detected:\n{}", figures.table());
+        assert!(
+            figures.rules_broken > 0,
+            "no violation was detected with the check `{check}` disabled:\n{}",
+            figures.table()
+        );
     }
 }
 
@@ -106,7 +113,7 @@
 fn under_all_faults_the_budget_is_neither_exceeded_nor_overcommitted() {
     let figures = days_with_budget(1, 40, 7, "all", None);
     assert_eq!(figures.rules_broken, 0, "{}", figures.table());
-    // In a large fleet one router of a location grants quotas on to the others.
+    // In a large fleet, one router of each location grants quotas on to the other routers of the location.
     let figures = days_with_budget(1, 2, 80, "shift,drop,killmost,pause", None);
     assert_eq!(figures.rules_broken, 0, "{}", figures.table());
 }
@@ -116,7 +123,7 @@
     for check in ["lapse", "epoch", "returned", "burst", "wakes", "floor"] {
         let detected =
             (0..8).any(|index| days_with_budget(1 + 10 * index, 10, 7, "all", Some(check)).rules_broken > 0);
-        assert!(detected, "without {check} nothing was detected in 80 days");
+        assert!(detected, "no violation was detected in 80 days with the check `{check}` disabled");
     }
 }
 
@@ -124,9 +131,9 @@
 fn baselines_mix_policies_under_the_same_faults() {
     let plan = plan(1, 10, 7, "drop,delay,oneway,split,kill,pause", None);
     let mixed = |baseline| {
-        run_baseline(&plan, baseline).expect("a plan that can be run").more["mixed_views"].as_u64()
+        run_baseline(&plan, baseline).expect("the plan has valid settings").more["mixed_views"].as_u64()
     };
     let [file_reload, two_phase] = [Baseline::FileReload, Baseline::TwoPhaseCommit].map(mixed);
     assert!(file_reload > two_phase && two_phase > Some(0), "{file_reload:?} {two_phase:?}");
-    assert_eq!(run(&plan).expect("a plan that can be run").rules_broken, 0);
+    assert_eq!(run(&plan).expect("the plan has valid settings").rules_broken, 0);
 }
--- a/crates/testbed/tests/support/golden.rs
+++ b/crates/testbed/tests/support/golden.rs
@@ -1,23 +1,30 @@
-//! Comparing text with recorded files under `tests/golden/` of the crate whose test includes this module.
+//! Compares text with recorded files under `tests/golden/` of the crate whose test includes this module.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A file's name and its text.
+/// The name of a recorded file and its expected text.
 pub type Recording = (&'static str, String);
 
 fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Panics where a file is not the same byte for byte; names the file and its first line that differs.
+/// Compares the recordings with the recorded files byte for byte.
+///
+/// # Panics
+///
+/// Panics if a file cannot be read or differs. The message names each such file and its first line that
+/// differs.
 pub fn compare(recordings: &[Recording]) {
     let differences: Vec<String> = recordings.iter().filter_map(difference).collect();
     assert!(differences.is_empty(), "{}", differences.join("\n"));
 }
 
+/// Returns the first difference between a recording and its file, or `None` if they are equal.
 fn difference((name, text): &Recording) -> Option<String> {
-    let recorded = fs::read_to_string(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"));
+    let recorded = fs::read_to_string(path(name))
+        .unwrap_or_else(|error| panic!("cannot read the recorded file {name}: {error}"));
     if recorded == *text {
         return None;
     }
@@ -25,14 +32,14 @@
     for line in 1.. {
         let (old, new) = (old.next(), new.next());
         if old != new {
-            let shown = |line: Option<&str>| line.unwrap_or("(the end)").to_string();
+            let shown = |line: Option<&str>| line.unwrap_or("(end of file)").to_string();
             return Some(format!("{name}:{line}\n  recorded: {}\n  now:      {}", shown(old), shown(new)));
         }
     }
     None
 }
 
-/// Writes the files anew.
+/// Overwrites the recorded files with the recordings.
 pub fn record(recordings: &[Recording]) {
     for (name, text) in recordings {
         fs::create_dir_all(path("")).unwrap();
