--- a/crates/testbed/src/policy/mod.rs
+++ b/crates/testbed/src/policy/mod.rs
@@ -1,7 +1,7 @@
 //! The policy experiment: runs several routers of one fleet as processes, and changes the policy while faults
 //! are injected. Clients and endpoints can observe which policy version decided a request: rejections state
 //! the version's Retry-After, and attempts state the copy age that the version accepts. The audit therefore
-//! does not rely on what routers report about themselves.
+//! determines the version of each request without trusting what routers report.
 
 mod audit;
 mod history;
