--- a/crates/router/tests/requests.rs
+++ b/crates/router/tests/requests.rs
@@ -194,11 +194,11 @@
     }
     client.request(2000, "00000000000000aa");
     assert_eq!(client.reply(), (2000, served_reply(b"x")));
-    // Every attempt that the routing engine ordered has ended, so it counts none as in flight.
+    // Every attempt that the routing engine queued has ended, so it counts none as in flight.
     let count = |log: &mut Vec<String>, word: &str| log.iter().filter(|line| line.contains(word)).count();
-    fixture.router.log.wait("all ordered attempts to end", |log| {
-        let ordered = count(log, " ordered ");
-        (ordered > 0 && ordered == count(log, " ended ")).then_some(())
+    fixture.router.log.wait("all queued attempts to end", |log| {
+        let queued = count(log, " queued ");
+        (queued > 0 && queued == count(log, " ended ")).then_some(())
     });
 }
 
