--- a/crates/router/src/disabled_check.rs
+++ b/crates/router/src/disabled_check.rs
@@ -1,14 +1,14 @@
-//! The safety check that a fault experiment disables, to see that the fault is detected without it. Debug builds
-//! only: in a release build all checks are on.
+//! Reads which safety check a fault experiment disables, to show that the tests detect the fault which the
+//! check prevents. Only debug builds can disable a check; in a release build all checks are enabled.
 
 use std::sync::OnceLock;
 
 use crate::operator::command_line::DISABLEABLE_CHECKS;
 
-/// The environment variable that names the check.
+/// The environment variable that names the disabled check.
 const DISABLED_CHECK_VARIABLE: &str = "TINDOOR_WITHOUT";
 
-/// Whether this check, one of [`DISABLEABLE_CHECKS`], is disabled.
+/// Returns whether `check`, one of [`DISABLEABLE_CHECKS`], is disabled in this process.
 pub fn is_disabled(check: &str) -> bool {
     static DISABLED_CHECK: OnceLock<Option<String>> = OnceLock::new();
     DISABLED_CHECK.get_or_init(from_environment).as_deref() == Some(check)
@@ -17,9 +17,9 @@
 fn from_environment() -> Option<String> {
     let check = std::env::var(DISABLED_CHECK_VARIABLE).ok().filter(|_| cfg!(debug_assertions))?;
     if DISABLEABLE_CHECKS.contains(&check.as_str()) {
-        tracing::warn!(check, "a check is disabled for a test");
+        tracing::warn!(check, "safety check disabled for an experiment; use this process for tests only");
     } else {
-        tracing::error!(check, "unknown check");
+        tracing::error!(check, "unknown safety check in TINDOOR_WITHOUT; all checks stay enabled");
     }
     Some(check)
 }
--- a/crates/router/src/fleet/admission.rs
+++ b/crates/router/src/fleet/admission.rs
@@ -1,5 +1,5 @@
-//! The admission gate of the routing engine: requests are admitted by the lease, the policy and the quota of
-//! this router.
+//! The admission gate of the routing engine. Admits requests while this router holds a valid policy lease,
+//! and within the limits of the policy and of this router's quota.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 use super::Fleet;
 use super::runtime::ExitOnPanic;
 
-/// The policy's key of how many requests may be open.
+/// The policy key of the maximum number of open requests.
 pub(super) const MAX_OPEN_REQUESTS_KEY: &str = "limit.open_views";
 
-/// Generations whose latency objectives are kept: requests in flight may be of a few generations back.
-/// Outcomes of older ones are not counted.
+/// The number of policy generations whose latency objectives are kept, as requests in flight may have been
+/// admitted a few generations ago. Outcomes of requests from older generations are not counted.
 const KEPT_OBJECTIVES: usize = 8;
 
 /// The latency objectives of one generation, by request class.
@@ -27,13 +27,14 @@
     by_class: Vec<Duration>,
 }
 
-/// The policy's key of a class's latency objective.
+/// Returns the policy key of a class's latency objective, which is in milliseconds.
 fn latency_objective_key(class: &str) -> String {
     format!("offering.{class}.latency_goal_ms")
 }
 
 impl Fleet {
-    /// The settings of the routing engine under that policy.
+    /// Adopts a policy: applies its limits and budgets, and returns the settings of the routing engine under
+    /// it. `None` if the policy can't be applied to the settings with which this router was started.
     fn adopt(&self, version: &PolicyVersion) -> Option<Settings> {
         let policy = &version.policy;
         let mut settings = keys::apply_to_settings(policy, &self.settings, &self.classes).ok()?;
@@ -41,7 +42,7 @@
             settings.attempts.follows_new_settings = true;
         }
         self.keep_latency_objectives(version);
-        // Without a value, as after a rollback, the limit is the one that the router was started with.
+        // If the policy sets no limit, as after a revert, the limit is the one the router was started with.
         let limit = policy.0.get(MAX_OPEN_REQUESTS_KEY).map(|limit| *limit as usize);
         self.open_requests_limit.set(limit.unwrap_or(self.started_open_requests_limit));
         let known = self.retry_budget.get();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Uses this router's quota at the current time.
+    /// Runs an operation on this router's quota at the current time.
     fn with_quota<T>(&self, operation: impl FnOnce(&mut Participant, Moment) -> T) -> T {
         let _exit = ExitOnPanic;
         let mut node = self.node.borrow_mut();
@@ -78,13 +79,13 @@
         operation(node.quota(), now)
     }
 
-    /// Charges a new connection to that cache; false where the quota does not allow it.
+    /// Charges a new connection to `cache`. Returns false if the quota does not allow the connection.
     pub fn charge_connection(&self, cache: &str) -> bool {
         let key = Budget::NewConnections.key(budgets::scope_of_name(cache));
         self.with_quota(|participant, now| participant.spend(now, &[key]))
     }
 
-    /// Each budget that is known here: what this router may spend of it, and the whole fleet.
+    /// Returns, for each budget known to this router, what this router and the whole fleet may spend.
     pub fn quotas(&self) -> Vec<QuotaStatus> {
         self.with_quota(|participant, now| participant.quotas(now))
     }
@@ -110,7 +111,7 @@
     }
 
     fn admit(&self, account: u64) -> Result<u64, Span> {
-        // One account's flood is rejected before it costs others anything.
+        // Rejects one account's excess requests before they use capacity that other accounts share.
         let key = Budget::Tenants.key(account);
         match self.with_quota(|participant, now| participant.spend(now, &[key])) {
             true => Ok(self.adopted_generation.get()),
@@ -142,7 +143,8 @@
         }
         let keys = self.budget_scope.charged_keys(charge);
         let at = self.with_quota(|participant, now| {
-            // An attempt that is sent without a fill, as none can be afforded, still demands one.
+            // An attempt that is sent without a fill because the quota can't pay for one still adds to the
+            // demand for fills.
             let fills = self.budget_scope.fill_keys(charge.class);
             if !charge.may_fill_from_origin && !charge.is_retry && !participant.can_afford(now, &fills) {
                 participant.record_refusal(now, &fills);
@@ -157,7 +159,7 @@
 
     fn settle_charge(&self, charge: AttemptCharge, outcome: Outcome) {
         let keys = self.budget_scope.fill_keys(charge.class);
-        // The last key is of fills in flight, the others are of rates.
+        // The last key limits fills in flight; the others are rate limits.
         let in_flight = &keys[keys.len() - 1..];
         self.with_quota(|participant, now| {
             participant.settle(now, charge.at, &keys, self.budget_scope.may_have_filled(outcome));
--- a/crates/router/src/fleet/checks.rs
+++ b/crates/router/src/fleet/checks.rs
@@ -1,28 +1,31 @@
-//! The safety checks of a fleet's member, but for the one that an experiment disables.
+//! Determines which safety checks of a fleet member are enabled: all, except the one that an experiment
+//! disables.
 
 use tindoor_consensus::SafetyChecks;
 
 use crate::disabled_check::is_disabled;
 
-/// The safety checks of a fleet's member.
+/// Which safety checks of a fleet member are enabled.
 #[derive(Clone, Copy)]
 pub(super) struct FleetChecks {
-    /// Those of the node.
+    /// The checks of the consensus node.
     pub node: SafetyChecks,
-    /// Each process has an incarnation of its own; else it is derived from the router's name.
+    /// Each process has a unique incarnation. If disabled, the incarnation is derived from the router's name
+    /// and is the same after a restart.
     pub unique_incarnations: bool,
-    /// A write is reported as completed only once it is on stable storage.
+    /// A write is reported as completed only after it has reached stable storage.
     pub synced_writes: bool,
-    /// A request is decided to its end by the settings by which it was accepted.
+    /// All decisions about a request use the settings that were in force when it was accepted.
     pub pinned_settings: bool,
 }
 
 impl FleetChecks {
-    /// All checks, but for the one that an experiment disables.
+    /// Returns all checks enabled, except the one that an experiment disables.
     pub fn enabled() -> Self {
         Self {
             node: SafetyChecks {
-                // The lease on the policy also keeps a router that wakes from spending: both are disabled.
+                // The policy lease also prevents a router from spending after its machine wakes up, so the
+                // experiment "wakes" disables both checks.
                 lease: !is_disabled("lease") && !is_disabled("wakes"),
                 staged_activation: !is_disabled("staged"),
                 compare_generation: !is_disabled("compare"),
--- a/crates/router/src/fleet/clock.rs
+++ b/crates/router/src/fleet/clock.rs
@@ -1,5 +1,6 @@
-//! The clock that counts on while the machine sleeps, compared with the one that does not: where the two
-//! part, the clock has jumped.
+//! The local clock of a fleet member. Compares the boot clock, which keeps running while the machine sleeps,
+//! with the monotonic clock, which does not. If the two differ by more than a tolerance, the clock has
+//! jumped.
 
 use std::cell::Cell;
 use std::time::Instant;
@@ -7,28 +8,29 @@
 use rustix::time::{ClockId, clock_gettime};
 use tindoor::time::Moment;
 
-/// How far the two clocks may part between two readings, in microseconds, and as a part of the time between
-/// them.
+/// The fixed part of the tolerated difference between the two clocks from one reading to the next, in
+/// microseconds.
 const MAX_DIFFERENCE_MICROS: u64 = 10_000;
+/// The proportional part of the tolerated difference: the time between the readings divided by this number.
 const MAX_DIFFERENCE_DIVISOR: u64 = 100;
 
-/// Both clocks at the same moment.
+/// The values of both clocks at one moment.
 #[derive(Clone, Copy)]
 struct Reading {
-    /// Stands still while the machine sleeps.
+    /// The monotonic clock, which stops while the machine sleeps.
     monotonic: Instant,
-    /// Counts on while the machine sleeps; in microseconds since its start.
+    /// The boot clock, which keeps running while the machine sleeps: microseconds since the machine started.
     boot_micros: u64,
 }
 
-/// The local clock of a fleet's member.
+/// The local clock of a fleet member.
 pub(super) struct BootClock {
     last: Cell<Reading>,
     started: Reading,
     fault: Option<ClockFault>,
 }
 
-/// A clock fault of an experiment, in a build for tests only: the clock runs faster by a factor, and jumps
+/// A clock fault that an experiment injects, in debug builds only: the clock runs at another rate, and jumps
 /// once.
 #[derive(Clone, Copy)]
 struct ClockFault {
@@ -52,7 +54,7 @@
         Reading { boot_micros: faulty.max(0) as u64, ..reading }
     }
 
-    /// The time, and whether the clock has jumped since it was last read.
+    /// Returns the time, and whether the clock has jumped since the previous reading.
     pub fn now(&self) -> (Moment, bool) {
         let reading = self.read();
         let last = self.last.replace(reading);
@@ -65,13 +67,18 @@
 }
 
 impl ClockFault {
-    /// `RATE:JUMP_AFTER_MS:JUMP_MS`.
+    /// Reads the fault from `TINDOOR_CLOCK`, in the form `RATE:JUMP_AFTER_MS:JUMP_MS`.
     fn from_environment() -> Option<Self> {
         let value = std::env::var("TINDOOR_CLOCK").ok().filter(|_| cfg!(debug_assertions))?;
         let mut parts = value.split(':');
         let rate = parts.next()?.parse().ok()?;
         let (after_ms, jump_ms): (u64, i64) = (parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
-        tracing::warn!(rate, after_ms, jump_ms, "a clock fault is injected for an experiment");
+        tracing::warn!(
+            rate,
+            after_ms,
+            jump_ms,
+            "clock fault injected for an experiment; use this process for tests only"
+        );
         Some(Self { rate, jump_after_micros: after_ms * 1000, jump_micros: jump_ms * 1000 })
     }
 }
--- a/crates/router/src/fleet/mod.rs
+++ b/crates/router/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! This router as a member of a fleet: its consensus node with a clock, stable storage, connections to its
-//! peers, and the routing engine that goes by the fleet's policy. What is decided here is decided by the
-//! node.
+//! This router as a member of a fleet. Connects the consensus node to a clock, to stable storage and to the
+//! node's peers, and applies the fleet's policy and quotas to the routing engine. All agreement logic is in
+//! the node; this module does its I/O.
 
 mod admission;
 mod checks;
--- a/crates/router/src/fleet/peers.rs
+++ b/crates/router/src/fleet/peers.rs
@@ -1,5 +1,6 @@
-//! Carries messages between the routers of a fleet: one connection for each pair and direction, with frames
-//! of bounded length and bounded queues. A message may be lost; whoever needs a response asks again.
+//! Sends and receives messages between the routers of a fleet, over one connection for each pair of routers
+//! and direction. Frame lengths and queues are bounded. A message may be lost: a sender that needs a response
+//! repeats its request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -17,14 +18,15 @@
 use crate::log_throttle::LogThrottle;
 use crate::timeout::with_timeout;
 
-/// What the first line on each connection begins with, at all versions. The names of the fleet and of the
-/// sender follow.
+/// The beginning of the first line on each connection, the same in all versions. The names of the fleet and
+/// of the sender follow it.
 const PREFACE: &str = "tindoor-fleet 1";
 
-/// How often the idle timeout may pass on an accepted connection before it is closed.
+/// The time without a message after which an accepted connection is closed, as a multiple of the idle
+/// timeout.
 const ACCEPTED_IDLE_TIMEOUTS: u32 = 2;
 
-/// Frames that wait for one peer.
+/// The frames to be sent to one peer.
 #[derive(Default)]
 struct SendQueue {
     frames: RefCell<VecDeque<Vec<u8>>>,
@@ -32,7 +34,7 @@
 }
 
 impl SendQueue {
-    /// Appends a frame. If the queue is full, the oldest is dropped: it tells of the past.
+    /// Appends a frame. If the queue is full, drops the oldest frame, whose content is the most outdated.
     fn push(&self, frame: Vec<u8>, capacity: usize) {
         let mut frames = self.frames.borrow_mut();
         if frames.len() >= capacity {
@@ -60,12 +62,12 @@
     }
 }
 
-/// What was sent to peers.
+/// The traffic sent to peers since the start.
 #[derive(Clone, Copy, Default)]
 pub struct SentTraffic {
-    /// Bytes of messages.
+    /// The size of all messages, in bytes.
     pub bytes: u64,
-    /// Messages.
+    /// The number of messages.
     pub messages: u64,
 }
 
@@ -96,16 +98,21 @@
         })
     }
 
-    /// What was sent so far.
+    /// Returns the traffic sent so far.
     pub fn sent(&self) -> SentTraffic {
         self.sent.get()
     }
 
-    /// Queues a message for a peer. It is dropped if it is too long, or if there is no connection for it.
+    /// Queues a message for a peer. Drops the message if it is too long, or if no connection can be opened
+    /// for it.
     pub fn send(self: &Rc<Self>, address: &str, envelope: &Envelope) {
         let bytes = envelope.to_bytes();
         if bytes.len() > self.limits.max_message_bytes {
-            tracing::error!(address, size = bytes.len(), "message to a peer is too long; dropped");
+            tracing::error!(
+                address,
+                size = bytes.len(),
+                "message to a peer dropped: it is longer than the limit"
+            );
             return;
         }
         let sent = self.sent.get();
@@ -116,8 +123,8 @@
         }
     }
 
-    /// Opens the queue to a peer, with a task that sends. None where the address is invalid, or where there
-    /// are as many connections as are allowed: each holds a descriptor.
+    /// Opens the queue of a peer and spawns the task that sends its frames. `None` if the address is invalid,
+    /// or if the maximum number of connections is reached; the maximum bounds the file descriptors in use.
     fn open_queue(self: &Rc<Self>, address: &str) -> Option<Rc<SendQueue>> {
         let socket_address: SocketAddr = address.parse().ok()?;
         if self.queues.borrow().len() >= self.limits.max_connections {
@@ -134,7 +141,7 @@
         Some(queue)
     }
 
-    /// Sends what is queued for one peer, until nothing was for the idle timeout.
+    /// Sends the queued frames to one peer, until the queue has been empty for the idle timeout.
     async fn send_queued(&self, address: SocketAddr, queue: &SendQueue) {
         let mut stream: Option<Async<TcpStream>> = None;
         while let Some(frame) = self.next_frame(queue).await {
@@ -142,7 +149,7 @@
                 stream = self.connect(address).await;
             }
             let Some(open) = &mut stream else {
-                // What is queued was for that moment. It is requested again, after a pause.
+                // The queued frames would be outdated after the pause; senders repeat what they still need.
                 queue.clear();
                 Timer::after(self.limits.backoff).await;
                 continue;
@@ -169,7 +176,7 @@
             match with_timeout(self.limits.connect_timeout, Async::<TcpStream>::connect(address)).await {
                 Ok(stream) => stream,
                 Err(error) => {
-                    tracing::debug!(%address, %error, "a peer can't be reached");
+                    tracing::debug!(%address, %error, "can't connect to a peer; queued messages dropped");
                     return None;
                 }
             };
@@ -179,7 +186,7 @@
         written.ok().map(|()| stream)
     }
 
-    /// Accepts connections of peers for as long as the router runs; each message is passed to `receive`.
+    /// Accepts connections from peers for as long as the router runs, and passes each message to `receive`.
     pub async fn accept(
         self: Rc<Self>,
         listener: Async<TcpListener>,
@@ -215,7 +222,7 @@
         }
     }
 
-    /// Reads one connection. Each message is read completely before it is passed on.
+    /// Reads messages from one connection, and passes each on once it is complete.
     async fn read_connection(
         &self,
         mut stream: Async<TcpStream>,
@@ -225,21 +232,24 @@
         self.check_preface(&mut stream).await?;
         let mut length = [0; 4];
         loop {
-            // A peer that sends without end is not preferred to others.
+            // Yields, so that a peer that sends continuously does not starve the others.
             future::yield_now().await;
             with_timeout(limits.idle_timeout * ACCEPTED_IDLE_TIMEOUTS, stream.read_exact(&mut length))
                 .await?;
             let length = u32::from_be_bytes(length) as usize;
             if length > limits.max_message_bytes {
-                return Err(invalid_data("a frame is too long"));
+                return Err(invalid_data("frame longer than the limit"));
             }
             let mut bytes = vec![0; length];
             with_timeout(limits.write_timeout, stream.read_exact(&mut bytes)).await?;
-            receive(Envelope::from_bytes(&bytes).map_err(|_| invalid_data("a frame is no message"))?);
+            receive(
+                Envelope::from_bytes(&bytes)
+                    .map_err(|_| invalid_data("frame can't be decoded as a message"))?,
+            );
         }
     }
 
-    /// Reads the preface, and compares protocol version and fleet with the own ones.
+    /// Reads the preface, and checks that it has the protocol version and fleet name of this router.
     async fn check_preface(&self, stream: &mut Async<TcpStream>) -> io::Result<()> {
         let mut line = Vec::new();
         let read = async {
@@ -255,12 +265,12 @@
         if without_sender(&line) == without_sender(&self.preface) {
             Ok(())
         } else {
-            Err(invalid_data("it is of another fleet, or speaks another form"))
+            Err(invalid_data("first line names another fleet or protocol version"))
         }
     }
 }
 
-/// A preface without the sender's name.
+/// Returns a preface without the sender's name.
 fn without_sender(preface: &str) -> &str {
     preface.rsplit_once(' ').map_or("", |(rest, _)| rest)
 }
--- a/crates/router/src/fleet/policy_objections.rs
+++ b/crates/router/src/fleet/policy_objections.rs
@@ -1,4 +1,4 @@
-//! Why this router can't apply a policy.
+//! Checks proposed policies, and reports why this router can't apply one.
 
 use tindoor_consensus::Objection;
 use tindoor_policy::{PolicyVersion, budgets, keys};
@@ -7,15 +7,23 @@
 use super::admission::MAX_OPEN_REQUESTS_KEY;
 
 impl Fleet {
-    /// Checks whether this router can apply a policy, and logs why it can't.
+    /// Checks whether this router can apply a policy. If it can't, logs and returns the reason.
     pub(super) fn check_policy(&self, version: &PolicyVersion) -> Option<Objection> {
         let objection = self.objection_to(version);
         let generation = version.generation;
         if let Some(Objection { reason, permanent }) = &objection {
             if *permanent {
-                tracing::error!(generation, reason, "policy can't be applied by this router");
+                tracing::error!(
+                    generation,
+                    reason,
+                    "this router can't apply the policy with the settings it was started with"
+                );
             } else {
-                tracing::warn!(generation, reason, "policy rejected by this router");
+                tracing::warn!(
+                    generation,
+                    reason,
+                    "policy rejected by this router for now; it can be proposed again later"
+                );
             }
         }
         objection
--- a/crates/router/src/fleet/replica_storage.rs
+++ b/crates/router/src/fleet/replica_storage.rs
@@ -1,6 +1,6 @@
-//! The stable storage of a replica: its id, hard state, log and snapshot, in one database file. Damage is
-//! detected by checksums, and a damaged storage counts as lost: a replica that has forgotten its vote never
-//! votes under its old id.
+//! The stable storage of a replica: its id, hard state, log and snapshot, in one database file. Checksums
+//! detect damage. A damaged storage is treated as lost and replaced by that of a new replica, as a replica
+//! that has lost its vote must never vote under its old id.
 
 use std::path::{Path, PathBuf};
 
@@ -8,10 +8,10 @@
 use redb::{Database, DatabaseError, ReadableTable, Table, TableDefinition};
 use tindoor_consensus::{StorageWrite, StoredState};
 
-/// The database file.
+/// The name of the database file.
 const FILE_NAME: &str = "seat.redb";
 
-/// What the file name of a damaged database begins with.
+/// The prefix of the names to which damaged database files are renamed.
 const DAMAGED_FILE_PREFIX: &str = "seat.damaged-";
 
 const REPLICA: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
@@ -23,35 +23,42 @@
 const HARD_STATE_KEY: &str = "hard";
 const SNAPSHOT_KEY: &str = "snapshot";
 
-/// An open storage; no other process can open it meanwhile.
+/// An open replica storage. No other process can open the same storage at the same time.
 pub(super) struct ReplicaStorage(Database);
 
-/// What a storage held when it was opened.
+/// The content of a storage when it was opened.
 pub(super) struct StoredReplica {
     /// The id of the replica.
     pub replica_id: u64,
-    /// The incarnation that had it open before: as it is open here, that process has ended.
+    /// The incarnation that last opened the storage. Its process has ended, as only one process can have the
+    /// storage open.
     pub predecessor: Option<u64>,
-    /// None before the first write.
+    /// `None` before the first write.
     pub state: Option<StoredState>,
 }
 
 impl ReplicaStorage {
-    /// Opens a storage, or creates it for a new replica. A damaged one is put aside, and a new one created.
+    /// Opens a storage, or creates one for a new replica with `replica_id`. A damaged storage is renamed and
+    /// replaced by a new one.
     pub fn open(directory: &Path, replica_id: u64, incarnation: u64) -> Result<(Self, StoredReplica)> {
         std::fs::create_dir_all(directory).with_context(|| format!("{}", directory.display()))?;
         let file = directory.join(FILE_NAME);
-        // The library panics at some damage.
+        // The database library panics on some kinds of damage.
         let opened = std::panic::catch_unwind(|| Self::open_file(&file, replica_id, incarnation));
-        match opened.unwrap_or_else(|_| Err(anyhow!("it can't be read"))) {
+        match opened.unwrap_or_else(|_| Err(anyhow!("the database library panicked while opening the file")))
+        {
             Ok(opened) => Ok(opened),
-            // One that another process has open is not damaged.
+            // A storage that another process has open is not damaged.
             Err(error) if matches!(error.downcast_ref(), Some(DatabaseError::DatabaseAlreadyOpen)) => {
                 Err(error)
             }
             Err(error) => {
                 let aside = unused_damaged_path(directory);
-                tracing::error!(%error, aside = %aside.display(), "replica storage is damaged; it counts as lost");
+                tracing::error!(
+                    %error,
+                    aside = %aside.display(),
+                    "replica storage is damaged; renamed and replaced by that of a new replica"
+                );
                 std::fs::rename(&file, &aside).with_context(|| format!("{}", file.display()))?;
                 Self::open_file(&file, replica_id, incarnation)
             }
@@ -62,7 +69,7 @@
         Self::from_database(Database::create(file)?, replica_id, incarnation)
     }
 
-    /// Reads what the database holds, and records this incarnation in it.
+    /// Reads the content of the database, and records this incarnation in it.
     fn from_database(database: Database, replica_id: u64, incarnation: u64) -> Result<(Self, StoredReplica)> {
         let transaction = database.begin_write()?;
         let stored = {
@@ -76,7 +83,7 @@
             let entries = read_entries(&transaction.open_table(LOG)?)?;
             ensure!(
                 hard_state.is_some() || entries.is_empty() && snapshot.is_none(),
-                "a log without its vote"
+                "the database has log entries or a snapshot but no hard state"
             );
             let snapshot = snapshot.unwrap_or_default();
             let state = hard_state.map(|hard_state| StoredState { hard_state, snapshot, entries });
@@ -86,7 +93,7 @@
         Ok((Self(database), stored))
     }
 
-    /// Writes atomically, and waits until it is on stable storage.
+    /// Applies a write atomically, and waits until it has reached stable storage.
     pub fn write(&self, write: &StorageWrite) -> Result<()> {
         let transaction = self.0.begin_write()?;
         {
@@ -122,7 +129,7 @@
 
 fn read_number(table: &Table<'_, &str, &[u8]>, key: &str) -> Result<Option<u64>> {
     let Some(bytes) = read_bytes(table, key)? else { return Ok(None) };
-    Ok(Some(u64::from_be_bytes(bytes[..].try_into().context("a number")?)))
+    Ok(Some(u64::from_be_bytes(bytes[..].try_into().context("a stored number is not 8 bytes long")?)))
 }
 
 fn read_entries(log: &Table<'_, u64, &[u8]>) -> Result<Vec<(u64, Vec<u8>)>> {
@@ -134,7 +141,7 @@
     Ok(entries)
 }
 
-/// An unused path for a damaged database.
+/// Returns an unused path for a damaged database.
 fn unused_damaged_path(directory: &Path) -> PathBuf {
     let mut paths = (0u32..).map(|number| directory.join(format!("{DAMAGED_FILE_PREFIX}{number}")));
     paths.find(|path| !path.exists()).expect("one of the paths is unused")
--- a/crates/router/src/fleet/runtime.rs
+++ b/crates/router/src/fleet/runtime.rs
@@ -1,4 +1,4 @@
-//! Runs the node of this router: events in, actions out.
+//! Runs the consensus node of this router: passes events to the node and carries out the actions it returns.
 
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
@@ -27,7 +27,7 @@
 use crate::configuration::FleetConfiguration;
 use crate::configuration::limits::PeerLimits;
 
-/// The exit status of a process whose node has failed.
+/// The exit status of a process whose consensus node panicked.
 const NODE_FAILURE_EXIT_STATUS: i32 = 101;
 
 /// This router as a member of its fleet.
@@ -37,54 +37,55 @@
     pub(super) checks: FleetChecks,
     peers: Rc<Peers>,
     writes: Sender<StorageWrite>,
-    /// The settings that this router was started with.
+    /// The settings with which this router was started.
     pub(super) settings: Settings,
-    /// The names of its request classes.
+    /// The names of this router's request classes.
     pub(super) classes: Vec<String>,
-    /// The generation that the routing engine goes by.
+    /// The policy generation that the routing engine applies.
     pub(super) adopted_generation: Cell<u64>,
     pub(super) latency_objectives: RefCell<Vec<LatencyObjectives>>,
-    /// The Retry-After of rejected requests.
+    /// The Retry-After value of rejected requests.
     pub(super) retry_after: Span,
     pub(super) requests_in_flight: Box<dyn Fn() -> usize>,
-    /// How many requests may be open, by the policy.
+    /// The maximum number of open requests under the adopted policy.
     pub(super) open_requests_limit: Cell<usize>,
-    /// How many requests may be open, as this router was started.
+    /// The maximum number of open requests with which this router was started.
     pub(super) started_open_requests_limit: usize,
     pub(super) budget_scope: budgets::BudgetScope,
-    /// The retries that served requests allow.
+    /// The retries that are still allowed, in proportion to the requests served. `None` if the policy does
+    /// not limit them.
     pub(super) retry_budget: Cell<Option<RetryBudget>>,
 }
 
-/// The router that is to be a member of a fleet.
+/// The router that joins a fleet, as configured at its start.
 pub struct LocalRouter {
-    /// Its name.
+    /// The router's name.
     pub name: String,
-    /// Its location, by its position in the deployment's list.
+    /// The router's location, as an index into the deployment's list of locations.
     pub location: u16,
-    /// The settings that it was started with.
+    /// The settings with which the router was started.
     pub settings: Settings,
-    /// The names of its request classes.
+    /// The names of the router's request classes.
     pub classes: Vec<String>,
-    /// Limits of its connections to peers.
+    /// The limits of connections to peers.
     pub limits: PeerLimits,
-    /// How many requests may be open where the policy does not say.
+    /// The maximum number of open requests if the policy does not set one.
     pub open_requests_limit: usize,
-    /// How many requests are in flight.
+    /// Returns the number of requests in flight.
     pub requests_in_flight: Box<dyn Fn() -> usize>,
-    /// The Retry-After of rejected requests.
+    /// The Retry-After value of rejected requests.
     pub retry_after: Span,
 }
 
 /// The status of this router, for its operator.
 pub struct FleetStatus {
-    /// That of the node.
+    /// The status of the consensus node.
     pub node: Status,
-    /// What was sent to peers.
+    /// The messages sent to peers since the start.
     pub sent: SentTraffic,
 }
 
-/// This process, and its stable storage.
+/// The identity of this process and its stable storage.
 struct Process {
     incarnation: Incarnation,
     replica_id: u64,
@@ -94,7 +95,7 @@
 }
 
 impl Fleet {
-    /// Starts the node, and its tasks on that executor.
+    /// Starts the node, and spawns its tasks on `executor`.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         configuration: &FleetConfiguration,
@@ -110,7 +111,7 @@
         let (incarnation, replica_id) = (identity.incarnation, identity.replica_id);
         tracing::info!(front = "fleet", at = %bound, %incarnation, replica_id, "listening");
         let clock = BootClock::start();
-        let random_seed = getrandom::u64().context("a seed")?;
+        let random_seed = getrandom::u64().context("can't read a random seed from the system")?;
         let config = NodeConfig {
             fleet: configuration.name.clone(),
             identity,
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Does the node's writes, one after the other, on a thread that may wait for the disk.
+    /// Executes the node's storage writes in order, on a thread pool where waiting for the disk blocks no
+    /// task.
     async fn write_all(&self, pending: Receiver<StorageWrite>, storage: Option<Arc<ReplicaStorage>>) {
         while let Ok(write) = pending.recv().await {
             let number = write.number;
@@ -194,9 +196,9 @@
             if let Some(storage) = storage.as_ref().filter(|_| is_needed) {
                 let storage = Arc::clone(storage);
                 if let Err(error) = blocking::unblock(move || storage.write(&write)).await {
-                    // A write that failed is never reported as completed: this replica does not vote any
-                    // more.
-                    tracing::error!(%error, "replica storage can't be written; this voter stops voting");
+                    // A failed write is never reported as completed and later writes are not executed, so
+                    // this replica does not vote any more.
+                    tracing::error!(%error, "write to replica storage failed; this voter stops voting");
                     return;
                 }
             }
@@ -204,15 +206,15 @@
         }
     }
 
-    /// Passes an event to the node, at the current time, and carries out the actions that it leads to.
-    /// Nothing is awaited meanwhile.
+    /// Passes an event to the node at the current time, and carries out the resulting actions. Does not await
+    /// anything, so no other task sees the node in an intermediate state.
     pub fn with_node<T>(&self, event: impl FnOnce(&mut Node, Moment) -> T) -> T {
         let _exit = ExitOnPanic;
         let (result, mut actions) = {
             let mut node = self.node.borrow_mut();
             let (now, has_jumped) = self.clock.now();
             if has_jumped {
-                tracing::warn!("clock jumped; lease and clock readings discarded");
+                tracing::warn!("local clock jumped; the policy lease and all clock readings are discarded");
                 node.clock_jumped(now);
             }
             let result = event(&mut node, now);
@@ -226,11 +228,11 @@
         result
     }
 
-    /// Carries out an action, and returns those that it leads to.
+    /// Carries out an action, and returns the actions that result from it.
     fn carry_out(&self, action: Action) -> Vec<Action> {
         match action {
             Action::Send { address, envelope } => self.peers.send(&address, &envelope),
-            // The channel is closed once a write has failed.
+            // After a failed write the channel is closed, and further writes are dropped.
             Action::Write(write) => drop(self.writes.try_send(write)),
             Action::CheckPolicy(version) => {
                 let objection = self.check_policy(&version);
@@ -244,32 +246,34 @@
         Vec::new()
     }
 
-    /// The policy that a fleet bootstrapped here begins with: what this router was started with.
+    /// Returns the policy with which a fleet bootstrapped by this router begins: the settings with which the
+    /// router was started.
     pub fn initial_policy(&self) -> Policy {
         keys::from_settings(&self.settings, &self.classes)
     }
 
-    /// The names of this router's request classes.
+    /// Returns the names of this router's request classes.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// The status of this router.
+    /// Returns the status of this router.
     pub fn status(&self) -> FleetStatus {
         FleetStatus { node: self.with_node(Node::status), sent: self.peers.sent() }
     }
 
-    /// Whether requests are accepted now.
+    /// Returns whether this router accepts requests now, that is, whether it has an active policy.
     pub fn is_available(&self) -> bool {
         self.with_node(|node, now| node.active_policy(now).is_ok())
     }
 }
 
 impl Process {
-    /// A new incarnation of the replica in the storage directory, or, without one, of a new replica.
+    /// Starts a new incarnation of the replica in the storage directory, or of a new replica if this router
+    /// has no storage or may not vote.
     fn start(configuration: &FleetConfiguration, name: &str, checks: FleetChecks) -> Result<Self> {
-        // Drawn from the system: the node's seed may be the same again.
-        let random = getrandom::u64().context("a number for this start")?;
+        // Read from the system and not from the node's random generator, whose seed may repeat.
+        let random = getrandom::u64().context("can't read a random incarnation from the system")?;
         let incarnation = if checks.unique_incarnations { random } else { stable_id(name) };
         let directory = configuration.storage_directory.as_ref().filter(|_| configuration.may_vote);
         let Some(directory) = directory else {
@@ -293,7 +297,8 @@
         })
     }
 
-    /// Without a configured address, peers reach this router where it listens.
+    /// Returns the identity that peers see. The address is the one the router listens on, unless another one
+    /// is configured.
     fn identity(
         &self,
         configuration: &FleetConfiguration,
@@ -318,14 +323,15 @@
     limits
 }
 
-/// Ends the process if the node panics. A task that panics is dropped and the others go on, but nobody may go
-/// by, or vote by, a state that is half changed: the process ends, and returns as another incarnation.
+/// Exits the process if the node panics while this guard is held. The executor drops only the task that
+/// panicked and continues with the others, but a half-changed state must not be used to admit requests or to
+/// vote. The process therefore exits, and its restart is another incarnation.
 pub(super) struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            tracing::error!("the consensus node has failed: the process exits");
+            tracing::error!("consensus node panicked; the process exits, as its state may be inconsistent");
             std::process::exit(NODE_FAILURE_EXIT_STATUS);
         }
     }
--- a/crates/router/src/fleet/transitions.rs
+++ b/crates/router/src/fleet/transitions.rs
@@ -1,4 +1,4 @@
-//! Log lines of changes of the agreed state. Their texts are in the operators' documentation.
+//! Logs changes of the agreed state. The operators' documentation quotes these lines.
 
 use tindoor_policy::Transition;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Logs that this router leads the voters in that term, or, with none, that it no longer does.
+/// Logs that this router became the leader in `term`, or, if `None`, that it is no longer the leader.
 pub(super) fn log_leadership(term: Option<u64>) {
     match term {
         Some(term) => tracing::info!(term, "became leader"),
