--- a/crates/router/src/external/call.rs
+++ b/crates/router/src/external/call.rs
@@ -1,4 +1,4 @@
-//! A call of a proxy, as its front holds it.
+//! A proxy's call, as a front holds it while it serves the call.
 
 use std::rc::Rc;
 
@@ -7,13 +7,14 @@
 
 use super::ExternalProcessing;
 
-/// A call; it ends when it is dropped.
+/// A proxy's call. Dropping it ends the call, unless `outlives_connection` is set.
 pub struct Call {
     pub external: Rc<ExternalProcessing>,
     pub id: CallId,
-    /// Where the replies to it arrive.
+    /// Receives the replies to the call.
     pub replies: Rc<Mailbox<CallReply>>,
-    /// Whether it continues when its connection ends: its report comes on another.
+    /// Whether the call continues after this value is dropped, because its report arrives as a separate
+    /// request.
     pub outlives_connection: bool,
 }
 
--- a/crates/router/src/external/checks.rs
+++ b/crates/router/src/external/checks.rs
@@ -1,10 +1,10 @@
-//! The checks of externally processed requests.
+//! Determines which safety checks of externally processed requests are enabled.
 
 use tindoor_external_requests::EnabledChecks;
 
 use crate::disabled_check::is_disabled;
 
-/// All checks, but for the one that an experiment disables.
+/// Returns all checks enabled, except the one that an experiment disables.
 pub fn enabled() -> EnabledChecks {
     EnabledChecks {
         idempotency_keys: !is_disabled("marks"),
--- a/crates/router/src/external/grpc/exchange.rs
+++ b/crates/router/src/external/grpc/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a proxy, from its headers to the end of its stream.
+//! Serves one request of a proxy over a gRPC stream, from the request's headers to the end of the stream.
 
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
 use crate::state::RouterState;
 use crate::timeout::with_timeout;
 
-/// Serves one request.
+/// Serves one request: sends the decision, receives the report, and replies to it.
 pub async fn serve(
     router: &Rc<RouterState>,
     stream: &mut MessageStream<'_>,
@@ -28,7 +28,7 @@
     let request = match read_request(router, &headers_of(&headers), names) {
         Ok(request) => request,
         Err(error) => {
-            tracing::debug!(%error, "unusable request of an external proxy");
+            tracing::debug!(%error, "invalid request from an external proxy; answered with status 400");
             stream.send(&response::immediate(bad_request(error.to_string()))).await?;
             return drain(router, stream).await;
         }
@@ -42,7 +42,8 @@
     drain(router, stream).await
 }
 
-/// The first message, which must be the request's headers; none where the proxy closed its side at once.
+/// Returns the first message, which must be the request's headers. `None` if the proxy closed its side
+/// without sending a message.
 async fn request_headers(
     router: &RouterState,
     stream: &mut MessageStream<'_>,
@@ -55,8 +56,8 @@
     }
 }
 
-/// Waits for the decision and sends it; none where a final response was sent in its place. A proxy that ends
-/// its stream meanwhile has given the request up.
+/// Waits for the decision and sends it. Returns `None` if a final response was sent instead. A proxy that
+/// closes its side of the stream while the router waits has abandoned the request.
 async fn send_decision(
     router: &Rc<RouterState>,
     stream: &mut MessageStream<'_>,
@@ -77,7 +78,7 @@
         fields.extend(request.path.iter().map(|path| HeaderField::new(":path", path)));
         let bytes = frames::encode(&response::forward_request(fields));
         stream.reserve(bytes.len()).await?;
-        // The decision may have been withdrawn while the proxy's window had no capacity.
+        // The decision may have been withdrawn while the stream waited for capacity in the proxy's window.
         if router.external.confirm_send(call, &reply) {
             stream.send_reserved(bytes)?;
             return Ok(Some(decision));
@@ -90,7 +91,7 @@
     Phase(Result<Option<Phase>, StreamEnd>),
 }
 
-/// Waits for the headers of the response, which are the report.
+/// Waits for the headers of the endpoint's response, which are the report on the decision.
 async fn receive_report(
     router: &Rc<RouterState>,
     stream: &mut MessageStream<'_>,
@@ -127,19 +128,20 @@
 ) -> Result<(), StreamEnd> {
     let headers = headers_of(headers);
     if let Some(signed_urls) = &router.signed_urls {
-        // Endpoints tell the time by the date of their responses; 0 stands for the discovery service.
+        // The `Date` headers of endpoints are clock readings. Number 0 is the discovery service, so endpoints
+        // are numbered from 1.
         let participant = 1 + u64::from(decision.endpoint.0);
         signed_urls.observe_date_header(participant, &headers, router.engine.clock.unix_ms());
     }
     let report = read_report(&headers).map_err(|error| {
-        tracing::debug!(%error, "unusable report of an external proxy");
+        tracing::debug!(%error, "invalid report from an external proxy; its stream is ended");
         StreamEnd::invalid("the response's headers can't be used")
     })?;
     router.external.report_received(call, report);
     Ok(())
 }
 
-/// A reply that comes while the decision is in flight can only end the stream.
+/// Returns how the stream ends when a reply arrives before the report: any reply at that point is final.
 fn end_without_report(reply: &CallReply) -> StreamEnd {
     match reply {
         CallReply::Failed(RefusalReason::NotReported) | CallReply::Rejected(..) => {
@@ -167,7 +169,7 @@
     stream.send(&message).await
 }
 
-/// The next reply to a call; phases that come meanwhile are passed on unchanged.
+/// Returns the next reply to a call. Phases that arrive first are passed on unchanged.
 async fn next_reply(call: &Call, stream: &mut MessageStream<'_>) -> Result<CallReply, StreamEnd> {
     loop {
         let reply = async { Event::Reply(call.replies.next().await) };
@@ -185,7 +187,7 @@
     }
 }
 
-/// Passes on the phases that come after the last reply, until the proxy closes its side.
+/// Passes on the phases that arrive after the last reply, until the proxy closes its side.
 async fn drain(router: &RouterState, stream: &mut MessageStream<'_>) -> Result<(), StreamEnd> {
     let drained = async { Ok(pass_remaining(stream).await) };
     let left_open = Err(StreamEnd::timed_out("the stream was left open"));
@@ -202,7 +204,7 @@
     Ok(())
 }
 
-/// The reply that passes a phase on unchanged.
+/// Returns the reply that passes a phase on unchanged.
 fn unchanged(phase: &Phase) -> ProcessingResponse {
     let unchanged = HeadersResponse { response: Some(Default::default()) };
     let reply = match phase {
@@ -216,7 +218,8 @@
     ProcessingResponse { reply: Some(reply), mode_override: None }
 }
 
-/// The headers of a message; a value is in one of two fields, by the proxy's settings.
+/// Returns the headers of a message. The proxy's settings determine which of two fields holds a header's
+/// value.
 fn headers_of(headers: &HttpHeaders) -> Headers<'_> {
     let list = headers.headers.iter().flat_map(|map| &map.headers);
     let pairs = list.map(|header| {
--- a/crates/router/src/external/grpc/mod.rs
+++ b/crates/router/src/external/grpc/mod.rs
@@ -1,5 +1,5 @@
-//! The external processing front: proxies call the router over gRPC for each request, and carry the bytes
-//! themselves.
+//! The external processing front: for each request, a proxy calls the router over gRPC, and transfers the
+//! bytes itself.
 
 mod exchange;
 mod stream;
@@ -39,10 +39,10 @@
     let builder = connection_builder(limits);
     let handshake = async { builder.handshake(stream.compat()).await.map_err(io::Error::other) };
     let mut connection: Connection = with_timeout(limits.frame_timeout, handshake).await?;
-    // Each open stream holds a clone.
+    // Each open stream holds a clone; the strong count minus one is the number of open streams.
     let open_streams = Rc::new(());
     let mut last_used = Instant::now();
-    // One timer for the life of the connection, as setting one costs a system call.
+    // One timer for the whole connection, as creating a timer costs a system call.
     let mut idle = Timer::after(limits.idle_timeout);
     loop {
         let accepted = or(async { Some(connection.accept().await) }, async {
@@ -70,8 +70,8 @@
     }
 }
 
-/// Bounds what one proxy may cost: streams, resets before they are accepted, and headers; continuation frames
-/// count as headers.
+/// Returns a builder with limits on what one connection may use: open streams, streams that are reset before
+/// they are accepted, headers (continuation frames included), and buffered data.
 fn connection_builder(limits: &ProxyLimits) -> server::Builder {
     let mut builder = server::Builder::new();
     builder
@@ -94,7 +94,7 @@
     with_timeout(limits.frame_timeout, closed).await
 }
 
-/// Serves one call of the service: its messages, and its status at the end.
+/// Serves one call of the service: replies to its messages, and sends the gRPC status at the end.
 async fn serve_stream(
     router: &Rc<RouterState>,
     request: Request<RecvStream>,
@@ -116,12 +116,17 @@
         && let Some(times) = router.malformed_log.record()
     {
         let GrpcStatus { code, message } = status;
-        tracing::warn!(code, reason = message, times, "stream of an external proxy ended with an error");
+        tracing::warn!(
+            code,
+            reason = message,
+            times,
+            "stream of an external proxy ended with a gRPC error status"
+        );
     }
     stream.send_trailers(trailers(status));
 }
 
-/// The response to a call of something else than this service.
+/// Returns the response to a call that is not for this service. `None` if the call is for this service.
 fn refusal_of(request: &Request<RecvStream>) -> Option<Response<()>> {
     let content_type = request.headers().get("content-type").map(http::HeaderValue::as_bytes);
     let is_grpc = content_type.is_some_and(|kind| kind.starts_with(CONTENT_TYPE.as_bytes()));
--- a/crates/router/src/external/grpc/stream.rs
+++ b/crates/router/src/external/grpc/stream.rs
@@ -1,4 +1,4 @@
-//! The messages of one stream, in both directions, and how it ends.
+//! Receives and sends the messages of one gRPC stream, and defines the ways in which a stream ends.
 
 use std::future;
 use std::io;
@@ -13,7 +13,7 @@
 use crate::state::RouterState;
 use crate::timeout::with_timeout;
 
-/// The status of a call: a code and a message.
+/// The gRPC status of a call: a code and a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrpcStatus {
     pub code: u16,
@@ -34,14 +34,14 @@
 /// Why a stream ends early.
 #[derive(Clone, Copy, Debug)]
 pub enum StreamEnd {
-    /// With this status.
+    /// The stream ends with this status in its trailers.
     Status(GrpcStatus),
-    /// It was reset, or its connection closed: nobody reads a status.
+    /// The stream was reset, or its connection was closed; no status can be sent.
     Gone,
 }
 
 impl StreamEnd {
-    /// The proxy closed its side: nobody waits for the rest.
+    /// The proxy closed its side of the stream and does not wait for further replies.
     pub const CLOSED: Self = Self::Status(GrpcStatus::OK);
 
     pub fn invalid(message: &'static str) -> Self {
@@ -90,7 +90,8 @@
         Self { limits: &router.limits.proxy, sender, receiver, received: BytesMut::new() }
     }
 
-    /// The next phase; none at the end of the proxy's side. May be dropped and called again.
+    /// Returns the next phase, or `None` once the proxy has closed its side. Cancel safe: no data is lost if
+    /// the future is dropped before it completes.
     pub async fn next(&mut self) -> Result<Option<Phase>, StreamEnd> {
         loop {
             if let Some(message) = frames::decode(&mut self.received, self.limits.max_message_bytes)? {
@@ -115,7 +116,8 @@
         self.send_reserved(bytes)
     }
 
-    /// Waits for so much capacity in the proxy's window; resets the stream where it does not come in time.
+    /// Waits until the proxy's window has capacity for this many bytes. Resets the stream if that takes
+    /// longer than the write timeout.
     pub async fn reserve(&mut self, bytes: usize) -> Result<(), StreamEnd> {
         self.sender.reserve_capacity(bytes);
         let sender = &mut self.sender;
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Sends bytes for which [`reserve`](Self::reserve) has reserved capacity.
+    /// Sends bytes for which [`reserve`](Self::reserve) has already reserved capacity.
     pub fn send_reserved(&mut self, bytes: Bytes) -> Result<(), StreamEnd> {
         self.sender.send_data(bytes, false).map_err(|_| StreamEnd::Gone)
     }
--- a/crates/router/src/external/http.rs
+++ b/crates/router/src/external/http.rs
@@ -1,5 +1,6 @@
-//! The plain call front: an HTTP/1.1 request asks for a decision, and another reports how it ended, for
-//! proxies that know only sub-requests. A second codec over the same table as external processing.
+//! The plain call front, for proxies that support only HTTP sub-requests: one HTTP/1.1 request asks for a
+//! decision, and a second one reports the outcome. It uses the same table as the gRPC front, with another
+//! codec.
 
 use std::fmt::Write;
 use std::io;
@@ -19,19 +20,21 @@
 use crate::timeout::with_timeout;
 
 const REPORT_PATH: &str = "/report";
-/// The id of a call, by which it is reported.
-const LEASE: &str = "x-tindoor-lease";
+/// The header with the id of a call, which the report on that call repeats.
+const LEASE_HEADER: &str = "x-tindoor-lease";
+/// The maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
+/// The number of hexadecimal digits of a correlation id.
 const CORRELATION_ID_DIGITS: usize = 16;
 
-/// The head of a request.
+/// The path and headers of a request.
 struct RequestHead {
     path: String,
     headers: Vec<(String, Vec<u8>)>,
     closes_connection: bool,
 }
 
-/// One connection: each request is answered before the next is read.
+/// One connection. Each request is answered before the next one is read.
 struct Connection {
     router: Rc<RouterState>,
     names: Rc<HeaderNames>,
@@ -66,7 +69,7 @@
 }
 
 impl Connection {
-    /// Reads the next request; none where the proxy has closed.
+    /// Reads the next request. `None` if the proxy has closed the connection.
     async fn next_request(&mut self) -> io::Result<Option<RequestHead>> {
         loop {
             if let Some((head, size)) = parse_head(&self.received)? {
@@ -104,8 +107,8 @@
         with_timeout(self.router.limits.proxy.write_timeout, self.stream.write_all(head.as_bytes())).await
     }
 
-    /// Responds with a decision or a final refusal. A proxy that closes its connection before has given the
-    /// request up.
+    /// Responds with a decision or a final refusal. A proxy that closes its connection before the response
+    /// has abandoned the request.
     async fn decide(&mut self, head: &RequestHead) -> io::Result<()> {
         let router = Rc::clone(&self.router);
         let request = match read_request(&router, &head.headers(), &self.names) {
@@ -121,8 +124,9 @@
             let response = match reply {
                 CallReply::Decision { .. } if !router.external.confirm_send(&call, &reply) => continue,
                 CallReply::Decision { .. } => {
-                    // The proxy may use the decision once its first byte is sent: the report comes as a
-                    // request of its own, or the decision expires.
+                    // The proxy may use the decision as soon as the first byte of the response is sent. From
+                    // then on the call ends when its report arrives, as a separate request, or when the
+                    // decision expires.
                     call.outlives_connection = true;
                     decision_response(&router, &call, &request, &reply)
                 }
@@ -132,12 +136,12 @@
         }
     }
 
-    /// Takes a report. Status 204 has the proxy pass the endpoint's response on, 200 has it call again, and
-    /// any other is the response to the client.
+    /// Handles a report. The response's status instructs the proxy: with 204 it passes the endpoint's
+    /// response on, with 200 it calls again for a retry, and any other response is sent to the client.
     async fn report(&mut self, head: &RequestHead) -> io::Result<()> {
         let router = Rc::clone(&self.router);
         let headers = head.report_headers();
-        let lease = head.number(LEASE).map(CallId);
+        let lease = head.number(LEASE_HEADER).map(CallId);
         let (Some(correlation_id), Some(lease)) = (self.correlation_id(&headers), lease) else {
             let response = bad_request("x-tindoor-lease or the ticket: missing");
             return self.respond(&response, head.closes_connection).await;
@@ -151,7 +155,7 @@
         let call = router.external.open_call();
         let is_attached = router.external.report_on_earlier_call(&call, lease, correlation_id, report);
         let reply = self.next_reply(&call).await;
-        // Only where it was attached: a made-up lease must not take another call's reply away.
+        // Only if it was attached: a report with a guessed lease must not detach another call's mailbox.
         if is_attached {
             router.external.detach(lease);
         }
@@ -172,14 +176,14 @@
         u64::from_str_radix(text, 16).ok()
     }
 
-    /// The next reply to a call; an error where the proxy closes first.
+    /// Returns the next reply to a call, or an error if the proxy closes the connection first.
     async fn next_reply(&self, call: &Call) -> io::Result<CallReply> {
         let reply = async { Ok(call.replies.next().await) };
         let closed = async {
             self.stream.readable().await?;
             match self.stream.get_ref().peek(&mut [0]) {
                 Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
-                // The next request came early; it is read once this one is answered.
+                // The next request has already arrived; it is read after this one is answered.
                 Ok(_) => std::future::pending().await,
                 Err(error) => Err(error),
             }
@@ -195,7 +199,7 @@
         Headers(std::iter::once(path).chain(headers).collect())
     }
 
-    /// The same, with the endpoint's status, which has a header of its own here.
+    /// Returns the headers of a report, with `x-status`, the endpoint's status, under the name `:status`.
     fn report_headers(&self) -> Headers<'_> {
         let mut headers = self.headers();
         for header in headers.0.iter_mut().filter(|header| header.0 == "x-status") {
@@ -204,7 +208,7 @@
         headers
     }
 
-    /// A header that is given once, as a number.
+    /// Returns a header's value as a number. `None` if the header is missing, repeated or not a number.
     fn number(&self, name: &str) -> Option<u64> {
         let mut values = self.headers.iter().filter(|header| header.0 == name);
         let value = values.next().filter(|_| values.next().is_none())?;
@@ -212,7 +216,7 @@
     }
 }
 
-/// Parses the head of a request and its size in bytes; none while it is incomplete.
+/// Parses the head of a request, and returns it with its size in bytes. `None` if the head is incomplete.
 fn parse_head(received: &[u8]) -> io::Result<Option<(RequestHead, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -234,7 +238,7 @@
     Ok(Some((RequestHead { path, headers, closes_connection }, size)))
 }
 
-/// The response that carries a decision.
+/// Returns the response that carries a decision.
 fn decision_response(
     router: &RouterState,
     call: &Call,
@@ -247,7 +251,7 @@
     let target = target::resolve(router, decision);
     let mut fields =
         response::decision_headers(&request.request, decision, &target, *use_within, *time_remaining);
-    fields.push(HeaderField::new(LEASE, call.id.0.to_string()));
+    fields.push(HeaderField::new(LEASE_HEADER, call.id.0.to_string()));
     fields.extend(request.path.iter().map(|path| HeaderField::new("x-tindoor-path", path)));
     let cookie = request.renewal_cookie(router);
     fields.extend(cookie.map(|cookie| HeaderField::new("x-tindoor-set-cookie", cookie)));
--- a/crates/router/src/external/listener.rs
+++ b/crates/router/src/external/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of proxies, for both fronts.
+//! Accepts connections from proxies, for both fronts.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -8,7 +8,7 @@
 
 use crate::state::RouterState;
 
-/// Accepts connections for as long as the router runs, and spawns `serve` for each of them.
+/// Accepts connections for as long as the router runs, and spawns the future that `serve` returns for each.
 pub async fn accept_connections<F>(
     router: Rc<RouterState>,
     listener: Async<TcpListener>,
@@ -16,7 +16,7 @@
 ) where
     F: Future<Output = io::Result<()>> + 'static,
 {
-    // Each open connection holds a clone.
+    // Each open connection holds a clone; the strong count minus one is the number of open connections.
     let open_connections = Rc::new(());
     loop {
         // Connections over the limit wait in the listener's backlog.
@@ -31,7 +31,7 @@
                 let served = serve(Rc::clone(&router), stream);
                 let task = async move {
                     if let Err(error) = served.await {
-                        tracing::debug!(%error, "connection of an external proxy closed");
+                        tracing::debug!(%error, "connection of an external proxy ended with an error");
                     }
                     drop(guard);
                 };
@@ -39,7 +39,11 @@
             }
             Err(error) => {
                 if let Some(times) = router.overload_log.record() {
-                    tracing::warn!(%error, times, "can't accept a connection of an external proxy");
+                    tracing::warn!(
+                        %error,
+                        times,
+                        "can't accept a connection from an external proxy; accepting is retried after a pause"
+                    );
                 }
                 router.endpoints.sweep_idle();
                 Timer::after(router.limits.poll_interval).await;
--- a/crates/router/src/external/mod.rs
+++ b/crates/router/src/external/mod.rs
@@ -1,6 +1,6 @@
-//! Requests of external proxies: they carry the bytes themselves and ask the router for each request where to
-//! send it. Connects the table of these requests to the routing engine and to the two fronts, gRPC and plain
-//! HTTP.
+//! Requests that external proxies process. Such a proxy transfers the bytes itself and asks the router, for
+//! each request, where to send it. This module connects the table of these requests to the routing engine and
+//! to the two fronts, gRPC and plain HTTP.
 
 mod call;
 mod checks;
@@ -31,7 +31,7 @@
     executor: Rc<LocalExecutor<'static>>,
     engine: Rc<EngineHandle>,
     ids: InFlightIds,
-    /// Requests in flight at once, those of all fronts.
+    /// The maximum number of requests in flight at once, over all fronts.
     max_requests: usize,
     table: RefCell<ExternalRequestTable>,
     in_flight: RefCell<InFlight>,
@@ -39,7 +39,7 @@
 }
 
 impl ExternalProcessing {
-    /// Nothing is in flight yet.
+    /// Creates an instance without requests.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         engine: Rc<EngineHandle>,
@@ -59,7 +59,8 @@
         })
     }
 
-    /// Applies an event to the table at the present time. Nothing is awaited inside.
+    /// Applies an event to the table at the current time, and sets the timer for the table's next timeout.
+    /// Does not await anything.
     fn apply<T>(self: &Rc<Self>, event: impl FnOnce(&mut ExternalRequestTable, Moment, &mut Host) -> T) -> T {
         let mut table = self.table.borrow_mut();
         let mut in_flight = self.in_flight.borrow_mut();
@@ -77,13 +78,13 @@
         Call { external: Rc::clone(self), id, replies, outlives_connection: false }
     }
 
-    /// A proxy asks for a decision; the replies come to the call's mailbox.
+    /// Handles a proxy's request for a routing decision. The replies arrive in the call's mailbox.
     fn call_received(self: &Rc<Self>, call: &Call, request: ExternalRequest) {
         let ExternalRequest { correlation_id, attempt, .. } = request;
         tracing::debug!(call = call.id.0, correlation_id, attempt, "external request received");
         let is_known = self.table.borrow().contains(correlation_id);
         let is_full = !self.engine.has_capacity(self.max_requests);
-        // A correlation id names one request at a time, on whichever front it came.
+        // A correlation id identifies one request at a time across all fronts.
         if !is_known && self.ids.contains(correlation_id) {
             return call.replies.replace(CallReply::Failed(RefusalReason::CorrelationIdInUse));
         }
@@ -94,19 +95,20 @@
         self.apply(|table, now, host| table.call_received(now, host, call.id, request));
     }
 
-    /// Marks a reply as sent right before it is; false where it was withdrawn.
+    /// Marks a reply as sent, immediately before it is sent. Returns false if the reply was withdrawn and
+    /// must not be sent.
     fn confirm_send(&self, call: &Call, reply: &CallReply) -> bool {
         self.table.borrow_mut().confirm_send(call.id, reply)
     }
 
-    /// A proxy reports on the call itself.
+    /// Handles a report that a proxy sends on the stream of its own call.
     fn report_received(self: &Rc<Self>, call: &Call, report: Report) {
         self.apply(|table, now, host| table.report_received(now, host, call.id, None, report));
     }
 
-    /// A proxy reports on an earlier call, by its id and the correlation id; `call` gets the replies to the
-    /// earlier one from now on. False where that call still has its connection or no decision in flight: a
-    /// made-up id must not take over another's call.
+    /// Handles a proxy's report on an earlier call, identified by its id and the correlation id. From now on,
+    /// `call` receives the replies to the earlier call. Returns false if the earlier call still has its
+    /// connection, or has no decision in flight: a guessed id must not take over another proxy's call.
     fn report_on_earlier_call(
         self: &Rc<Self>,
         call: &Call,
@@ -126,9 +128,9 @@
         true
     }
 
-    /// The reply to a report on an earlier call was given, or nobody waits for it.
-    fn detach(&self, earlier: CallId) {
-        self.in_flight.borrow_mut().remove_call(earlier);
+    /// Discards the mailbox of a call, after the reply to its report was read or when no proxy waits for one.
+    fn detach(&self, call: CallId) {
+        self.in_flight.borrow_mut().remove_call(call);
     }
 
     /// Carries out an action of the routing engine.
@@ -145,13 +147,13 @@
             Action::Cancel(attempt_index) => table.attempt_cancelled(host, number, attempt_index),
             Action::Reject(retry_after) => table.request_rejected(now, host, number, retry_after),
             Action::Fail => table.request_failed(now, host, number),
-            // Every request gets this at the shutdown; the first of them ends all.
+            // The engine abandons every request at shutdown; the first of these actions ends them all.
             Action::Abandon => table.shut_down(now, host),
         });
     }
 
-    /// The endpoint list changed, or objects were purged: withdraws the decisions that `is_stale` says would
-    /// now be different, where they have not been sent.
+    /// Withdraws the decisions that have not been sent and for which `is_stale` returns true, after a change
+    /// of the endpoint list or a purge: the engine might now decide differently.
     pub fn withdraw_stale_decisions(
         self: &Rc<Self>,
         is_stale: impl Fn(&ExternalRequest, &RoutingDecision) -> bool,
@@ -159,12 +161,12 @@
         self.apply(|table, _, host| table.withdraw_stale_decisions(host, is_stale));
     }
 
-    /// What happened so far.
+    /// Returns the number of events so far, by kind.
     pub fn counters(&self) -> Counters {
         self.table.borrow().counters
     }
 
-    /// Calls the table whenever its timer fires; never returns.
+    /// Runs the table's timers; never returns.
     pub async fn run_timers(self: &Rc<Self>) {
         loop {
             self.timer.fired().await;
--- a/crates/router/src/external/request.rs
+++ b/crates/router/src/external/request.rs
@@ -1,4 +1,4 @@
-//! Reads a request of an external proxy and checks its signed URL, for both fronts.
+//! Parses a request from an external proxy and checks its signed URL, for both fronts.
 
 use tindoor_external_requests::{CallReply, ExternalRequest};
 use tindoor_extproc::request::{self as request_headers, HeaderError, HeaderNames, Headers};
@@ -12,26 +12,27 @@
 const FORBIDDEN: u16 = 403;
 const BAD_REQUEST: u16 = 400;
 
-/// A request that was read, with the result of the check of its signed URL.
+/// A parsed request, with the result of the check of its signed URL.
 pub struct CheckedRequest {
     pub request: ExternalRequest,
-    /// Where signed URLs are checked: the path as it was checked, to be forwarded.
+    /// The path as it was checked, to be forwarded. `None` if the router does not check signed URLs.
     pub path: Option<String>,
-    /// Why its signed URL is not valid.
+    /// Why the signed URL is not valid. `None` if it is valid or not required.
     pub denial: Option<String>,
-    /// What to sign for the next part of a playback.
+    /// The playback to sign for its next part. `None` if the request is not part of a playback.
     pub playback: Option<Playback>,
 }
 
 impl CheckedRequest {
-    /// The `Set-Cookie` value that authorizes the next part of a playback, where this is a part of one.
+    /// Returns the `Set-Cookie` value that authorizes the next part of a playback. `None` if the request is
+    /// not part of a playback.
     pub fn renewal_cookie(&self, router: &RouterState) -> Option<String> {
         let (signed_urls, playback) = router.signed_urls.as_ref().zip(self.playback.as_ref())?;
         signed_urls.renewal_cookie(playback, router.engine.clock.unix_ms())
     }
 }
 
-/// Reads a request and checks its signed URL; an error names the header at fault.
+/// Parses a request and checks its signed URL. An error names the invalid header.
 pub fn read_request(
     router: &RouterState,
     headers: &Headers,
@@ -56,22 +57,23 @@
     Ok(CheckedRequest { request, path: Some(path), denial, playback })
 }
 
-/// The response to a request that can't be read.
+/// Returns the response to a request that can't be parsed.
 pub fn bad_request(reason: impl Into<String>) -> FinalResponse {
     FinalResponse::with_reason(BAD_REQUEST, reason)
 }
 
-/// The response of a final reply.
+/// Returns the response to send for a final reply.
 pub fn final_response(reply: &CallReply) -> FinalResponse {
     let none = FinalResponse { status: BAD_GATEWAY, fields: Vec::new() };
     response::final_response(reply).unwrap_or(none)
 }
 
-/// The response of a final reply to a request; `denial` says why its signed URL is not valid.
+/// Returns the response to send for a final reply to a request. `denial` is the reason why the request's
+/// signed URL is not valid, if it is not.
 pub fn final_response_to_request(reply: &CallReply, denial: Option<&str>) -> FinalResponse {
     let mut response = final_response(reply);
     if let Some(denial) = denial {
-        // The client's own URL is at fault, not the endpoints.
+        // The client's URL is the reason for the refusal, not a failure of the endpoints.
         response.status = if response.status == BAD_GATEWAY { FORBIDDEN } else { response.status };
         for field in response.fields.iter_mut().filter(|field| field.name == REASON) {
             field.value = denial.to_string();
--- a/crates/router/src/external/table_host.rs
+++ b/crates/router/src/external/table_host.rs
@@ -1,4 +1,4 @@
-//! What the table of external requests acts through: the routing engine, and the mailboxes of calls.
+//! The host of the table of external requests: connects it to the routing engine and to the calls' mailboxes.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 
 use super::ExternalProcessing;
 
-/// Requests in flight and open calls.
+/// The requests in flight and the open calls.
 #[derive(Default)]
 pub struct InFlight {
     requests: HashMap<RequestNumber, InFlightRequest>,
@@ -22,17 +22,17 @@
 struct InFlightRequest {
     slot: RequestSlot,
     mailbox: Rc<Mailbox>,
-    /// Attempts that are not yet reported.
+    /// The attempts whose end was not yet reported to the routing engine.
     attempts: Vec<Attempt>,
-    /// To be counted at its end; none once it was counted.
+    /// Used to count the request's outcome. `None` if it was already counted, or is not to be counted.
     admitted: Option<AdmittedRequest>,
     _id: Option<InFlightId>,
-    /// Carries out the routing engine's actions.
+    /// Carries out the routing engine's actions for the request until this task is dropped.
     _actor: Task<()>,
 }
 
 impl InFlight {
-    /// Adds a call with a mailbox for its replies.
+    /// Adds a call, and returns its id and the mailbox for its replies.
     pub fn add_call(&mut self) -> (CallId, Rc<Mailbox<CallReply>>) {
         self.last_call += 1;
         let (id, replies) = (CallId(self.last_call), Rc::default());
@@ -40,7 +40,7 @@
         (id, replies)
     }
 
-    /// Has the replies to a call go to this mailbox.
+    /// Redirects the replies to a call to `replies`.
     pub fn attach(&mut self, call: CallId, replies: &Rc<Mailbox<CallReply>>) {
         self.calls.insert(call, Rc::clone(replies));
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// The table's host, for as long as one event takes.
+/// The table's host while it handles one event.
 pub struct Host<'a> {
     pub external: &'a Rc<ExternalProcessing>,
     pub in_flight: &'a mut InFlight,
@@ -102,7 +102,7 @@
 
     fn request_abandoned(&mut self, number: RequestNumber) {
         if let Some(request) = self.in_flight.requests.get_mut(&number) {
-            // A client that leaves is no sign of a bad policy: the request is not counted.
+            // Not counted: a client that leaves says nothing about the quality of the policy.
             request.admitted = None;
             self.external.engine.with(|engine| engine.request_abandoned(request.slot));
         }
@@ -112,8 +112,8 @@
         let Some(request) = self.in_flight.requests.remove(&number) else { return };
         let engine = &self.external.engine;
         engine.record_outcome(request.admitted, false);
-        // Attempts that were ordered and never issued are reported as well: the routing engine would
-        // otherwise count them as in flight for ever.
+        // Also ends the attempts that the engine ordered and the table never issued. Otherwise the routing
+        // engine would count them as in flight forever.
         let queued = std::iter::from_fn(|| request.mailbox.try_next()).filter_map(|action| match action {
             Action::Send(attempt) => Some(attempt),
             _ => None,
