--- a/crates/router/tests/external_processing.rs
+++ b/crates/router/tests/external_processing.rs
@@ -1,5 +1,6 @@
-//! External proxies that call the router for each request: the experiment with its faults, each detected once
-//! its check is disabled, and what a proxy may do to the protocol.
+//! Tests the fronts for external proxies, which call the router for each request: experiments with injected
+//! faults, which must be detected when the corresponding check is disabled, and proxies that violate the
+//! protocol.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,42 +17,42 @@
     external_processing::run(&Plan { seed, requests, seconds: 60, faults, without, clients: 24 }).unwrap()
 }
 
-fn assert_clean(figures: &Figures) {
+fn assert_no_violation(figures: &Figures) {
     assert_eq!(figures.rules_broken, 0, "{}", figures.table());
     assert!(figures.done > figures.requests / 2, "{}", figures.table());
 }
 
 #[test]
-fn a_stock_client_of_the_published_service_gets_every_request_served() {
+fn all_requests_of_a_standard_service_client_are_served() {
     let figures = experiment(1, 400, "", None);
-    assert_clean(&figures);
+    assert_no_violation(&figures);
     assert_eq!(figures.done, figures.requests, "{}", figures.table());
 }
 
 #[test]
-fn with_all_faults_mixed_every_request_has_one_answer_and_no_write_runs_twice() {
-    assert_clean(&experiment(3, 900, "all", None));
+fn under_all_faults_every_request_has_one_response_and_no_write_runs_twice() {
+    assert_no_violation(&experiment(3, 900, "all", None));
 }
 
 #[test]
 fn with_the_idempotency_key_check_disabled_a_repeated_write_is_detected() {
     let figures = experiment(2, 600, "ask-twice", Some("marks"));
     assert!(figures.saves_repeated > 0 && figures.rules_broken > 0, "{}", figures.table());
-    assert_clean(&experiment(2, 600, "ask-twice", None));
+    assert_no_violation(&experiment(2, 600, "ask-twice", None));
 }
 
 #[test]
 fn with_the_correlation_id_check_disabled_more_than_eight_attempts_are_detected() {
     let figures = experiment(2, 600, "fail", Some("tickets"));
     assert!(figures.most_attempts > 8 && figures.rules_broken > 0, "{}", figures.table());
-    assert_clean(&experiment(2, 600, "fail", None));
+    assert_no_violation(&experiment(2, 600, "fail", None));
 }
 
 #[test]
 fn with_the_withdrawal_check_disabled_requests_to_a_drained_cache_are_detected() {
     let figures = experiment(2, 1500, "window,drain", Some("withdraw"));
     assert!(figures.sent_after_drain > 0 && figures.rules_broken > 0, "{}", figures.table());
-    assert_clean(&experiment(2, 1500, "window,drain", None));
+    assert_no_violation(&experiment(2, 1500, "window,drain", None));
 }
 
 #[test]
@@ -62,10 +63,10 @@
         "{}",
         figures.table()
     );
-    assert_clean(&experiment(2, 300, "silent", None));
+    assert_no_violation(&experiment(2, 300, "silent", None));
 }
 
-/// A router with both fronts, and one cache.
+/// A router with both fronts, one cache and an origin that never responds.
 struct Fixture {
     _discovery: ChangeStream,
     cache: Cache,
@@ -96,15 +97,15 @@
         Self(stream)
     }
 
-    /// The head of the response.
+    /// Sends a request, and returns the head of the response.
     fn request(&mut self, head: &str) -> String {
         self.0.write_all(head.as_bytes()).unwrap();
-        let (mut answer, mut byte) = (Vec::new(), [0]);
-        while !answer.ends_with(b"\r\n\r\n") {
+        let (mut response, mut byte) = (Vec::new(), [0]);
+        while !response.ends_with(b"\r\n\r\n") {
             self.0.read_exact(&mut byte).unwrap();
-            answer.push(byte[0]);
+            response.push(byte[0]);
         }
-        String::from_utf8(answer).unwrap()
+        String::from_utf8(response).unwrap()
     }
 }
 
@@ -116,7 +117,7 @@
 const IDEMPOTENCY_KEY: &str = "x-nonce: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
 #[test]
-fn the_plain_call_returns_the_same_decision_and_accepts_its_report() {
+fn the_plain_call_front_returns_a_decision_and_accepts_one_report_on_it() {
     let fixture = fixture();
     let mut client = PlainCallClient::connect(fixture.router.front("call"));
     let request = format!("GET /v1/store/pages/{OBJECT}/3 HTTP/1.1\r\nx-ticket: 00000000000000a1\r\n\r\n");
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn a_duplicate_write_by_the_plain_call_is_answered_from_its_one_run() {
+fn a_duplicate_write_by_plain_call_waits_and_gets_the_result_of_the_first() {
     let fixture = fixture();
     let at = fixture.router.front("call");
     let write = |correlation_id| {
@@ -155,7 +156,7 @@
     let decision = first.request(&write("00000000000000b1"));
     let lease = header(&decision, "x-tindoor-lease").unwrap().to_string();
     let second = std::thread::spawn(move || PlainCallClient::connect(at).request(&write("00000000000000b2")));
-    // It waits. A report with a made-up lease must not take its reply away.
+    // The second call now waits. Reports with guessed leases must not detach its mailbox.
     fixture.router.log.wait("the second call", |log| {
         let calls = log.iter().filter(|line| line.contains("external request received call="));
         (calls.count() >= 2).then_some(())
@@ -179,11 +180,11 @@
 }
 
 #[test]
-fn an_unreadable_request_is_refused_with_the_header_at_fault() {
+fn an_invalid_request_is_refused_with_status_400_and_the_name_of_the_invalid_header() {
     let fixture = fixture();
     let path_of_read = format!("/v1/store/pages/{OBJECT}/3");
     let correlation_id = "x-ticket: 00000000000000c1";
-    for (path, headers, header_at_fault) in [
+    for (path, headers, invalid_header) in [
         ("/elsewhere", correlation_id, ":path"),
         ("/v1/store/nothing/7f3a9c21e0b4d655/3", correlation_id, ":path"),
         ("/v1/store/pages/7f3a9c21e0b4d655/03", correlation_id, ":path"),
@@ -197,46 +198,47 @@
         let mut client = PlainCallClient::connect(fixture.router.front("call"));
         let refused = client.request(&format!("GET {path} HTTP/1.1\r\n{headers}\r\n\r\n"));
         assert!(refused.starts_with("HTTP/1.1 400"), "{path} {headers}: {refused}");
-        assert!(header(&refused, "x-tindoor-reason").unwrap().starts_with(header_at_fault), "{refused}");
+        assert!(header(&refused, "x-tindoor-reason").unwrap().starts_with(invalid_header), "{refused}");
     }
-    for unreadable in ["what?\r\n\r\n", "GET / HTTP/1.1\r\ncontent-length: 5\r\n\r\nabcde"] {
-        let refused = PlainCallClient::connect(fixture.router.front("call")).request(unreadable);
+    for malformed in ["what?\r\n\r\n", "GET / HTTP/1.1\r\ncontent-length: 5\r\n\r\nabcde"] {
+        let refused = PlainCallClient::connect(fixture.router.front("call")).request(malformed);
         assert!(refused.starts_with("HTTP/1.1 400") && refused.contains("connection: close"), "{refused}");
     }
 }
 
 #[test]
-fn an_error_in_the_fronts_file_names_line_and_key() {
+fn an_error_in_a_configuration_file_names_the_line_and_the_key() {
     let log = ChangeStream::start();
     let configuration = configuration(log.address, Vec::new()).to_string();
     let folder = std::env::temp_dir().join(format!("tindoor-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let [named, fronts] = ["configuration.json", "fronts.json"].map(|name| folder.join(name));
-    std::fs::write(&named, configuration).unwrap();
+    let [configuration_file, fronts_file] =
+        ["configuration.json", "fronts.json"].map(|name| folder.join(name));
+    std::fs::write(&configuration_file, configuration).unwrap();
     let check = |text: &str| {
-        std::fs::write(&fronts, text).unwrap();
+        std::fs::write(&fronts_file, text).unwrap();
         let mut command = std::process::Command::new(program());
-        command.arg("check").arg(&named).arg("--fronts").arg(&fronts);
+        command.arg("check").arg(&configuration_file).arg("--fronts").arg(&fronts_file);
         let output = command.env_remove("PROXY_CONFIG").output().unwrap();
-        let said = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
-        (output.status.code(), said)
+        let printed = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
+        (output.status.code(), printed)
     };
-    let good = check(r#"{"call": {"listen": "127.0.0.1:0"}}"#);
-    assert_eq!(good, (Some(0), "ok\n".to_string()));
-    let (code, said) = check("{\n\"call\": {\"listen\": \"nowhere\"}}");
-    assert!(code == Some(1) && said.contains("line 2") && said.contains("call.listen"), "{said}");
-    let (code, said) = check(r#"{"call": {"listen": "127.0.0.1:0", "lisen": 1}}"#);
-    assert!(code == Some(1) && said.contains("lisen"), "{said}");
-    std::fs::write(&named, "{\n\"name\": \"n\",\n\"seed\": 5\n}").unwrap();
-    let (code, said) = check(r#"{"call": {"listen": "127.0.0.1:0"}}"#);
-    assert!(code == Some(1) && said.contains("configuration.json: line 3: seed"), "{said}");
+    let valid = check(r#"{"call": {"listen": "127.0.0.1:0"}}"#);
+    assert_eq!(valid, (Some(0), "ok\n".to_string()));
+    let (code, printed) = check("{\n\"call\": {\"listen\": \"nowhere\"}}");
+    assert!(code == Some(1) && printed.contains("line 2") && printed.contains("call.listen"), "{printed}");
+    let (code, printed) = check(r#"{"call": {"listen": "127.0.0.1:0", "lisen": 1}}"#);
+    assert!(code == Some(1) && printed.contains("lisen"), "{printed}");
+    std::fs::write(&configuration_file, "{\n\"name\": \"n\",\n\"seed\": 5\n}").unwrap();
+    let (code, printed) = check(r#"{"call": {"listen": "127.0.0.1:0"}}"#);
+    assert!(code == Some(1) && printed.contains("configuration.json: line 3: seed"), "{printed}");
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 const GRPC: &str = "application/grpc";
 
 #[test]
-fn each_phase_is_replied_to_in_order() {
+fn phases_are_replied_to_in_order() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
     let chunks =
@@ -258,18 +260,22 @@
     let unreadable = [&[0][..], &3u32.to_be_bytes(), &[0xff; 3]].concat().into();
     let cut = peer::request_headers(1, &[]).slice(..20);
     for (name, chunks, code) in [
-        ("an answer first", vec![peer::response_headers("200")], 3),
+        ("a response first", vec![peer::response_headers("200")], 3),
         ("a body first", vec![peer::body(5)], 3),
-        ("no kind", vec![peer::empty()], 3),
+        ("no known kind", vec![peer::empty()], 3),
         ("a message of a gigabyte", vec![long], 8),
         ("a body over the limit", vec![peer::request_headers(2, &[]), peer::body(70_000)], 8),
         ("compressed", vec![compressed], 12),
         ("unreadable", vec![unreadable], 3),
         ("cut off", vec![cut], 3),
         ("headers twice", vec![peer::request_headers(3, &[]), peer::request_headers(3, &[])], 3),
-        ("an answer without a status", vec![peer::request_headers(4, &[]), peer::response_headers("two")], 3),
         (
-            "an answer twice",
+            "a response without a valid status",
+            vec![peer::request_headers(4, &[]), peer::response_headers("two")],
+            3,
+        ),
+        (
+            "a response twice",
             vec![peer::request_headers(5, &[]), peer::response_headers("200"), peer::response_headers("200")],
             3,
         ),
@@ -282,7 +288,7 @@
         Some(12)
     );
     assert_eq!(peer::call(front, PROCESS, "text/html", vec![peer::request_headers(7, &[])]).status, 415);
-    // A header that can't be used is refused with an answer for the client.
+    // A request with an invalid header is refused with a response for the client.
     let outcome = peer::call(front, PROCESS, GRPC, vec![peer::request_headers(8, &[("x-max-ms", "soon")])]);
     assert_eq!((outcome.messages, outcome.code), (vec!["immediate 400".to_string()], Some(0)));
 }
@@ -291,7 +297,7 @@
 fn a_flood_of_resets_closes_only_its_own_connection() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
-    assert!(peer::reset_streams(front, 20_000) < 20_000, "the flood is cut off");
+    assert!(peer::reset_streams(front, 20_000) < 20_000, "the router must close the connection");
     let outcome =
         peer::call(front, PROCESS, GRPC, vec![peer::request_headers(1, &[]), peer::response_headers("200")]);
     assert_eq!((outcome.messages.len(), outcome.code), (2, Some(0)));
@@ -299,13 +305,13 @@
 
 #[test]
 fn hundreds_of_concurrent_requests_on_one_connection_are_all_served() {
-    // Small frames that lie unread must not close the connection of a busy proxy.
+    // Many small frames that wait to be read must not cause the router to close a busy proxy's connection.
     let figures = tindoor_testbed::choices::run(1, 2000, 250, Duration::ZERO).unwrap();
     assert_eq!((figures.answered_none, figures.done), (0, 4000), "{}", figures.table());
 }
 
 #[test]
-fn a_flood_of_continuation_frames_closes_its_own_connection() {
+fn a_flood_of_continuation_frames_closes_only_its_own_connection() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
     let mut peer = TcpStream::connect(front).unwrap();
@@ -316,7 +322,7 @@
     };
     peer.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n").unwrap();
     peer.write_all(&frame(4, 0, 0, &[])).unwrap();
-    // Headers that never end: a literal field, again and again.
+    // Headers without an end: the same literal field, repeated.
     let field = [&[0, 1, b'a', 100][..], &[b'b'; 100]].concat();
     peer.write_all(&frame(1, 0, 1, &field)).unwrap();
     let block = field.repeat(80);
@@ -328,19 +334,19 @@
 }
 
 #[test]
-fn a_peer_that_never_opens_its_window_is_reset_and_its_request_ends() {
+fn a_stream_whose_peer_never_opens_its_window_is_reset_and_its_request_ends() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
-    assert!(peer::is_reset_without_window(front), "the stream is reset");
+    assert!(peer::is_reset_without_window(front), "the stream must be reset");
     fixture.router.terminate();
-    // Nothing is in flight any more: the shutdown would wait for it, and log it.
+    // The shutdown waits for requests in flight and logs their number, which must be 0.
     let line =
         fixture.router.log.wait("the stop", |log| log.iter().find(|line| line.contains("stopping")).cloned());
     assert!(line.contains("requests=0"), "{line}");
 }
 
 #[test]
-fn a_connection_may_hold_about_a_thousand_streams() {
+fn a_connection_may_have_about_a_thousand_open_streams() {
     let fixture = fixture();
     let front = fixture.router.front("external_processing");
     let accepted = peer::hold_streams(front, 1100);
--- a/crates/router/tests/policy.rs
+++ b/crates/router/tests/policy.rs
@@ -1,4 +1,5 @@
-//! Stories of one router that decides by its fleet's policy: a fleet of one, so that each is short.
+//! Tests one router that applies its fleet's policy. The fleet has a single member, so that policy changes
+//! are activated quickly.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
@@ -9,14 +10,14 @@
 use tindoor_testbed::peer;
 use tindoor_testbed::stand_in::*;
 
-/// A router that is a fleet of its own, whose caches never answer.
-struct Alone {
+/// A router that is the only member of its fleet, with caches that never respond.
+struct SingleRouterFleet {
     router: Router,
     operator: PathBuf,
     cache: Cache,
 }
 
-impl Alone {
+impl SingleRouterFleet {
     fn start(name: &str) -> Self {
         let operator = std::env::temp_dir().join(format!("tindoor-alone-{}-{name}.sock", std::process::id()));
         let (cache, log) = (Cache::start(|_| Behavior::Hang), ChangeStream::start());
@@ -26,37 +27,38 @@
             endpoint_entry("p-1", parent.address, "parent", "active"),
             endpoint_entry("o-1", parent.address, "origin", "active"),
         ];
-        let fleet = json!({
-            "name": "alone", "listen": free_address(), "votes": true, "operator": operator, "voters": 1, "lease_ms": 200,
-            "hold_out_ms": 1000, "clock_bound_ms": 20, "beat_ms": 25, "probation_ms": 50,
+        let fleet_section = json!({
+            "name": "alone", "listen": free_address(), "votes": true, "operator": operator, "voters": 1,
+            "lease_ms": 200, "hold_out_ms": 1000, "clock_bound_ms": 20, "beat_ms": 25, "probation_ms": 50,
         });
-        let fronts = json!({ "fleet": fleet, "external_processing": {"listen": "127.0.0.1:0"} });
+        let fronts = json!({ "fleet": fleet_section, "external_processing": {"listen": "127.0.0.1:0"} });
         let start = StartOptions { fronts: Some(fronts), ..StartOptions::default() };
-        let mut told = configuration(log.address, members);
-        // As old as copies may be, or a policy that says it would not stand.
-        told["settings"]["family_info"]["gone_everywhere"] = json!(3_600_000_000u64);
-        let alone = Self { router: Router::start_with(&told, &start), operator, cache };
-        until("the operator to be heard", || alone.operator.exists());
-        control_request(&alone.operator, &json!({"found": {}})).unwrap();
-        let mut client = Client::connect(&alone.router);
-        until("the router to be good", || client.healthy(1));
-        alone
+        let mut configuration = configuration(log.address, members);
+        // At least the maximum age of copies. Otherwise the initial policy is invalid, as copies could
+        // outlive the memory of a purge.
+        configuration["settings"]["family_info"]["gone_everywhere"] = json!(3_600_000_000u64);
+        let fleet = Self { router: Router::start_with(&configuration, &start), operator, cache };
+        until("the operator socket to exist", || fleet.operator.exists());
+        control_request(&fleet.operator, &json!({"found": {}})).unwrap();
+        let mut client = Client::connect(&fleet.router);
+        until("the router to be healthy", || client.healthy(1));
+        fleet
     }
 
-    fn control_request(&self, what: &Value) -> Option<Value> {
-        control_request(&self.operator, what).ok()
+    fn control_request(&self, request: &Value) -> Option<Value> {
+        control_request(&self.operator, request).ok()
     }
 
-    /// Proposes until it is taken, and waits until it is in force.
-    fn change(&self, changes: Value) {
+    /// Proposes the changes, again after each failure, until they are activated.
+    fn activate(&self, changes: Value) {
         let propose = json!({"propose": {"changes": changes, "from": null, "by": "story", "note": ""}});
-        until("a change to take hold", || {
-            let Some(token) = self.control_request(&propose).and_then(|answer| answer["token"].as_u64())
+        until("a policy change to be activated", || {
+            let Some(token) = self.control_request(&propose).and_then(|response| response["token"].as_u64())
             else {
                 return false;
             };
             let mut end = Value::Null;
-            until("a change to end", || {
+            until("a proposal to end", || {
                 end = self.control_request(&json!({"end": {"token": token}})).unwrap_or_default();
                 !end.is_null()
             });
@@ -65,50 +67,51 @@
     }
 }
 
-fn pause((seq, reply): (i32, Reply)) -> (i32, Option<String>) {
+/// Returns the `pause` field of a rejection, with the number of the request.
+fn rejection_pause((seq, reply): (i32, Reply)) -> (i32, Option<String>) {
     match reply {
         Reply::Rejected(fields) => (seq, fields.get("pause").cloned()),
         _ => (seq, None),
     }
 }
 
-/// ReceivedRequest with five routers under all faults: where all places are taken by a request of the old
-/// policy, none passes the gate at which a new one is adopted, and 262 requests were refused at the door by
-/// the old one, for seconds.
+/// A router adopted a new policy only when a request passed the admission gate. While requests of the old
+/// policy used all of its capacity, none passed, and new requests were rejected under the old policy: 262
+/// requests over several seconds, in an experiment with five routers under all faults.
 #[test]
-fn what_is_refused_at_the_door_is_refused_by_the_policy_in_force() {
-    let alone = Alone::start("door");
-    alone.change(json!({"limit.open_views": 1, "longest_come_back_ms": 2}));
-    let mut first = Client::connect(&alone.router);
+fn requests_over_the_limit_are_rejected_under_the_policy_in_force() {
+    let fleet = SingleRouterFleet::start("door");
+    fleet.activate(json!({"limit.open_views": 1, "longest_come_back_ms": 2}));
+    let mut first = Client::connect(&fleet.router);
     first.request(1, OBJECT);
-    alone.cache.requests(1);
-    let mut second = Client::connect(&alone.router);
+    fleet.cache.requests(1);
+    let mut second = Client::connect(&fleet.router);
     second.request(2, OBJECT);
-    assert_eq!(pause(second.reply()), (2, Some("2".into())));
-    alone.change(json!({"longest_come_back_ms": 5}));
+    assert_eq!(rejection_pause(second.reply()), (2, Some("2".into())));
+    fleet.activate(json!({"longest_come_back_ms": 5}));
     second.request(3, OBJECT);
-    assert_eq!(pause(second.reply()), (3, Some("5".into())));
-    // A wider limit lets it in, though no request has come to its end since.
-    alone.change(json!({"limit.open_views": 2}));
-    let sent = alone.cache.count();
+    assert_eq!(rejection_pause(second.reply()), (3, Some("5".into())));
+    // A higher limit admits the next request, although no request has ended since.
+    fleet.activate(json!({"limit.open_views": 2}));
+    let sent = fleet.cache.count();
     second.request(4, "00000000000000aa");
-    alone.cache.requests(sent + 1);
-    // And so does its end: a router that went on by the bound of a change that was undone would never know.
-    alone.change(json!({"limit.open_views": null}));
-    let sent = alone.cache.count();
+    fleet.cache.requests(sent + 1);
+    // So does removing the limit. A router that kept the limit of a reverted change would reject it.
+    fleet.activate(json!({"limit.open_views": null}));
+    let sent = fleet.cache.count();
     second.request(5, "00000000000000ab");
-    alone.cache.requests(sent + 1);
+    fleet.cache.requests(sent + 1);
 }
 
 #[test]
-fn a_bound_of_the_policy_holds_on_the_fronts_that_only_choose() {
-    let alone = Alone::start("bound");
-    alone.change(json!({"limit.open_views": 2}));
-    assert_eq!(peer::hold_streams(alone.router.front("external_processing"), 5), 2);
+fn the_open_request_limit_of_the_policy_applies_to_external_processing() {
+    let fleet = SingleRouterFleet::start("bound");
+    fleet.activate(json!({"limit.open_views": 2}));
+    assert_eq!(peer::hold_streams(fleet.router.front("external_processing"), 5), 2);
 }
 
-/// Routers of an earlier version refuse a connection with another first line, and a rolling upgrade would split the
-/// fleet.
+/// Routers of earlier versions refuse a connection with any other first line, so a different one would split
+/// the fleet during a rolling upgrade.
 #[test]
 fn the_first_line_on_a_connection_to_a_peer_is_that_of_earlier_versions() {
     let peer = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/router/tests/unit/replica_storage.rs
+++ b/crates/router/tests/unit/replica_storage.rs
@@ -1,9 +1,10 @@
 use super::*;
 
-/// The name of the database file, which must not change: a router would take its storage for lost.
+/// The expected name of the database file. It must not change: after an upgrade, a router would not find its
+/// storage and would start as a new replica.
 const RECORDED_FILE_NAME: &str = "seat.redb";
 
-/// A write of three entries from that index on.
+/// Returns a write with three log entries, the first at index `first`.
 fn write(number: u64, first: u64) -> StorageWrite {
     let entry = |index: u64| (index, vec![index as u8; 200]);
     let entries = (first..first + 3).map(entry).collect();
@@ -12,8 +13,8 @@
 
 type IoResult<T> = std::result::Result<T, std::io::Error>;
 
-/// A disk that fails at one operation, by its number, and at all later ones. What was synced is kept; of what
-/// was written since, each piece is kept or lost.
+/// A disk that fails at operation number `fails_at` and at all later ones. After the failure, all synced data
+/// is kept, and each write since the last sync is either kept or lost.
 #[derive(Clone, Debug, Default)]
 struct FailingDisk(std::sync::Arc<std::sync::Mutex<DiskState>>);
 
@@ -31,12 +32,13 @@
         let mut state = self.0.lock().unwrap();
         state.operations += 1;
         if state.fails_at.is_some_and(|at| state.operations >= at) {
-            return Err(std::io::Error::other("the disk is gone"));
+            return Err(std::io::Error::other("the simulated disk has failed"));
         }
         Ok(operation(&mut state))
     }
 
-    /// What the next process finds. The bits of `kept_writes` tell which unsynced writes are kept.
+    /// Returns the disk that the next process finds. Each bit of `kept_writes` selects whether an unsynced
+    /// write is kept.
     fn after_failure(&self, kept_writes: u64) -> Self {
         let mut state = self.0.lock().unwrap();
         let mut synced = std::mem::take(&mut state.synced);
@@ -60,7 +62,7 @@
         let at = offset as usize;
         let read = self
             .operate(|state| state.current.get(at..at + out.len()).map(|bytes| out.copy_from_slice(bytes)))?;
-        read.ok_or_else(|| std::io::Error::other("beyond the end"))
+        read.ok_or_else(|| std::io::Error::other("read beyond the end of the disk"))
     }
 
     fn set_len(&self, len: u64) -> IoResult<()> {
@@ -93,7 +95,8 @@
     ReplicaStorage::from_database(database, replica_id, incarnation)
 }
 
-/// Writes until the disk fails. Returns the number of the last write that succeeded, and whether all did.
+/// Writes until the disk fails. Returns the number of the last successful write, and whether all were
+/// successful.
 fn write_until_failure(disk: &FailingDisk) -> (u64, bool) {
     let mut last_completed = 0;
     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
@@ -109,10 +112,10 @@
     (last_completed, result.is_ok_and(|all_written| all_written))
 }
 
-/// The disk fails at each single operation in turn: what was reported as written is found, or the storage
-/// counts as lost; an older vote is never found.
+/// Lets the disk fail at each operation in turn. Afterwards the storage either holds everything that was
+/// reported as written, or is treated as lost. It never holds an older vote.
 #[test]
-fn a_disk_that_fails_at_any_operation_loses_nothing_that_was_reported_as_written() {
+fn after_a_disk_failure_at_any_operation_no_completed_write_is_silently_lost() {
     let mut found_after_failure = 0;
     for fails_at in 1.. {
         let disk = FailingDisk::default();
@@ -120,7 +123,7 @@
         let (last_completed, all_written) = write_until_failure(&disk);
         let some_writes = fails_at.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         for kept_writes in [0, some_writes, u64::MAX] {
-            // A storage may be damaged as far as the library can tell: then it is put aside.
+            // The database library may find the storage damaged; the router then replaces it.
             let disk = disk.after_failure(kept_writes);
             let opened = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| open_disk(&disk, 8, 101)));
             let Ok(Ok((_, found))) = opened else { continue };
@@ -128,34 +131,35 @@
             let is_current = vote == last_completed || vote == last_completed + 1;
             assert!(
                 is_current || found.replica_id == 8,
-                "failed at {fails_at}: {vote} found, {last_completed} reported as written"
+                "failed at operation {fails_at}: write {vote} found, {last_completed} reported as completed"
             );
             let last = found.state.and_then(|state| state.entries.last().map(|(index, _)| *index));
-            assert_eq!(last, Some(2 * vote + 2).filter(|_| vote > 0), "failed at {fails_at}");
+            assert_eq!(last, Some(2 * vote + 2).filter(|_| vote > 0), "failed at operation {fails_at}");
             found_after_failure += 1;
         }
         if all_written {
             break;
         }
     }
-    assert!(found_after_failure > 60, "only {found_after_failure} of the failures left a storage");
+    assert!(found_after_failure > 60, "only {found_after_failure} of the failures left a readable storage");
 }
 
-fn directory(name: &str) -> PathBuf {
+/// Returns an unused directory for a test.
+fn test_directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("tindoor-replica-storage-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
 #[test]
-fn what_was_written_is_found_with_the_replica_id_and_the_predecessor() {
-    let path = directory("found");
+fn a_reopened_storage_returns_the_written_state_the_replica_id_and_the_predecessor() {
+    let path = test_directory("found");
     let (storage, found) = ReplicaStorage::open(&path, 7, 100).unwrap();
     assert!(found.replica_id == 7 && found.predecessor.is_none() && found.state.is_none());
     storage.write(&write(1, 2)).unwrap();
-    // A leader's log takes the place of entries that were not committed.
+    // Overwrites entries from index 4 on, as when a leader replaces uncommitted entries.
     storage.write(&write(2, 4)).unwrap();
-    assert!(ReplicaStorage::open(&path, 8, 101).is_err(), "no other process opens it meanwhile");
+    assert!(ReplicaStorage::open(&path, 8, 101).is_err(), "an open storage can't be opened again");
     drop(storage);
     let (storage, found) = ReplicaStorage::open(&path, 8, 101).unwrap();
     assert_eq!((found.replica_id, found.predecessor), (7, Some(100)));
@@ -171,11 +175,12 @@
     std::fs::remove_dir_all(path).unwrap();
 }
 
-/// Truncated anywhere, or with inverted bytes, a storage either holds all that was written or counts as lost:
-/// it never holds an older vote under its replica id.
+/// Truncates the database file at several lengths, or inverts some of its bytes. The storage then either
+/// holds everything that was written or is treated as lost. It never holds an older vote under its replica
+/// id.
 #[test]
-fn a_damaged_storage_counts_as_lost() {
-    let path = directory("damaged");
+fn a_damaged_storage_is_complete_or_replaced_by_that_of_a_new_replica() {
+    let path = test_directory("damaged");
     let (storage, _) = ReplicaStorage::open(&path, 7, 100).unwrap();
     (1..6).for_each(|number| storage.write(&write(number, 2 * number)).unwrap());
     drop(storage);
@@ -194,19 +199,19 @@
         let (_, found) = ReplicaStorage::open(&path, 8, 101).unwrap();
         match found.state {
             Some(state) => assert_eq!((found.replica_id, state.hard_state), (7, vec![5]), "case {case}"),
-            None => assert_eq!(found.replica_id, 8, "case {case}: without its vote it is another replica"),
+            None => assert_eq!(found.replica_id, 8, "case {case}: a replica without vote needs a new id"),
         }
     }
     std::fs::remove_dir_all(path).unwrap();
 }
 
-/// A replica's database file as recorded before: `record_replica_storage` writes it.
+/// Returns the path of the golden database file, which `record_replica_storage` writes.
 fn recorded_storage() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replica-storage.redb")
 }
 
-/// What that file holds: the hard state and snapshot of the golden files of `tindoor-consensus`, and sample
-/// log entries.
+/// Returns the content of the golden file: the hard state and snapshot of the golden files of
+/// `tindoor-consensus`, and sample log entries.
 fn recorded_replica() -> StoredState {
     let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../consensus/tests/golden");
     let read = |name: &str| std::fs::read(directory.join(format!("replica-with-log-{name}.bin"))).unwrap();
@@ -215,32 +220,32 @@
     StoredState { hard_state: read("hard-state"), snapshot: read("snapshot"), entries }
 }
 
-/// The database file of a replica is opened, and the replica id, the predecessor, the hard state, the
-/// snapshot and the log entries are found as they were recorded.
+/// Guards the file format: a database file recorded earlier must open with the recorded replica id,
+/// predecessor, hard state, snapshot and log entries.
 #[test]
-fn recorded_replica_storage_is_opened() {
-    let path = directory("recorded");
+fn the_recorded_database_file_is_opened_with_all_its_content() {
+    let path = test_directory("recorded");
     std::fs::create_dir_all(&path).unwrap();
     std::fs::copy(recorded_storage(), path.join(RECORDED_FILE_NAME)).unwrap();
     let (storage, found) = ReplicaStorage::open(&path, 8, 101).unwrap();
     assert_eq!((found.replica_id, found.predecessor), (0x0123_4567_89ab_cdef, Some(0xfedc_ba98_7654_3210)));
     assert_eq!(found.state, Some(recorded_replica()));
     drop(storage);
-    // The predecessor is now this process; everything else is kept.
+    // The predecessor is now the incarnation that opened the file above; everything else is unchanged.
     let (storage, found) = ReplicaStorage::open(&path, 8, 102).unwrap();
     assert_eq!((found.replica_id, found.predecessor), (0x0123_4567_89ab_cdef, Some(101)));
     assert_eq!(found.state, Some(recorded_replica()));
     drop(storage);
     let names: Vec<_> = std::fs::read_dir(&path).unwrap().map(|file| file.unwrap().file_name()).collect();
-    assert_eq!(names, [RECORDED_FILE_NAME], "nothing was put aside as damaged");
+    assert_eq!(names, [RECORDED_FILE_NAME], "the file was not renamed as damaged");
     std::fs::remove_dir_all(path).unwrap();
 }
 
-/// `cargo test -p tindoor-router -- --ignored record_replica_storage`
+/// Records the golden file: `cargo test -p tindoor-router -- --ignored record_replica_storage`.
 #[test]
 #[ignore = "replaces the golden file"]
 fn record_replica_storage() {
-    let path = directory("record");
+    let path = test_directory("record");
     let (storage, _) = ReplicaStorage::open(&path, 0x0123_4567_89ab_cdef, 0xfedc_ba98_7654_3210).unwrap();
     let StoredState { hard_state, snapshot, entries } = recorded_replica();
     let write = StorageWrite {
@@ -251,7 +256,7 @@
     };
     storage.write(&write).unwrap();
     drop(storage);
-    // As small as the library makes it: a new file is mostly free space.
+    // Compacts the file, as most of a new file is free space.
     let mut database = Database::open(path.join(RECORDED_FILE_NAME)).unwrap();
     while database.compact().unwrap() {}
     drop(database);
