--- a/crates/router/src/fleet/policy_objections.rs
+++ b/crates/router/src/fleet/policy_objections.rs
@@ -16,7 +16,7 @@
                 tracing::error!(
                     generation,
                     reason,
-                    "this router can't apply the policy with the settings it was started with"
+                    "this router can't apply the policy; it rejects all requests while the policy is in force"
                 );
             } else {
                 tracing::warn!(
