--- a/src/engine/attempts.rs
+++ b/src/engine/attempts.rs
@@ -168,14 +168,14 @@
             .any(|path| self.fill_congestion(request, path) >= CONGESTED);
         let may_be_stale = is_retry || are_fills_congested;
         let stale_for = class.stale_while_failing.filter(|_| may_be_stale).unwrap_or_default();
-        let is_stored = fresh_for > Span::ZERO;
-        let limit =
-            Some(fresh_for + stale_for).filter(|_| is_stored && (may_be_stale || since_purge.is_some()));
+        let has_freshness_lifetime = fresh_for > Span::ZERO;
+        let limit = Some(fresh_for + stale_for)
+            .filter(|_| has_freshness_lifetime && (may_be_stale || since_purge.is_some()));
         let can_refresh =
             plan.fill_mode == FillMode::OnMiss && plan.source.is_some_and(|source| self.is_warm(source));
         Freshness {
             max_age: limit.into_iter().chain(since_purge).min(),
-            refresh: !class.runs_at_origin && can_refresh && is_stored,
+            refresh: !class.runs_at_origin && can_refresh && has_freshness_lifetime,
         }
     }
 
--- a/src/engine/requests.rs
+++ b/src/engine/requests.rs
@@ -198,8 +198,8 @@
         match authorization {
             Authorization::Granted => return self.route(slot),
             Authorization::NotYetValid(wait) => {
-                let sent = self.retry_after().zip(self.settings.rejection.max_retry_after());
-                let retry_after = sent.map(|(_, longest)| wait.min(longest));
+                let drawn_and_longest = self.retry_after().zip(self.settings.rejection.max_retry_after());
+                let retry_after = drawn_and_longest.map(|(_, longest)| wait.min(longest));
                 self.host.reject(slot, retry_after);
             }
             Authorization::Expired | Authorization::Denied => self.host.fail(slot),
