--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -64,6 +64,7 @@
     pub(super) response_gaps: Samples<Span, GAP_WINDOW>,
     /// The moment after which trial requests are sent to the ejected endpoint; `None` if it is not ejected.
     pub(super) ejected_until: Option<Moment>,
+    /// The number of ejections of the endpoint, minus the number of its reinstatements.
     pub(super) ejection_count: i32,
     /// The slow start charges of the endpoint while it warms up, oldest first.
     pub(super) slow_start_charges: VecDeque<SlowStartCharge>,
--- a/src/engine/load.rs
+++ b/src/engine/load.rs
@@ -15,7 +15,7 @@
 const RESPONSE_WINDOW: usize = 64;
 /// The age at which load samples no longer have any weight, as a multiple of the longest deadline.
 const SAMPLE_LIFETIME_DEADLINES: f64 = 2.0;
-/// The minimum number of service times of which the mean is used.
+/// The minimum number of service times from which a mean is computed.
 const MIN_SERVICE_TIMES: usize = 4;
 /// The initial value of the sum of hit response times, in seconds, which keeps the divisor above 0.
 const MIN_HIT_SECS: f64 = 0.001;
@@ -28,7 +28,8 @@
 pub(super) struct LoadSample {
     pub(super) at: Moment,
     /// The number of attempts at the endpoint, or of fills of the path, that were in flight when the attempt
-    /// was sent, including itself.
+    /// was sent, including this attempt. Always 1 for fills in the samples of a source, of which only the
+    /// lateness is used.
     pub(super) in_flight: f64,
     /// The service time of the request, in seconds.
     pub(super) work: f64,
--- a/src/engine/outliers.rs
+++ b/src/engine/outliers.rs
@@ -11,15 +11,15 @@
 const MIN_FAILURES: usize = 3;
 /// The share of failures above which an endpoint is an outlier if its peers have no failures.
 const FAILURE_SHARE: f64 = 0.3;
-/// The increase of that limit, as a multiple of the share of failures among the endpoint's peers.
+/// The amount added to `FAILURE_SHARE`, as a multiple of the share of failures among the endpoint's peers.
 const PEER_FAILURE_MULTIPLE: f64 = 1.5;
 /// The number of successes after which an ejected endpoint on trial is reinstated.
 const TRIAL_SUCCESSES: usize = 3;
 /// The duration of an endpoint's first ejection.
 const EJECTION_BASE: Span = Span::millis(1000);
-/// The factor by which each further ejection of an endpoint is longer.
+/// The factor by which the duration of an ejection grows for each unit of the endpoint's `ejection_count`.
 const EJECTION_GROWTH: f64 = 1.5;
-/// The number of ejections after which the duration no longer grows.
+/// The `ejection_count` above which the duration no longer grows.
 const MAX_EJECTION_GROWTH_STEPS: i32 = 5;
 /// The maximum share of a tier's ready capacity that may be ejected.
 const MAX_EJECTED_SHARE: f64 = 0.6;
@@ -83,8 +83,8 @@
         failures as f64 / count.max(1) as f64
     }
 
-    /// Adds an outcome to an endpoint's outcome window, then ejects or reinstates the endpoint if the window
-    /// calls for it.
+    /// Adds an outcome to an endpoint's outcome window. Ejects the endpoint if it is an outlier or has failed
+    /// a trial request; reinstates it after `TRIAL_SUCCESSES` successes on trial.
     fn record_outcome(&mut self, id: EndpointId, succeeded: bool) {
         self.endpoints[id].outcomes.add(succeeded);
         let endpoint = &self.endpoints[id];
--- a/src/engine/slow_start.rs
+++ b/src/engine/slow_start.rs
@@ -16,10 +16,11 @@
 
 /// The minimum duration of a ramp, in seconds, which keeps divisors above 0.
 const MIN_RAMP_SECS: f64 = 0.001;
-/// The ramp duration of caches if the settings contain none.
+/// The ramp duration from which the activity period below is computed if the settings contain no ramp
+/// duration for caches.
 const DEFAULT_RAMP_DURATION: Span = Span::millis(15_000);
 /// The time after its last activity during which a removed endpoint is still included when work is divided
-/// among endpoints, in ramp durations.
+/// among endpoints, in ramp durations of caches.
 const ACTIVE_WITHIN_RAMPS: f64 = 2.0;
 /// The minimum number of samples from which a rate of work is computed.
 const MIN_RATE_SAMPLES: usize = 12;
@@ -41,7 +42,8 @@
 const DRAW_MARGIN: f64 = 0.7;
 /// The time over which demand is averaged, in slow start windows.
 const DEMAND_WINDOWS: f64 = 4.0;
-/// The minimum demand, as a share of the demand in the last window alone, which shows a burst first.
+/// The minimum demand, as a share of the demand in the last window alone. A burst shows there before it shows
+/// in the average.
 const BURST_SHARE: f64 = 0.5;
 /// The number of requests assumed in the first window if the arrival rate is unknown.
 const ASSUMED_REQUESTS_PER_WINDOW: f64 = 4.0;
@@ -202,7 +204,7 @@
     }
 
     /// Returns the demand on a warming endpoint in one window, including this work, in seconds of service
-    /// time.
+    /// time. `expected_rate` is in seconds of service time per second; `None` if the arrival rate is unknown.
     ///
     /// Right after the start, the demand is assumed to be the endpoint's share of all requests: routers that
     /// have ejected the other endpoints send more than the objects that a warm endpoint would get. Later, the
