--- a/src/engine/congestion.rs
+++ b/src/engine/congestion.rs
@@ -1,8 +1,8 @@
 //! Lateness and congestion, the two ratios that decide which requests are admitted.
 //!
 //! Lateness is the time that responses took, divided by their latency objectives. Congestion is the number in
-//! flight, divided by the number up to which responses are in time: if it is 1 or more, another request would
-//! be late.
+//! flight, divided by the number up to which responses are in time: at a congestion of 1 or more, another
+//! request would be late.
 
 use crate::host::Host;
 
@@ -29,7 +29,7 @@
 const CONGESTED_LATENESS: f64 = 0.5;
 /// The minimum service time assumed for one request, in seconds.
 const MIN_WORK_SECS: f64 = 0.001;
-/// The minimum allowance of a request, relative to that of the samples.
+/// The minimum allowance (objective divided by work) of a request, relative to the allowance of the samples.
 const MIN_RELATIVE_ALLOWANCE: f64 = 0.5;
 /// The number of most recent fills from which the lateness of a parent is computed.
 const PARENT_LATENESS_SAMPLES: usize = 12;
--- a/src/engine/routing.rs
+++ b/src/engine/routing.rs
@@ -108,8 +108,8 @@
 
     /// Returns the reasons against sending a request to an endpoint.
     fn penalties(&self, endpoint: &Endpoint, request: &Request, hash: u64, is_congested: bool) -> Penalties {
-        // This hash differs from the one of the ranking, so that a parent loses an even share of its objects,
-        // and the same objects at every router.
+        // This hash differs from the hash of the ranking, so that the objects that a parent loses are spread
+        // evenly over all its objects. Every router computes the same hash and displaces the same objects.
         let draw = unit_interval(mix(hash, endpoint.entry.stable_id.rotate_left(32)));
         Penalties {
             is_ejected: self.is_ejected(endpoint),
@@ -123,8 +123,9 @@
         }
     }
 
-    /// Returns the source of a fill: the best parent, or the origin if every parent is ejected or has failed
-    /// the request.
+    /// Returns the source of a fill: the origin if requests of the class run there, otherwise the best
+    /// parent. A parent that is ejected or has failed the request is used only if there is no origin. `None`
+    /// if caches fill no misses or there is no source.
     fn choose_source(
         &self,
         class: u16,
@@ -210,8 +211,8 @@
     }
 }
 
-/// Returns whether so many attempts are in flight at a cache that it must hold a hot object whose requests
-/// exceed the cache's fair share.
+/// Returns whether the attempts in flight at a cache exceed its fair share, as they do if the cache holds a
+/// hot object.
 fn exceeds_fair_share(cache: &Endpoint, fair_share: f64) -> bool {
     f64::from(cache.in_flight) > FAIR_SHARE_ALLOWANCE + fair_share * cache.capacity()
 }
--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -9,7 +9,8 @@
 use super::RoutingEngine;
 use super::requests::{Request, RequestId};
 
-/// What a timer is for. Of timers due at the same moment the endpoint list is first, then the oldest request.
+/// What a timer is for. Timers due at the same moment fire in the order of this enum: the endpoint list
+/// first, then requests from oldest to newest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerTarget {
     EndpointList,
--- a/src/host.rs
+++ b/src/host.rs
@@ -130,7 +130,7 @@
     Miss,
 }
 
-/// How an endpoint reports that it produced its answer.
+/// What an endpoint reports about how it produced its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OutcomeDetail {
     /// The endpoint reported nothing.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -23,7 +23,7 @@
 }
 
 impl Settings {
-    /// Returns the longest deadline of any request class.
+    /// Returns the longest deadline of any request class, or zero if there are no classes.
     pub fn longest_deadline(&self) -> Span {
         self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
