--- a/crates/external-requests/src/host.rs
+++ b/crates/external-requests/src/host.rs
@@ -27,7 +27,7 @@
     /// Tells the routing engine that no client waits for the request any longer.
     fn request_abandoned(&mut self, number: RequestNumber);
 
-    /// Ends a request. It has its final answer, and every attempt known to the table has been reported.
+    /// Ends a request that has its final answer. Every attempt known to the table has been reported.
     fn request_finished(&mut self, number: RequestNumber);
 
     /// Replies to a call. Replaces an earlier reply to the same call that has not been sent yet.
--- a/crates/external-requests/src/table/finish.rs
+++ b/crates/external-requests/src/table/finish.rs
@@ -67,8 +67,8 @@
             (None, Some((at, endpoint))) => KeyState::MayHaveRun(at, endpoint),
             (None, None) => return self.idempotency_keys.release(key),
         };
-        // A write must not run again after the idempotency window either, so its key is stored for as long as
-        // the client may retry.
+        // The client may retry even after the idempotency window, and the write must not run again then. Its
+        // key is therefore stored for as long as the client may retry.
         let expires_at = now + self.limits.idempotency_window + self.limits.max_request_time;
         self.idempotency_keys.store(key, state, expires_at);
     }
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -1,5 +1,5 @@
-//! The lease of a router: how long the router may act on the agreed state that it last confirmed. "Lease" in
-//! `docs/design/policy.md` shows why no router decides by an old policy beyond its lease.
+//! The lease of a router: how long the router may act on the agreed state that it last confirmed. The
+//! section "Lease" of `docs/design/policy.md` shows why no router decides by an old policy beyond its lease.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Renews the lease by the recorded confirmations: those of a quorum of the voters, and for
-    /// [`Timings::quorum_loss_grace`] after the last of them those of a majority of the members.
+    /// Renews the lease from the recorded confirmations by a quorum of the voters. Confirmations by a majority
+    /// of the members also renew the lease, until [`Timings::quorum_loss_grace`] after the last confirmation
+    /// by a quorum.
     ///
     /// `own` is the index of this router and the current time, and `members` are all members at that index.
     /// `confirms_index` is true if no change waits for its decision at that index.
--- a/crates/membership/src/member_list.rs
+++ b/crates/membership/src/member_list.rs
@@ -39,7 +39,8 @@
     ended: BTreeSet<Incarnation>,
 }
 
-/// More than half of the members of a list that a router may still use are not known to be informed.
+/// A router may still use a list of which more than half of the members are not known to be informed of a
+/// change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("more than half of the members before index {superseded_at} are not known to be informed")]
 pub struct UninformedMajority {
@@ -146,9 +147,9 @@
         self.changes.front().map(|change| change.index)
     }
 
-    /// Checks that at least half of the members are informed, for every list that a router which has not
-    /// reached `index` may still use. The uninformed members are then no majority of any list, and can't
-    /// renew each other's leases.
+    /// Checks every list that a router may still use if it has not reached `index`: at least half of the
+    /// members of each such list must be informed. The uninformed members are then no majority of any list,
+    /// and can't renew each other's leases.
     ///
     /// `informed` returns whether a process is known to be informed of the change at `index`. Processes that
     /// are proved to have ended need not be informed.
@@ -165,7 +166,7 @@
         let mut changes = self.changes.iter().rev().peekable();
         loop {
             // A router that uses a list from `index` or later has reached the index, so only earlier lists
-            // count.
+            // are checked.
             let is_relevant = !members.is_empty() && changes.peek().is_none_or(|change| change.index < index);
             if is_relevant && 2 * informed_count < members.len() {
                 return Err(UninformedMajority { superseded_at });
--- a/crates/quota/src/budget.rs
+++ b/crates/quota/src/budget.rs
@@ -45,7 +45,7 @@
 }
 
 impl BudgetLimit {
-    /// The part of the total that may be granted: the total without the guaranteed minima of
+    /// The part of the total that may be granted: the total minus the guaranteed minima of
     /// [`Self::max_routers`] routers.
     pub fn grantable(&self) -> Quota {
         self.total.minus(self.guaranteed.times(self.max_routers))
--- a/crates/quota/src/lease_ledger.rs
+++ b/crates/quota/src/lease_ledger.rs
@@ -16,16 +16,16 @@
 use crate::fair_shares::{WeightedDemand, max_min_fair_shares};
 use crate::{BudgetLimit, Quota};
 
-/// Up to this many borrowers, targets are computed for each request; with more borrowers, at most once per
-/// [`DIVISION_INTERVAL`].
+/// The largest number of borrowers for which targets are computed at each request. With more borrowers,
+/// targets are computed at most once per [`DIVISION_INTERVAL`].
 const MAX_BORROWERS_DIVIDED_PER_REQUEST: usize = 64;
 
 /// How long computed targets are reused if there are more than [`MAX_BORROWERS_DIVIDED_PER_REQUEST`]
 /// borrowers.
 const DIVISION_INTERVAL: Span = Span::millis(100);
 
-/// How long the borrowers that get a unit keep it before other borrowers get it, if there are fewer units
-/// than borrowers. The period must be long enough to spend a single unit.
+/// How long a borrower keeps its unit before another borrower gets it, if there are fewer units than
+/// borrowers. The period must be long enough to spend a single unit.
 const ROTATION_PERIOD: Span = Span::millis(1000);
 
 /// How long the ledger keeps a borrower after its last request and after its grant has expired.
--- a/crates/quota/src/participant.rs
+++ b/crates/quota/src/participant.rs
@@ -183,7 +183,7 @@
         }))
     }
 
-    /// Whether one unit of each key could be spent now. Units of keys that are not limited always can.
+    /// Whether one unit of each key could be spent now. Keys without a limit are ignored.
     pub fn can_afford(&mut self, now: Moment, keys: &[BudgetKey]) -> bool {
         keys.iter().all(|key| {
             self.plan.limit(*key).is_none()
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -304,8 +304,7 @@
         let mut demand = self.requested.minus(self.limit.guaranteed);
         demand.burst = demand.burst.next_multiple_of(self.limit.granularity());
         let demand = demand.min(self.limit.grantable());
-        // Every router requests the whole of a fraction, so the fraction is divided by how much each router
-        // uses it.
+        // Every router requests the whole fraction, so the division is weighted by recent demand instead.
         let weight = if self.limit.kind == BudgetKind::Fraction { thousandths(rate).max(1) } else { 0 };
         Claim { demand, weight }
     }
--- a/crates/request-runtime/src/engine_host.rs
+++ b/crates/request-runtime/src/engine_host.rs
@@ -154,7 +154,7 @@
         self.timer.set(Instant::now() + Duration::from_micros(wait.as_micros()));
     }
 
-    /// Does nothing: the router watches endpoint discovery from startup on, without being asked.
+    /// Does nothing: the router already watches endpoint discovery from startup on.
     fn watch_endpoints(&mut self) {}
 
     fn can_afford_fill(&self, class: u16) -> bool {
