--- a/crates/external-requests/src/table/admission.rs
+++ b/crates/external-requests/src/table/admission.rs
@@ -67,7 +67,7 @@
         if !self.checks.correlation_ids || finished.until <= now {
             return None;
         }
-        // The result of a write is only disclosed to calls whose signed URL is valid or was before it
+        // The result of a write is only disclosed to calls whose signed URL is valid, or was valid until it
         // expired.
         let in_use = CallReply::Failed(RefusalReason::CorrelationIdInUse);
         Some(if may_resume(request) { finished.reply } else { in_use })
--- a/crates/membership/src/interval.rs
+++ b/crates/membership/src/interval.rs
@@ -76,18 +76,18 @@
 /// several such parts, returns the narrowest. `None` if there are no intervals.
 pub(crate) fn narrowest_overlap(intervals: &[Interval]) -> Option<Interval> {
     let edges = sorted_edges(intervals);
-    let (mut open, mut most) = (0usize, 0usize);
+    let (mut open_count, mut max_open) = (0usize, 0usize);
     let mut best: Option<Interval> = None;
     for (index, edge) in edges.iter().enumerate() {
         if edge.kind == EdgeKind::End {
-            open -= 1;
+            open_count -= 1;
             continue;
         }
-        open += 1;
-        let part = Interval { low: edge.at, high: edges[index + 1].at };
-        let is_narrower = |known: Interval| part.high - part.low < known.high - known.low;
-        if best.is_none_or(|known| open > most || open == most && is_narrower(known)) {
-            (best, most) = (Some(part), open);
+        open_count += 1;
+        let overlap = Interval { low: edge.at, high: edges[index + 1].at };
+        let is_narrower = |known: Interval| overlap.high - overlap.low < known.high - known.low;
+        if best.is_none_or(|known| open_count > max_open || open_count == max_open && is_narrower(known)) {
+            (best, max_open) = (Some(overlap), open_count);
         }
     }
     best
@@ -100,17 +100,17 @@
 /// The narrowest overlap would not be certain: an interval that is wrong by less than the width of the others
 /// still overlaps them, and the true value lies outside of that overlap.
 pub(crate) fn certain_overlap(intervals: &[Interval], faulty: usize) -> Option<Interval> {
-    let needed = intervals.len().checked_sub(faulty).filter(|needed| *needed > 0)?;
-    let (mut open, mut low, mut high) = (0, None, None);
+    let required_count = intervals.len().checked_sub(faulty).filter(|required_count| *required_count > 0)?;
+    let (mut open_count, mut low, mut high) = (0, None, None);
     for Edge { at, kind } in sorted_edges(intervals) {
         match kind {
             EdgeKind::Begin => {
-                open += 1;
-                low = low.or(Some(at).filter(|_| open >= needed));
+                open_count += 1;
+                low = low.or(Some(at).filter(|_| open_count >= required_count));
             }
             EdgeKind::End => {
-                high = if open >= needed { Some(at) } else { high };
-                open -= 1;
+                high = if open_count >= required_count { Some(at) } else { high };
+                open_count -= 1;
             }
         }
     }
--- a/crates/quota/src/lease_ledger.rs
+++ b/crates/quota/src/lease_ledger.rs
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Answers a borrower's request, in view of the claims of all borrowers.
+    /// Answers a borrower's request. The grant depends on the claims of all borrowers.
     pub fn grant(&mut self, now: Moment, request: LoanRequest, terms: &LendingTerms) -> Grant {
         self.expire_grants(now, terms);
         let LoanRequest { borrower, claim, .. } = request;
@@ -196,8 +196,8 @@
         };
         let granted = target.min(available);
         // If the borrower already holds more than is available, it keeps its holdings, up to its target,
-        // until its last grant expires. No quota is granted twice by this, and the borrower has quota while
-        // others still hold more than their targets.
+        // until its last grant expires. This grants no quota twice, and the borrower is not left without quota
+        // while others still hold more than their targets.
         let kept = target.min(borrower.outstanding);
         if granted.within(kept) && granted != kept && now < borrower.expires {
             return Grant { quota: kept, expires: borrower.expires };
@@ -205,7 +205,7 @@
         Grant { quota: granted, expires: self.lendable_until }
     }
 
-    /// Makes expired grants available again. At the leader, this waits until its leadership was confirmed
+    /// Makes the quota of expired grants available again; at the leader, only once its leadership was confirmed
     /// after the grants expired.
     fn expire_grants(&mut self, now: Moment, terms: &LendingTerms) {
         let LedgerChecks { drift, count_until_expired, .. } = terms.checks;
@@ -240,7 +240,7 @@
         }
     }
 
-    /// The quota that a borrower should have, by the claims of all borrowers.
+    /// The quota that a borrower should have, computed from the claims of all borrowers.
     fn target(&mut self, now: Moment, limit: &BudgetLimit, borrower: Incarnation) -> Quota {
         let outdated =
             now.since(self.divided_at) >= DIVISION_INTERVAL || !self.targets.contains_key(&borrower);
