--- a/crates/external-requests/src/table/reports.rs
+++ b/crates/external-requests/src/table/reports.rs
@@ -79,8 +79,8 @@
         self.finish_unserved(now, host, number, CallReply::Failed(RefusalReason::GaveUp));
     }
 
-    /// Completes a request without a result. If a decision of it may be in use, keeps `reply` until that
-    /// attempt ends.
+    /// Completes a request without a result. If a decision for the request may be in use, keeps
+    /// `reply` until that attempt ends.
     fn finish_unserved(
         &mut self,
         now: Moment,
--- a/crates/membership/src/lease.rs
+++ b/crates/membership/src/lease.rs
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Renews the lease from the recorded confirmations by a quorum of the voters. Confirmations by a majority
-    /// of the members also renew the lease, until [`Timings::quorum_loss_grace`] after the last confirmation
-    /// by a quorum.
+    /// Renews the lease from the recorded confirmations by a quorum of the voters. Confirmations by a
+    /// majority of the members also renew the lease, until [`Timings::quorum_loss_grace`] after the last
+    /// confirmation by a quorum.
     ///
     /// `own` is the index of this router and the current time, and `members` are all members at that index.
     /// `confirms_index` is true if no change waits for its decision at that index.
--- a/crates/quota/src/lease_ledger.rs
+++ b/crates/quota/src/lease_ledger.rs
@@ -196,8 +196,8 @@
         };
         let granted = target.min(available);
         // If the borrower already holds more than is available, it keeps its holdings, up to its target,
-        // until its last grant expires. This grants no quota twice, and the borrower is not left without quota
-        // while others still hold more than their targets.
+        // until its last grant expires. This grants no quota twice, and the borrower is not left without
+        // quota while others still hold more than their targets.
         let kept = target.min(borrower.outstanding);
         if granted.within(kept) && granted != kept && now < borrower.expires {
             return Grant { quota: kept, expires: borrower.expires };
@@ -205,8 +205,8 @@
         Grant { quota: granted, expires: self.lendable_until }
     }
 
-    /// Makes the quota of expired grants available again; at the leader, only once its leadership was confirmed
-    /// after the grants expired.
+    /// Makes the quota of expired grants available again; at the leader, only once its leadership was
+    /// confirmed after the grants expired.
     fn expire_grants(&mut self, now: Moment, terms: &LendingTerms) {
         let LedgerChecks { drift, count_until_expired, .. } = terms.checks;
         let lag = terms.limit.release_lag + drift;
