--- a/crates/quota/src/lease_ledger.rs
+++ b/crates/quota/src/lease_ledger.rs
@@ -16,16 +16,16 @@
 use crate::fair_shares::{WeightedDemand, max_min_fair_shares};
 use crate::{BudgetLimit, Quota};
 
-/// Up to this many borrowers, targets are computed for each request; with more borrowers, at most once per
-/// [`DIVISION_INTERVAL`].
+/// The largest number of borrowers for which targets are computed at each request. With more borrowers,
+/// targets are computed at most once per [`DIVISION_INTERVAL`].
 const MAX_BORROWERS_DIVIDED_PER_REQUEST: usize = 64;
 
 /// How long computed targets are reused if there are more than [`MAX_BORROWERS_DIVIDED_PER_REQUEST`]
 /// borrowers.
 const DIVISION_INTERVAL: Span = Span::millis(100);
 
-/// How long the borrowers that get a unit keep it before other borrowers get it, if there are fewer units
-/// than borrowers. The period must be long enough to spend a single unit.
+/// How long a borrower keeps its unit before another borrower gets it, if there are fewer units than
+/// borrowers. The period must be long enough to spend a single unit.
 const ROTATION_PERIOD: Span = Span::millis(1000);
 
 /// How long the ledger keeps a borrower after its last request and after its grant has expired.
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Answers a borrower's request, in view of the claims of all borrowers.
+    /// Answers a borrower's request. The grant depends on the claims of all borrowers.
     pub fn grant(&mut self, now: Moment, request: LoanRequest, terms: &LendingTerms) -> Grant {
         self.expire_grants(now, terms);
         let LoanRequest { borrower, claim, .. } = request;
@@ -196,8 +196,8 @@
         };
         let granted = target.min(available);
         // If the borrower already holds more than is available, it keeps its holdings, up to its target,
-        // until its last grant expires. No quota is granted twice by this, and the borrower has quota while
-        // others still hold more than their targets.
+        // until its last grant expires. This grants no quota twice, and the borrower is not left without
+        // quota while others still hold more than their targets.
         let kept = target.min(borrower.outstanding);
         if granted.within(kept) && granted != kept && now < borrower.expires {
             return Grant { quota: kept, expires: borrower.expires };
@@ -205,8 +205,8 @@
         Grant { quota: granted, expires: self.lendable_until }
     }
 
-    /// Makes expired grants available again. At the leader, this waits until its leadership was confirmed
-    /// after the grants expired.
+    /// Makes the quota of expired grants available again; at the leader, only once its leadership was
+    /// confirmed after the grants expired.
     fn expire_grants(&mut self, now: Moment, terms: &LendingTerms) {
         let LedgerChecks { drift, count_until_expired, .. } = terms.checks;
         let lag = terms.limit.release_lag + drift;
@@ -240,7 +240,7 @@
         }
     }
 
-    /// The quota that a borrower should have, by the claims of all borrowers.
+    /// The quota that a borrower should have, computed from the claims of all borrowers.
     fn target(&mut self, now: Moment, limit: &BudgetLimit, borrower: Incarnation) -> Quota {
         let outdated =
             now.since(self.divided_at) >= DIVISION_INTERVAL || !self.targets.contains_key(&borrower);
