--- a/crates/router/src/configuration/fronts.rs
+++ b/crates/router/src/configuration/fronts.rs
@@ -11,10 +11,10 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fronts {
-    /// The listener of the external processor, which proxies call over gRPC.
+    /// The listener of the gRPC front, which proxies call for each request.
     #[serde(default)]
     pub external_processing: Option<Front>,
-    /// The listener of the plain HTTP interface, for proxies that only support sub-requests.
+    /// The listener of the plain HTTP front, for proxies that support only HTTP sub-requests.
     #[serde(default)]
     pub call: Option<Front>,
     /// The fleet that this router belongs to.
--- a/crates/router/src/external/grpc/exchange.rs
+++ b/crates/router/src/external/grpc/exchange.rs
@@ -67,7 +67,7 @@
     loop {
         let reply = next_reply(call, stream).await?;
         let CallReply::Decision { decision, use_within, time_remaining } = reply else {
-            let refusal = final_response_to_request(&reply, request.denial.as_deref());
+            let refusal = final_response_to_request(&reply, request.refusal_reason.as_deref());
             stream.send(&response::immediate(refusal)).await?;
             return Ok(None);
         };
@@ -128,7 +128,7 @@
 ) -> Result<(), StreamEnd> {
     let headers = headers_of(headers);
     if let Some(signed_urls) = &router.signed_urls {
-        // The `Date` headers of endpoints are clock readings. Number 0 is the discovery service, so endpoints
+        // The `Date` headers of endpoints are clock samples. Participant 0 is the change stream, so endpoints
         // are numbered from 1.
         let participant = 1 + u64::from(decision.endpoint.0);
         signed_urls.observe_date_header(participant, &headers, router.engine.clock.unix_ms());
--- a/crates/router/src/external/grpc/mod.rs
+++ b/crates/router/src/external/grpc/mod.rs
@@ -1,5 +1,4 @@
-//! The external processing front: for each request, a proxy calls the router over gRPC, and transfers the
-//! bytes itself.
+//! The gRPC front: for each request, a proxy calls the router over gRPC, and transfers the bytes itself.
 
 mod exchange;
 mod stream;
--- a/crates/router/src/external/http.rs
+++ b/crates/router/src/external/http.rs
@@ -1,4 +1,4 @@
-//! The plain call front, for proxies that support only HTTP sub-requests: one HTTP/1.1 request asks for a
+//! The plain HTTP front, for proxies that support only HTTP sub-requests: one HTTP/1.1 request asks for a
 //! decision, and a second one reports the outcome. It uses the same table as the gRPC front, with another
 //! codec.
 
@@ -130,7 +130,7 @@
                     call.outlives_connection = true;
                     decision_response(&router, &call, &request, &reply)
                 }
-                _ => final_response_to_request(&reply, request.denial.as_deref()),
+                _ => final_response_to_request(&reply, request.refusal_reason.as_deref()),
             };
             return self.respond(&response, head.closes_connection).await;
         }
@@ -155,7 +155,8 @@
         let call = router.external.open_call();
         let is_attached = router.external.report_on_earlier_call(&call, lease, correlation_id, report);
         let reply = self.next_reply(&call).await;
-        // Only if it was attached: a report with a guessed lease must not detach another call's mailbox.
+        // Only if the mailbox was attached: a report with a guessed lease must not detach another call's
+        // mailbox.
         if is_attached {
             router.external.detach(lease);
         }
--- a/crates/router/src/external/request.rs
+++ b/crates/router/src/external/request.rs
@@ -18,7 +18,7 @@
     /// The path as it was checked, to be forwarded. `None` if the router does not check signed URLs.
     pub path: Option<String>,
     /// Why the signed URL is not valid. `None` if it is valid or not required.
-    pub denial: Option<String>,
+    pub refusal_reason: Option<String>,
     /// The playback to sign for its next part. `None` if the request is not part of a playback.
     pub playback: Option<Playback>,
 }
@@ -40,7 +40,7 @@
 ) -> Result<CheckedRequest, HeaderError> {
     let Some(signed_urls) = &router.signed_urls else {
         let request = request_headers::read_request(headers, names, &router.classes)?;
-        return Ok(CheckedRequest { request, path: None, denial: None, playback: None });
+        return Ok(CheckedRequest { request, path: None, refusal_reason: None, playback: None });
     };
     let path = headers.one(&names.path).unwrap_or_default();
     let authorized = signed_urls
@@ -49,12 +49,12 @@
     let others = headers.0.iter().copied().filter(|header| header.0 != names.path);
     let headers = Headers(others.chain([(names.path.as_str(), authorized.path.as_bytes())]).collect());
     let mut request = request_headers::read_request(&headers, names, &router.classes)?;
-    let AuthorizedRequest { path, authorization, refusal_reason: denial, playback } = authorized;
+    let AuthorizedRequest { path, authorization, refusal_reason, playback } = authorized;
     if !signed_urls.needs_signature(request.class) {
-        return Ok(CheckedRequest { request, path: Some(path), denial: None, playback: None });
+        return Ok(CheckedRequest { request, path: Some(path), refusal_reason: None, playback: None });
     }
     request.authorization = authorization;
-    Ok(CheckedRequest { request, path: Some(path), denial, playback })
+    Ok(CheckedRequest { request, path: Some(path), refusal_reason, playback })
 }
 
 /// Returns the response to a request that can't be parsed.
@@ -68,15 +68,15 @@
     response::final_response(reply).unwrap_or(none)
 }
 
-/// Returns the response to send for a final reply to a request. `denial` is the reason why the request's
-/// signed URL is not valid, if it is not.
-pub fn final_response_to_request(reply: &CallReply, denial: Option<&str>) -> FinalResponse {
+/// Returns the response to send for a final reply to a request. `refusal_reason` says why the request's
+/// signed URL is not valid; `None` if the URL is valid or needs no signature.
+pub fn final_response_to_request(reply: &CallReply, refusal_reason: Option<&str>) -> FinalResponse {
     let mut response = final_response(reply);
-    if let Some(denial) = denial {
+    if let Some(refusal_reason) = refusal_reason {
         // The client's URL is the reason for the refusal, not a failure of the endpoints.
         response.status = if response.status == BAD_GATEWAY { FORBIDDEN } else { response.status };
         for field in response.fields.iter_mut().filter(|field| field.name == REASON) {
-            field.value = denial.to_string();
+            field.value = refusal_reason.to_string();
         }
     }
     response
--- a/crates/router/src/external/table_host.rs
+++ b/crates/router/src/external/table_host.rs
@@ -24,7 +24,8 @@
     mailbox: Rc<Mailbox>,
     /// The attempts whose end was not yet reported to the routing engine.
     attempts: Vec<Attempt>,
-    /// Used to count the request's outcome. `None` if it was already counted, or is not to be counted.
+    /// Used to count the request's outcome. `None` if the outcome was already counted or must not be
+    /// counted.
     admitted: Option<AdmittedRequest>,
     _id: Option<InFlightId>,
     /// Carries out the routing engine's actions for the request until this task is dropped.
@@ -102,7 +103,7 @@
 
     fn request_abandoned(&mut self, number: RequestNumber) {
         if let Some(request) = self.in_flight.requests.get_mut(&number) {
-            // Not counted: a client that leaves says nothing about the quality of the policy.
+            // Not counted: an abandoned request does not indicate whether the policy is good or bad.
             request.admitted = None;
             self.external.engine.with(|engine| engine.request_abandoned(request.slot));
         }
