--- a/crates/router/src/configuration/limits.rs
+++ b/crates/router/src/configuration/limits.rs
@@ -68,7 +68,7 @@
     pub shutdown: ShutdownLimits,
     /// Limits of connections from proxies that request routing decisions.
     pub proxy: ProxyLimits,
-    /// Limits of requests that proxies forward.
+    /// Limits of externally processed requests.
     pub external: ExternalRequestLimits,
 }
 
@@ -199,13 +199,13 @@
     pub idle_timeout: Duration,
     /// The time for receiving a complete request head or message.
     pub frame_timeout: Duration,
-    /// The time for a proxy to accept all bytes of an answer.
+    /// The time for a proxy to accept all bytes of a response.
     pub write_timeout: Duration,
     /// The maximum timeout of a request.
     pub max_request_timeout: Duration,
 }
 
-/// Limits of requests that proxies forward.
+/// Limits of externally processed requests.
 #[derive(Clone, Copy, Debug)]
 pub struct ExternalRequestLimits {
     /// The time within which a proxy must use a routing decision.
@@ -364,7 +364,7 @@
     /// The maximum size of a message, in bytes.
     pub max_message_bytes: usize,
     /// The maximum size of the first line of a connection, in bytes.
-    pub max_hello_bytes: usize,
+    pub max_preface_bytes: usize,
     /// The maximum number of messages queued for one peer.
     pub max_queued_messages: usize,
     /// The timeout for establishing a connection.
@@ -382,7 +382,7 @@
         Self {
             max_connections: 96,
             max_message_bytes: 1 << 20,
-            max_hello_bytes: 256,
+            max_preface_bytes: 256,
             max_queued_messages: 128,
             connect_timeout: Duration::from_millis(400),
             write_timeout: Duration::from_secs(2),
--- a/crates/router/src/fleet/peers.rs
+++ b/crates/router/src/fleet/peers.rs
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct SendQueue {
     frames: RefCell<VecDeque<Vec<u8>>>,
-    sender: Cell<Option<Waker>>,
+    sender_waker: Cell<Option<Waker>>,
 }
 
 impl SendQueue {
@@ -41,8 +41,8 @@
             frames.pop_front();
         }
         frames.push_back(frame);
-        if let Some(sender) = self.sender.take() {
-            sender.wake();
+        if let Some(waker) = self.sender_waker.take() {
+            waker.wake();
         }
     }
 
@@ -54,7 +54,7 @@
         future::poll_fn(|context| match self.frames.borrow_mut().pop_front() {
             Some(frame) => Poll::Ready(frame),
             None => {
-                self.sender.set(Some(context.waker().clone()));
+                self.sender_waker.set(Some(context.waker().clone()));
                 Poll::Pending
             }
         })
@@ -78,7 +78,7 @@
     preface: String,
     queues: RefCell<HashMap<String, Rc<SendQueue>>>,
     sent: Cell<SentTraffic>,
-    unreadable: LogThrottle,
+    malformed_log: LogThrottle,
 }
 
 impl Peers {
@@ -94,7 +94,7 @@
             preface: format!("{PREFACE} {fleet} {name}\n"),
             queues: RefCell::default(),
             sent: Cell::default(),
-            unreadable: LogThrottle::default(),
+            malformed_log: LogThrottle::default(),
         })
     }
 
@@ -206,7 +206,7 @@
             let (peers, receive, open) = (Rc::clone(&self), receive.clone(), Rc::clone(&open));
             let task = async move {
                 if let Err(error) = peers.read_connection(stream, receive).await {
-                    peers.log_unreadable(&error);
+                    peers.log_malformed(&error);
                 }
                 open.set(open.get() - 1);
             };
@@ -214,9 +214,9 @@
         }
     }
 
-    fn log_unreadable(&self, error: &io::Error) {
+    fn log_malformed(&self, error: &io::Error) {
         if error.kind() == io::ErrorKind::InvalidData
-            && let Some(times) = self.unreadable.record()
+            && let Some(times) = self.malformed_log.record()
         {
             tracing::warn!(%error, times, "peer connection closed: malformed message");
         }
@@ -254,7 +254,7 @@
         let mut line = Vec::new();
         let read = async {
             let mut byte = [0];
-            while line.last() != Some(&b'\n') && line.len() < self.limits.max_hello_bytes {
+            while line.last() != Some(&b'\n') && line.len() < self.limits.max_preface_bytes {
                 stream.read_exact(&mut byte).await?;
                 line.extend(byte);
             }
--- a/crates/router/src/fleet/runtime.rs
+++ b/crates/router/src/fleet/runtime.rs
@@ -246,8 +246,8 @@
         Vec::new()
     }
 
-    /// Returns the policy with which a fleet bootstrapped by this router begins: the settings with which the
-    /// router was started.
+    /// Returns the initial policy of a fleet that this router bootstraps, derived from the settings with
+    /// which the router was started.
     pub fn initial_policy(&self) -> Policy {
         keys::from_settings(&self.settings, &self.classes)
     }
