--- a/crates/router/src/disabled_check.rs
+++ b/crates/router/src/disabled_check.rs
@@ -1,5 +1,6 @@
-//! Reads which safety check a fault experiment disables, to show that the tests detect the fault which the
-//! check prevents. Only debug builds can disable a check; in a release build all checks are enabled.
+//! Determines which safety check, if any, is disabled in this process. A fault experiment disables a check to
+//! show that the tests detect the fault that the check prevents. Only debug builds can disable a check; in a
+//! release build all checks are enabled.
 
 use std::sync::OnceLock;
 
--- a/crates/router/src/discovery/apply.rs
+++ b/crates/router/src/discovery/apply.rs
@@ -37,7 +37,8 @@
     });
 }
 
-/// Applies one entry to the connections and translates it for the routing engine.
+/// Applies one entry to the connections and translates it for the routing engine. `None` if the entry removes
+/// an unknown endpoint.
 fn apply_entry(state: &RouterState, entry: &EndpointEntry) -> Option<EndpointUpdate> {
     let endpoint_state = state_of(entry);
     let address = entry.address.parse().ok();
--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -49,7 +49,7 @@
     open_calls: RefCell<HashMap<i32, Rc<Mailbox>>>,
     replies: RefCell<VecDeque<QueuedReply>>,
     phase: Cell<Phase>,
-    /// The waker of the writer; after the half-close, that of the task that discards what still arrives.
+    /// The waker of the writer or, after the half-close, of the task that discards received bytes.
     writer_waker: Cell<Option<Waker>>,
     /// The waker of the reader while it waits because too many replies are unwritten.
     reader_waker: Cell<Option<Waker>>,
@@ -117,8 +117,8 @@
         self.last_activity.set(Instant::now());
     }
 
-    /// Returns whether the connection is open and has no open call, no unwritten reply, and no known part of
-    /// another call.
+    /// Returns whether the connection is open and has no open call, no unwritten reply, and no bytes of a
+    /// further call that are known to have arrived.
     pub fn is_idle(&self) -> bool {
         self.is_quiet() && !self.has_unparsed_bytes.get()
     }
@@ -329,7 +329,7 @@
     }
 
     /// Ends a half-closed connection if its client has not closed its side within `min_linger` of the
-    /// half-close; returns whether it did.
+    /// half-close; returns whether the connection was ended.
     pub fn end_if_lingered(&self, min_linger: Duration) -> bool {
         let is_due =
             self.phase.get() == Phase::HalfClosed && self.last_activity.get().elapsed() >= min_linger;
--- a/crates/router/src/log_throttle.rs
+++ b/crates/router/src/log_throttle.rs
@@ -2,7 +2,8 @@
 
 use std::cell::Cell;
 
-/// Counts the occurrences of one condition and limits its log to each doubling of their number.
+/// Counts the occurrences of one condition, of which only the first, second, fourth, eighth and so on are
+/// logged.
 #[derive(Default)]
 pub struct LogThrottle {
     occurrences: Cell<u64>,
--- a/crates/router/src/server/startup.rs
+++ b/crates/router/src/server/startup.rs
@@ -30,7 +30,7 @@
     fronts: &mut Fronts,
 ) -> Result<Rc<RouterState>> {
     let limits = limits_with_proxies(configuration.limits, fronts);
-    // This generator makes the jitter of reconnects; the routing engine has its own.
+    // Seeds the generator of the reconnect jitter. The routing engine has its own generator.
     fastrand::seed(configuration.seed);
     let engine = Rc::new(EngineHandle::start(configuration.engine_settings.clone(), configuration.seed));
     let in_flight_ids = InFlightIds::default();
@@ -106,12 +106,12 @@
     let fleet = Fleet::start(executor, fleet_settings, local_router).context("fronts")?;
     engine.set_gate(Rc::clone(&fleet) as Rc<dyn AdmissionGate>);
     if let Some(path) = fleet_settings.operator_socket.clone() {
-        spawn_operator_socket(executor, &fleet, path);
+        spawn_control_socket(executor, &fleet, path);
     }
     Ok(Some(fleet))
 }
 
-fn spawn_operator_socket(executor: &Rc<LocalExecutor<'static>>, fleet: &Rc<Fleet>, path: PathBuf) {
+fn spawn_control_socket(executor: &Rc<LocalExecutor<'static>>, fleet: &Rc<Fleet>, path: PathBuf) {
     let socket = control_socket::serve(Rc::clone(executor), Rc::clone(fleet), path, PeerLimits::default());
     let task = async move {
         if let Err(error) = socket.await {
--- a/crates/router/src/upstream/exchange.rs
+++ b/crates/router/src/upstream/exchange.rs
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Reads the response. If there is no memory for it, the attempt counts as cancelled.
+    /// Reads the response. If there is no memory for it, the attempt ends with status `Cancelled`.
     async fn read_response(
         &self,
         connection: &mut EndpointConnection,
--- a/crates/router/tests/external_processing.rs
+++ b/crates/router/tests/external_processing.rs
@@ -87,7 +87,7 @@
     Fixture { _discovery: log, cache, router }
 }
 
-/// A client of the plain call front.
+/// A client of the plain HTTP front.
 struct PlainCallClient(TcpStream);
 
 impl PlainCallClient {
--- a/crates/router/tests/requests.rs
+++ b/crates/router/tests/requests.rs
@@ -194,7 +194,7 @@
     }
     client.request(2000, "00000000000000aa");
     assert_eq!(client.reply(), (2000, served_reply(b"x")));
-    // Every attempt that the routing engine queued has ended, so it counts none as in flight.
+    // Every attempt that the routing engine queued has ended, so the engine counts no attempt as in flight.
     let count = |log: &mut Vec<String>, word: &str| log.iter().filter(|line| line.contains(word)).count();
     fixture.router.log.wait("all queued attempts to end", |log| {
         let queued = count(log, " queued ");
--- a/crates/router/tests/signed.rs
+++ b/crates/router/tests/signed.rs
@@ -45,7 +45,7 @@
     (output.status.code(), String::from_utf8(output.stderr).unwrap())
 }
 
-/// Sends a request whose token has an invalid signature to the plain HTTP interface, and returns the answer.
+/// Sends a request whose token has an invalid signature to the plain HTTP front, and returns the answer.
 fn request_with_bad_signature(router: &Router) -> String {
     let mut stream = TcpStream::connect(router.front("call")).unwrap();
     let page =
