--- a/crates/testbed/src/external_processing/mod.rs
+++ b/crates/testbed/src/external_processing/mod.rs
@@ -61,7 +61,7 @@
                 "all" => faults.extend(all.clone().map(ToString::to_string)),
                 name if all.clone().any(|known| *known == name) => faults.push(name.to_string()),
                 name => bail!(
-                    "unknown fault: {name}; expected all or one of {}",
+                    "unknown fault {name}; expected all or one of {}",
                     [&REQUEST_FAULTS[..], &FLEET_FAULTS].concat().join(", ")
                 ),
             }
@@ -141,7 +141,7 @@
     proxies: [Arc<Proxy>; 2],
     /// Indexes of the caches that have not been replaced.
     active: Vec<usize>,
-    /// How often the router was restarted.
+    /// Number of restarts of the router.
     restarts: u64,
 }
 
--- a/crates/testbed/src/simulation/many_days.rs
+++ b/crates/testbed/src/simulation/many_days.rs
@@ -59,7 +59,9 @@
             Some("staged") => checks.staged_activation = false,
             Some("compare") => checks.compare_generation = false,
             Some(name) if self.fills_per_second.is_some() => checks.quota = quota_checks_without(name)?,
-            Some(name) => bail!("unknown check: {name}; known without a budget: lease, staged, compare"),
+            Some(name) => {
+                bail!("unknown check {name}; without --budget, expected one of lease, staged, compare")
+            }
         }
         Ok(checks)
     }
@@ -76,7 +78,11 @@
         list => list.split(',').filter(|name| !name.is_empty()).map(str::to_string).collect(),
     };
     for name in &names {
-        ensure!(known.contains(&name.as_str()), "unknown fault: {name}; known: all, {}", known.join(", "));
+        ensure!(
+            known.contains(&name.as_str()),
+            "unknown fault {name}; expected all or one of {}",
+            known.join(", ")
+        );
     }
     Ok(names)
 }
@@ -92,8 +98,8 @@
         "wakes" => checks.stop_at_expiry = false,
         "floor" => checks.reserve_guaranteed = false,
         other => bail!(
-            "unknown check: {other}; known: lease, staged, compare, lapse, epoch, returned, burst, wakes, \
-             floor"
+            "unknown check {other}; expected one of lease, staged, compare, lapse, epoch, returned, \
+             burst, wakes, floor"
         ),
     }
     Ok(checks)
