--- a/crates/testbed/src/peer.rs
+++ b/crates/testbed/src/peer.rs
@@ -19,11 +19,10 @@
 /// The path of the only method of the external processing service.
 pub const PROCESS: &str = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
-/// The content type of gRPC calls.
-const GRPC: &str = "application/grpc";
+const GRPC_CONTENT_TYPE: &str = "application/grpc";
 
 /// Size in bytes of a gRPC frame's header: the compression flag and the message's size.
-const FRAME_HEAD_BYTES: usize = 5;
+const FRAME_HEADER_BYTES: usize = 5;
 
 /// Upper bound of the time that a test client's work takes.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
@@ -128,8 +127,8 @@
 
 /// Returns the size in bytes of the first frame in `bytes`. `None` if the frame is incomplete.
 fn frame_size(bytes: &[u8]) -> Option<usize> {
-    let mut message_size = bytes.get(1..FRAME_HEAD_BYTES)?;
-    let size = FRAME_HEAD_BYTES + message_size.get_u32() as usize;
+    let mut message_size = bytes.get(1..FRAME_HEADER_BYTES)?;
+    let size = FRAME_HEADER_BYTES + message_size.get_u32() as usize;
     (bytes.len() >= size).then_some(size)
 }
 
@@ -173,7 +172,8 @@
         for index in 0..count {
             let Ok(ready) = sender.ready().await else { return index };
             sender = ready;
-            let Ok((_, mut stream)) = sender.send_request(post_request(PROCESS, GRPC), false) else {
+            let Ok((_, mut stream)) = sender.send_request(post_request(PROCESS, GRPC_CONTENT_TYPE), false)
+            else {
                 return index;
             };
             let _ = stream.send_data(request_headers(index as u64, &[]), false);
@@ -197,7 +197,7 @@
     sender: &mut SendRequest<Bytes>,
     correlation_id: u64,
 ) -> Result<(ResponseFuture, SendStream<Bytes>), h2::Error> {
-    let (response, mut stream) = sender.send_request(post_request(PROCESS, GRPC), false)?;
+    let (response, mut stream) = sender.send_request(post_request(PROCESS, GRPC_CONTENT_TYPE), false)?;
     let _ = stream.send_data(request_headers(correlation_id, &[("x-max-ms", "60000")]), false);
     Ok((response, stream))
 }
@@ -270,7 +270,7 @@
 pub async fn exchange_once(sender: SendRequest<Bytes>, path: &str, headers: Bytes) -> Option<Duration> {
     let mut sender = sender.ready().await.ok()?;
     let started_at = Instant::now();
-    let (response, mut stream) = sender.send_request(post_request(path, GRPC), false).ok()?;
+    let (response, mut stream) = sender.send_request(post_request(path, GRPC_CONTENT_TYPE), false).ok()?;
     stream.send_data(headers, false).ok()?;
     let mut reader = response.await.ok()?.into_body();
     let first = reader.data().await?.ok()?;
@@ -293,7 +293,7 @@
         tokio::spawn(async move { connection.await.ok() });
         let mut sender = sender.ready().await.expect("ready");
         let (response, mut stream) =
-            sender.send_request(post_request(PROCESS, GRPC), false).expect("a stream");
+            sender.send_request(post_request(PROCESS, GRPC_CONTENT_TYPE), false).expect("a stream");
         let _ = stream.send_data(request_headers(1, &[("x-max-ms", "1000")]), false);
         let Ok(response) = response.await else { return true };
         matches!(response.into_body().data().await, Some(Err(_)))
--- a/crates/testbed/src/proxy/messages.rs
+++ b/crates/testbed/src/proxy/messages.rs
@@ -11,7 +11,7 @@
 use super::http::{Fields, Message};
 
 /// Size in bytes of a gRPC frame's header: the compression flag and the message's size.
-const FRAME_HEAD_BYTES: usize = 5;
+const FRAME_HEADER_BYTES: usize = 5;
 
 /// The router's reply to a request's headers.
 pub(super) enum Decision {
@@ -75,7 +75,7 @@
 
 /// Returns the message in a gRPC frame. `None` if the message cannot be decoded.
 pub(crate) fn unframed<M: prost::Message + Default>(bytes: &[u8]) -> Option<M> {
-    M::decode(bytes.get(FRAME_HEAD_BYTES..)?).ok()
+    M::decode(bytes.get(FRAME_HEADER_BYTES..)?).ok()
 }
 
 /// Returns the header fields that a message sets.
--- a/crates/testbed/src/simulation/faults.rs
+++ b/crates/testbed/src/simulation/faults.rs
@@ -24,8 +24,8 @@
         if self.faults_over {
             return;
         }
-        let next = self.rng.random_range(300_000..2_000_000);
-        self.schedule_in(next, Event::Fault);
+        let interval_us = self.rng.random_range(300_000..2_000_000);
+        self.schedule_in(interval_us, Event::Fault);
         let faults: Vec<&str> = INJECTED_FAULTS.into_iter().filter(|fault| self.day.has(fault)).collect();
         if faults.is_empty() {
             return;
@@ -33,19 +33,19 @@
         let fault = faults[self.rng.random_range(0..faults.len())];
         self.disturbed_until = self.now + DISTURBANCE_US;
         let process = self.rng.random_range(0..self.processes.len());
-        let duration = self.rng.random_range(200_000..5_000_000);
+        let duration_us = self.rng.random_range(200_000..5_000_000);
         self.trace(process, &fault);
         match fault {
-            "oneway" => self.block_one_way(process, duration),
-            "split" => self.partition(duration),
-            "kill" | "restart" => self.kill_and_restart(process, duration),
-            "forget" => self.lose_storage(process, duration),
-            "killmost" => self.kill_most(duration),
-            "away" => self.take_offline(process, duration),
-            "pause" => self.pause(process, duration),
-            "leader" => self.kill_leader(duration),
-            "sleep" => self.suspend_all(duration),
-            "deaf" => self.block_leader(process, duration),
+            "oneway" => self.block_one_way(process, duration_us),
+            "split" => self.partition(duration_us),
+            "kill" | "restart" => self.kill_and_restart(process, duration_us),
+            "forget" => self.lose_storage(process, duration_us),
+            "killmost" => self.kill_most(duration_us),
+            "away" => self.take_offline(process, duration_us),
+            "pause" => self.pause(process, duration_us),
+            "leader" => self.kill_leader(duration_us),
+            "sleep" => self.suspend_all(duration_us),
+            "deaf" => self.block_leader(process, duration_us),
             "clock" => self.jump_clock(process),
             _ => {}
         }
@@ -64,19 +64,19 @@
         }
     }
 
-    fn block_one_way(&mut self, from: usize, duration: u64) {
+    fn block_one_way(&mut self, from: usize, duration_us: u64) {
         let to = self.rng.random_range(0..self.processes.len());
         self.blocked_links.insert((from, to));
-        self.schedule_in(duration, Event::UnblockLinks);
+        self.schedule_in(duration_us, Event::UnblockLinks);
     }
 
-    fn partition(&mut self, duration: u64) {
+    fn partition(&mut self, duration_us: u64) {
         let count = self.processes.len();
         let parts = self.rng.random_range(2..4u32);
         let sides: Vec<u32> = (0..count).map(|_| self.rng.random_range(0..parts)).collect();
         let links = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
         self.blocked_links.extend(links.filter(|(from, to)| sides[*from] != sides[*to]));
-        self.schedule_in(duration, Event::UnblockLinks);
+        self.schedule_in(duration_us, Event::UnblockLinks);
     }
 
     fn kill(&mut self, process: usize) {
@@ -85,14 +85,14 @@
         self.unreleased_fills.retain(|fill| fill.process != process);
     }
 
-    fn kill_and_restart(&mut self, process: usize, duration: u64) {
+    fn kill_and_restart(&mut self, process: usize, duration_us: u64) {
         self.kill(process);
-        self.schedule_in(duration, Event::Restart { process });
+        self.schedule_in(duration_us, Event::Restart { process });
     }
 
     /// Erases the storage of one replica. Does nothing unless all other replicas are available with the
     /// entries that the erased storage held.
-    fn lose_storage(&mut self, process: usize, duration: u64) {
+    fn lose_storage(&mut self, process: usize, duration_us: u64) {
         if !self.all_running() || !self.has_redundant_voters() {
             return;
         }
@@ -103,31 +103,31 @@
             self.processes[process].storage = Some(StoredState::default());
             self.processes[process].replica_id = Some(self.rng.random_range(1_000..u64::MAX));
         }
-        self.schedule_in(duration, Event::Restart { process });
+        self.schedule_in(duration_us, Event::Restart { process });
     }
 
-    fn kill_most(&mut self, duration: u64) {
+    fn kill_most(&mut self, duration_us: u64) {
         if !self.rng.random_bool(0.3) {
             return;
         }
         for process in 0..self.processes.len() {
             if self.rng.random_bool(0.7) {
                 self.kill(process);
-                let delay = duration + self.rng.random_range(0..1_000_000);
-                self.schedule_in(delay, Event::Restart { process });
+                let delay_us = duration_us + self.rng.random_range(0..1_000_000);
+                self.schedule_in(delay_us, Event::Restart { process });
             }
         }
     }
 
     /// Kills or isolates one process for so long that it is removed from the member list. Only one process is
     /// offline at a time, and never the leader.
-    fn take_offline(&mut self, process: usize, duration: u64) {
+    fn take_offline(&mut self, process: usize, duration_us: u64) {
         let undisturbed = self.has_redundant_voters() && self.all_running() && self.blocked_links.is_empty();
         if !undisturbed || self.processes[process].is_leader() {
             return;
         }
         let Timings { lease, quorum_loss_grace, .. } = self.day.timings;
-        let offline_us = (quorum_loss_grace + lease * 4.0).as_micros() + duration;
+        let offline_us = (quorum_loss_grace + lease * 4.0).as_micros() + duration_us;
         if self.rng.random_bool(0.5) {
             self.kill_and_restart(process, offline_us);
         } else {
@@ -137,39 +137,39 @@
         }
     }
 
-    fn pause(&mut self, process: usize, duration: u64) {
+    fn pause(&mut self, process: usize, duration_us: u64) {
         if self.processes[process].node.is_some() {
             self.processes[process].paused = true;
-            self.schedule_in(duration, Event::Resume { process });
+            self.schedule_in(duration_us, Event::Resume { process });
         }
     }
 
-    fn kill_leader(&mut self, duration: u64) {
+    fn kill_leader(&mut self, duration_us: u64) {
         if let Some(leader) = self.leader() {
-            self.kill_and_restart(leader, duration);
+            self.kill_and_restart(leader, duration_us);
         }
     }
 
     /// Suspends all machines together, as if they ran on one suspended host: every process detects that its
     /// clock jumped.
-    fn suspend_all(&mut self, duration: u64) {
+    fn suspend_all(&mut self, duration_us: u64) {
         if self.now <= self.last_clock_jump + CLOCK_JUMP_INTERVAL_US {
             return;
         }
         self.last_clock_jump = self.now;
         for process in 0..self.processes.len() {
-            self.shift_clock(process, duration as i64);
+            self.shift_clock(process, duration_us as i64);
         }
     }
 
     /// Blocks messages from the leader to half of the other processes; the leader still receives theirs. The
     /// parity of `process` selects the half.
-    fn block_leader(&mut self, process: usize, duration: u64) {
+    fn block_leader(&mut self, process: usize, duration_us: u64) {
         if let Some(leader) = self.leader() {
             let others = (0..self.processes.len()).filter(|other| *other != leader);
             let half = others.filter(|other| (other + process).is_multiple_of(2));
             self.blocked_links.extend(half.map(|other| (leader, other)));
-            self.schedule_in(duration, Event::UnblockLinks);
+            self.schedule_in(duration_us, Event::UnblockLinks);
         }
     }
 
--- a/crates/testbed/src/simulation/network.rs
+++ b/crates/testbed/src/simulation/network.rs
@@ -29,16 +29,16 @@
         {
             return;
         }
-        let jitter = self.rng.random_range(0..self.day.latency_jitter.as_micros().max(1));
-        let mut latency = self.day.min_latency.as_micros() + jitter;
+        let jitter_us = self.rng.random_range(0..self.day.latency_jitter.as_micros().max(1));
+        let mut latency_us = self.day.min_latency.as_micros() + jitter_us;
         if faults_active && self.day.has("delay") && self.rng.random_bool(FAULT_PROBABILITY) {
-            latency += self.rng.random_range(0..MAX_FAULT_DELAY_US);
+            latency_us += self.rng.random_range(0..MAX_FAULT_DELAY_US);
         }
         if faults_active && self.day.has("duplicate") && self.rng.random_bool(FAULT_PROBABILITY) {
-            let later = latency + self.rng.random_range(0..MAX_DUPLICATE_DELAY_US);
-            self.schedule_in(later, Event::Message { to, envelope: Box::new(envelope.clone()) });
+            let duplicate_us = latency_us + self.rng.random_range(0..MAX_DUPLICATE_DELAY_US);
+            self.schedule_in(duplicate_us, Event::Message { to, envelope: Box::new(envelope.clone()) });
         }
-        self.schedule_in(latency, Event::Message { to, envelope: Box::new(envelope) });
+        self.schedule_in(latency_us, Event::Message { to, envelope: Box::new(envelope) });
     }
 
     /// Adds the size of a message to the byte count. In a large fleet, the count is extrapolated from a
--- a/crates/testbed/src/simulation/workload.rs
+++ b/crates/testbed/src/simulation/workload.rs
@@ -34,10 +34,10 @@
 impl World {
     /// Sends a request to a process and schedules the next request.
     pub(super) fn generate_request(&mut self, process: usize) {
-        let interval = self.day.request_interval.as_micros();
-        let mean = (interval as f64 / self.processes[process].load_factor) as u64;
-        let next = self.rng.random_range(mean / 2..mean * 3 / 2);
-        self.schedule_in(next, Event::Request { process });
+        let mean_interval_us = self.day.request_interval.as_micros();
+        let mean_us = (mean_interval_us as f64 / self.processes[process].load_factor) as u64;
+        let delay_us = self.rng.random_range(mean_us / 2..mean_us * 3 / 2);
+        self.schedule_in(delay_us, Event::Request { process });
         if !self.processes[process].paused {
             self.handle_request(process);
         }
@@ -77,8 +77,8 @@
         self.fills_in_flight += 1;
         let over_limit = self.fills_in_flight as f64 > self.day.fill_budget("in_hand");
         self.outcome.concurrency_violations += u64::from(over_limit);
-        let duration = self.rng.random_range(FILL_DURATION_US);
-        self.schedule_in(duration, Event::FillCompleted { process: index, epoch, admitted_at: now });
+        let duration_us = self.rng.random_range(FILL_DURATION_US);
+        self.schedule_in(duration_us, Event::FillCompleted { process: index, epoch, admitted_at: now });
     }
 
     /// Releases a completed fill, unless its process has been killed or restarted since. A paused process
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -52,7 +52,7 @@
     let mut day = DaySettings::new(seed, routers);
     day.faults = match faults {
         "all" => FAULTS.iter().map(ToString::to_string).collect(),
-        some => some.split(',').filter(|name| !name.is_empty()).map(str::to_string).collect(),
+        list => list.split(',').filter(|name| !name.is_empty()).map(str::to_string).collect(),
     };
     day.fault_duration = Span::secs(if budget.is_some() { 15.0 } else { 20.0 });
     day.fills_per_second = budget;
