--- a/crates/testbed/src/budgets/audit.rs
+++ b/crates/testbed/src/budgets/audit.rs
@@ -36,7 +36,8 @@
 
 /// The time between the starts of consecutive windows.
 const RECOVERY_STEP: Duration = Duration::from_millis(100);
-/// The number of windows plus one; the first window starts one step after the routers were killed.
+/// The exclusive upper bound of the number of steps from the kill to the start of a window. The first window
+/// starts one step after the routers were killed.
 const RECOVERY_STEPS: u32 = 100;
 
 /// The evidence from a run for its audit.
--- a/crates/testbed/src/budgets/rates.rs
+++ b/crates/testbed/src/budgets/rates.rs
@@ -20,7 +20,7 @@
     /// Fills per second.
     per_second: f64,
     proposed_at: Instant,
-    /// When the change was known to be activated. `None` if it is not known to be.
+    /// When the change was first known to be activated. `None` if its activation is not known.
     activated_at: Option<Instant>,
 }
 
--- a/crates/testbed/src/budgets/traffic.rs
+++ b/crates/testbed/src/budgets/traffic.rs
@@ -144,8 +144,9 @@
         }
     }
 
-    /// Pauses until the next request is due. If demand shifts, it is low for some routers at a time, for a
-    /// shorter time than routers remember demand. A long pause of low demand ends when demand becomes high.
+    /// Pauses until the next request is due. If the fault `shift` is injected, demand is low for some routers
+    /// at a time, for a shorter time than routers remember demand. A long pause of low demand ends when
+    /// demand becomes high.
     fn pause(&mut self) {
         let cluster = self.cluster;
         let shifts = cluster.has_fault("shift") && !cluster.faults_finished.load(Ordering::SeqCst);
--- a/crates/testbed/src/external_processing/client.rs
+++ b/crates/testbed/src/external_processing/client.rs
@@ -14,7 +14,7 @@
 
 /// How long a client waits for a complete answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a save is sent in total while it is rejected.
+/// The maximum number of times that a rejected save is sent, including the first time.
 const SAVE_ATTEMPTS: u32 = 3;
 /// How long a client waits before it retries a save, in milliseconds, if the answer does not state a pause.
 const DEFAULT_BACKOFF_MS: u64 = 30;
--- a/crates/testbed/src/proxy/attempt.rs
+++ b/crates/testbed/src/proxy/attempt.rs
@@ -96,8 +96,8 @@
         let started_at = Instant::now();
         let opening = open_stream(processor, receiver);
         if self.fault == "before" {
-            // The stream is cancelled immediately or while the router decides. The time until then depends on
-            // the request's ticket.
+            // Cancels the stream immediately or while the router decides. The time until the cancellation
+            // depends on the request's correlation id.
             let spread =
                 self.request.fields.get("x-ticket").map_or(0, |ticket| u64::from(ticket.as_bytes()[15]));
             let _ = tokio::time::timeout(Duration::from_micros(spread * 6), opening).await;
--- a/crates/testbed/src/signed/client.rs
+++ b/crates/testbed/src/signed/client.rs
@@ -8,7 +8,7 @@
 
 use crate::proxy::read;
 
-/// How often a client retries a request that the router gave up under overload.
+/// The maximum number of retries of a request that the router gave up under overload.
 const MAX_RETRIES: usize = 8;
 
 /// How long a client waits for a complete answer.
--- a/crates/testbed/src/simulation/audit.rs
+++ b/crates/testbed/src/simulation/audit.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Counts requests that were decided by an old generation after a newer generation had already decided a
-    /// request.
+    /// Counts requests that an old generation decided after the first request decided by a newer generation.
+    /// Time differences within the clock tolerance are not counted.
     fn audit_activations(&mut self) {
         let tolerance = self.clock_tolerance_us();
         let times: Vec<&Vec<u64>> = self.request_times.values().collect();
--- a/crates/testbed/src/simulation/baselines.rs
+++ b/crates/testbed/src/simulation/baselines.rs
@@ -37,8 +37,8 @@
 pub struct BaselineOutcome {
     /// Requests decided.
     pub requests: u64,
-    /// Requests that were decided by an old policy after a newer policy had already decided a request, later
-    /// by more than clocks may differ.
+    /// Requests that an old policy decided after the first request decided by a newer policy. Time
+    /// differences up to the largest allowed difference between two clocks are not counted.
     pub mixed_policy_requests: u64,
     /// Changes proposed.
     pub proposals: u64,
@@ -177,9 +177,9 @@
     }
 
     fn handle_request(&mut self, index: usize) {
-        let mean = self.day.request_interval.as_micros();
-        let next = self.rng.random_range(mean / 2..mean * 3 / 2);
-        self.schedule_in(next, Event::Request { process: index });
+        let mean_us = self.day.request_interval.as_micros();
+        let delay_us = self.rng.random_range(mean_us / 2..mean_us * 3 / 2);
+        self.schedule_in(delay_us, Event::Request { process: index });
         let process = &self.processes[index];
         if process.up && !process.paused {
             self.outcome.requests += 1;
@@ -194,10 +194,10 @@
             return;
         }
         let late = faults_active && self.day.has("delay") && self.rng.random_bool(0.05);
-        let delay = if late { self.rng.random_range(0..600_000) } else { 0 };
-        let jitter = self.rng.random_range(0..self.day.latency_jitter.as_micros());
-        let latency = self.day.min_latency.as_micros() + jitter + delay;
-        self.schedule_in(latency, Event::Message { from, to, message });
+        let delay_us = if late { self.rng.random_range(0..600_000) } else { 0 };
+        let jitter_us = self.rng.random_range(0..self.day.latency_jitter.as_micros());
+        let latency_us = self.day.min_latency.as_micros() + jitter_us + delay_us;
+        self.schedule_in(latency_us, Event::Message { from, to, message });
     }
 
     fn broadcast(&mut self, from: usize, message: Message) {
@@ -300,35 +300,35 @@
     }
 
     fn inject_fault(&mut self) {
-        let next = self.rng.random_range(300_000..2_000_000);
-        self.schedule_in(next, Event::Fault);
+        let interval_us = self.rng.random_range(300_000..2_000_000);
+        self.schedule_in(interval_us, Event::Fault);
         let faults = ["oneway", "split", "kill", "pause"].into_iter();
         let faults: Vec<&str> = faults.filter(|fault| self.day.has(fault)).collect();
         if faults.is_empty() {
             return;
         }
-        let (count, duration) = (self.processes.len(), self.rng.random_range(200_000..5_000_000));
+        let (count, duration_us) = (self.processes.len(), self.rng.random_range(200_000..5_000_000));
         let process = self.rng.random_range(0..count);
         match faults[self.rng.random_range(0..faults.len())] {
             "oneway" => {
                 let other = self.rng.random_range(0..count);
                 self.blocked_links.insert((process, other));
-                self.schedule_in(duration, Event::UnblockLinks);
+                self.schedule_in(duration_us, Event::UnblockLinks);
             }
             "split" => {
                 let sides: Vec<bool> = (0..count).map(|_| self.rng.random_bool(0.5)).collect();
                 let links = (0..count * count).map(|pair| (pair / count, pair % count));
                 self.blocked_links.extend(links.filter(|(from, to)| sides[*from] != sides[*to]));
-                self.schedule_in(duration, Event::UnblockLinks);
+                self.schedule_in(duration_us, Event::UnblockLinks);
             }
             "kill" => {
                 self.processes[process].up = false;
                 self.processes[process].queued_messages.clear();
-                self.schedule_in(duration, Event::Recover { process });
+                self.schedule_in(duration_us, Event::Recover { process });
             }
             _ => {
                 self.processes[process].paused = true;
-                self.schedule_in(duration, Event::Recover { process });
+                self.schedule_in(duration_us, Event::Recover { process });
             }
         }
     }
--- a/crates/testbed/src/simulation/outcome.rs
+++ b/crates/testbed/src/simulation/outcome.rs
@@ -17,8 +17,8 @@
     pub proposals_rejected: u64,
     /// Proposals that were accepted and then cancelled.
     pub proposals_cancelled: u64,
-    /// Violations: requests decided by an old policy after a newer policy had already decided a request,
-    /// later by more than clocks may differ.
+    /// Violations: requests that an old policy decided after the first request decided by a newer policy.
+    /// Time differences up to the largest allowed difference between two clocks are not counted.
     pub mixed_policy_requests: u64,
     /// Violations: requests decided by a policy that was never activated.
     pub unknown_policy_requests: u64,
--- a/crates/testbed/src/simulation/process.rs
+++ b/crates/testbed/src/simulation/process.rs
@@ -45,7 +45,7 @@
 }
 
 impl Process {
-    /// Creates a router with a random clock that has not been started yet.
+    /// Creates a router that is not started yet and has a random clock.
     pub fn new(index: usize, rng: &mut Pcg64Mcg) -> Self {
         let ppm = rng.random_range(-100.0..100.0);
         let has_storage = index < REPLICAS;
--- a/crates/testbed/src/stand_in/client.rs
+++ b/crates/testbed/src/stand_in/client.rs
@@ -86,7 +86,7 @@
     }
 
     /// Connects with a receive buffer so small that the rest of a long reply stays in the send buffer of the
-    /// router's system.
+    /// router's socket.
     pub fn connect_small(router: &Router) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(SMALL_RECEIVE_BUFFER_BYTES).unwrap();
