--- a/crates/testbed/src/simulation/world.rs
+++ b/crates/testbed/src/simulation/world.rs
@@ -134,7 +134,7 @@
     }
 
     /// Installs the complete member list at all processes of a large fleet, because the simulation of a large
-    /// fleet is not about joins.
+    /// fleet does not test joins.
     fn install_member_list(&mut self) {
         let entries = self.processes.iter().enumerate();
         let members =
@@ -250,11 +250,11 @@
         let node =
             Node::start(self.node_config(index, random_seed), now).expect("stored state is consistent");
         self.processes[index].node = Some(node);
-        let jitter = self.rng.random_range(1..40_000);
-        self.schedule_in(jitter, Event::Tick { process: index, epoch });
+        let jitter_us = self.rng.random_range(1..40_000);
+        self.schedule_in(jitter_us, Event::Tick { process: index, epoch });
         if epoch == 1 {
-            let jitter = self.rng.random_range(1..self.day.request_interval.as_micros());
-            self.schedule_in(jitter, Event::Request { process: index });
+            let jitter_us = self.rng.random_range(1..self.day.request_interval.as_micros());
+            self.schedule_in(jitter_us, Event::Request { process: index });
         }
         self.execute_actions(index);
     }
@@ -291,7 +291,7 @@
             let fill = self.unreleased_fills.swap_remove(at);
             self.release_fill(process, fill.admitted_at);
         }
-        // The worst case: a request is handled before all messages that arrived during the pause.
+        // Simulates the worst case: a request is handled before all messages that arrived during the pause.
         self.handle_request(process);
         for envelope in std::mem::take(&mut self.processes[process].queued_messages) {
             self.with_node(process, |node, now| node.receive(now, envelope));
@@ -302,8 +302,8 @@
         if self.processes[process].epoch != epoch {
             return;
         }
-        let interval = self.day.timings.heartbeat_interval.as_micros() / 5;
-        self.schedule_in(interval, Event::Tick { process, epoch });
+        let interval_us = self.day.timings.heartbeat_interval.as_micros() / 5;
+        self.schedule_in(interval_us, Event::Tick { process, epoch });
         if !self.processes[process].paused {
             self.with_node(process, Node::tick);
         }
@@ -357,8 +357,8 @@
     /// Schedules the completion of a write. The disk completes writes one after another.
     fn write(&mut self, process: usize, write: StorageWrite) {
         let epoch = self.processes[process].epoch;
-        let duration = self.rng.random_range(500..4_000);
-        let completed_at = self.now.max(self.processes[process].disk_busy_until) + duration;
+        let duration_us = self.rng.random_range(500..4_000);
+        let completed_at = self.now.max(self.processes[process].disk_busy_until) + duration_us;
         self.processes[process].disk_busy_until = completed_at;
         let write = Box::new(write);
         self.events.schedule(completed_at, Event::WriteCompleted { process, epoch, write });
