--- a/crates/consensus/src/node/leader/decision.rs
+++ b/crates/consensus/src/node/leader/decision.rs
@@ -95,9 +95,7 @@
         let (lease, grace) = (self.timings.lease, self.timings.quorum_loss_grace);
         let max_wait = (lease + grace) * 2.0 + self.timings.drift(grace);
         let waited = now.since(self.observed_at(staged.index).unwrap_or(now));
-        (waited > max_wait).then(|| {
-            "not decided in time; check for members that do not respond and for uncertain clocks".into()
-        })
+        (waited > max_wait).then(|| "no decision in time".into())
     }
 
     /// Returns whether the change may be decided: no member that is not informed of the change can apply the
--- a/crates/consensus/src/node/leader/probation.rs
+++ b/crates/consensus/src/node/leader/probation.rs
@@ -17,17 +17,12 @@
             Assessment::Undecided => return,
             Assessment::Harm { location, class, before, after } => {
                 let note = format!(
-                    "fraction of requests served in time at location {location}, request class {class}: \
-                     {before:.3} before the change, {after:.3} after it"
+                    "in time at location {location}, offering {class}: {before:.3} before, {after:.3} after"
                 );
                 return self.propose_revert(now, generation, &note);
             }
-            Assessment::UnrelatedFault { began_before: true } => {
-                "kept: requests were late or failed, but since before the change"
-            }
-            Assessment::UnrelatedFault { .. } => {
-                "kept: requests were late or failed at the other locations as well"
-            }
+            Assessment::UnrelatedFault { began_before: true } => "kept: trouble that had begun before",
+            Assessment::UnrelatedFault { .. } => "kept: trouble everywhere alike",
             Assessment::NoHarm => "kept: no harm",
             Assessment::TooLittleTraffic => "kept: too little traffic to tell",
         };
